--- a/crates/kumquatnotch-config/src/document_store.rs
+++ b/crates/kumquatnotch-config/src/document_store.rs
@@ -18,7 +18,8 @@
     random::Random,
     store::{StoreItem, StoreWrite},
     stored::{
-        self, HEAD_KEY, HISTORY_LENGTH, Head, Manifest, Past, Stored, check_value, value_key,
+        self, HEAD_KEY, HISTORY_LENGTH, Head, Manifest, PastVersion, StoredDocument, check_value,
+        value_key,
     },
 };
 
@@ -255,7 +256,7 @@
         let mut history = Vec::new();
         if let Some(head) = &base.head {
             let Head { version, write, manifest, .. } = *head;
-            history.push(Past { version, write, manifest });
+            history.push(PastVersion { version, write, manifest });
             history.extend(head.history.iter().take(HISTORY_LENGTH - 1).cloned());
         }
         let last = base.head.as_ref().map_or(ConfigVersion(0), |head| head.version);
@@ -292,7 +293,7 @@
 }
 
 /// The values of `stored` that the document in force does not use.
-fn new_values<'a>(base: &Current, stored: &'a Stored) -> Result<Vec<&'a StoredValue>> {
+fn new_values<'a>(base: &Current, stored: &'a StoredDocument) -> Result<Vec<&'a StoredValue>> {
     if base.head.is_none() {
         return Ok(stored.values.iter().collect());
     }
--- a/crates/kumquatnotch-core/src/clock.rs
+++ b/crates/kumquatnotch-core/src/clock.rs
@@ -29,12 +29,12 @@
 ///
 /// The timers of the runtime stand still while the VM is suspended; so this bounds how
 /// much later than due a request that was in flight then is ended.
-const SLICE: Duration = Duration::from_millis(500);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The same for sleeps that are longer than a request may take.
 ///
 /// A node has thousands of idle connections, each with such a sleep.
-const LONG_SLICE: Duration = Duration::from_secs(15);
+const LONG_RECHECK_INTERVAL: Duration = Duration::from_secs(15);
 
 /// The clock of the monoio runtime, which counts the time for which the VM was suspended.
 #[derive(Clone, Copy, Debug, Default)]
@@ -42,7 +42,7 @@
 
 impl Clock for RuntimeClock {
     fn now(&self) -> Instant {
-        Instant::now() + suspension::suspended()
+        Instant::now() + suspension::suspended_time()
     }
 
     fn sleep_until(&self, deadline: Instant) -> LocalFuture<'static, ()> {
@@ -52,8 +52,12 @@
                 if left.is_zero() {
                     return;
                 }
-                let slice = if left > LONG_SLICE { LONG_SLICE } else { left.min(SLICE) };
-                monoio::time::sleep(slice).await;
+                let interval = if left > LONG_RECHECK_INTERVAL {
+                    LONG_RECHECK_INTERVAL
+                } else {
+                    left.min(RECHECK_INTERVAL)
+                };
+                monoio::time::sleep(interval).await;
             }
         })
     }
--- a/crates/kumquatnotch-core/src/marks.rs
+++ b/crates/kumquatnotch-core/src/marks.rs
@@ -28,7 +28,7 @@
 
 /// A mark on its way between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MarkNews {
+pub struct MarkUpdate {
     /// The mark.
     pub mark: Mark,
     /// Drawn when it was set or renewed; a node adopts each stamp once.
--- a/crates/kumquatnotch-core/src/peer.rs
+++ b/crates/kumquatnotch-core/src/peer.rs
@@ -11,7 +11,7 @@
     Error, LocalFuture, Result,
     answer::GroupAnswer,
     ids::{ConfigVersion, Digest, Incarnation, NodeName, ShardName},
-    marks::MarkNews,
+    marks::MarkUpdate,
     member::{Confirmation, NodeRecord},
     query::GroupRequest,
     target::{TargetCall, TargetReply},
@@ -100,14 +100,14 @@
     /// Changed records of nodes.
     pub nodes: Vec<NodeRecord>,
     /// Changed marks.
-    pub marks: Vec<MarkNews>,
+    pub marks: Vec<MarkUpdate>,
     /// The newest configuration that the sender knows of.
-    pub head: HeadNews,
+    pub head: HeadInfo,
 }
 
 /// The newest configuration that a node knows of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeadNews {
+pub struct HeadInfo {
     /// Its version; zero for none.
     pub version: ConfigVersion,
     /// The digest of its manifest.
--- a/crates/kumquatnotch-core/src/report.rs
+++ b/crates/kumquatnotch-core/src/report.rs
@@ -34,7 +34,7 @@
 
 impl NodeReport {
     /// Whether the node told that it has `version` or a later one in force.
-    pub fn has(&self, version: ConfigVersion) -> bool {
+    pub fn has_version(&self, version: ConfigVersion) -> bool {
         self.confirmation.is_some_and(|confirmation| confirmation.version >= version)
     }
 }
--- a/crates/kumquatnotch-core/src/stored.rs
+++ b/crates/kumquatnotch-core/src/stored.rs
@@ -50,12 +50,12 @@
     /// The digest of its manifest.
     pub manifest: Digest,
     /// Earlier versions, the newest first.
-    pub history: Vec<Past>,
+    pub history: Vec<PastVersion>,
 }
 
 /// An earlier version that can be returned to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastVersion {
     /// The version.
     pub version: ConfigVersion,
     /// The number that its writer drew.
@@ -82,7 +82,7 @@
 
 /// A document in its stored form.
 #[derive(Clone, Debug)]
-pub struct Stored {
+pub struct StoredDocument {
     /// The digest of the manifest.
     pub manifest: Digest,
     /// The manifest and every part.
@@ -90,10 +90,10 @@
 }
 
 /// Splits a document into its stored values.
-pub fn split(document: &Document) -> Result<Stored> {
+pub fn split(document: &Document) -> Result<StoredDocument> {
     let mut parts: Vec<BTreeMap<&TargetName, &TargetSpec>> = vec![BTreeMap::new(); PART_COUNT];
     for (name, spec) in &document.targets {
-        parts[part_of(name)].insert(name, spec);
+        parts[part_index(name)].insert(name, spec);
     }
     let mut values = vec![stored_value(&document.rules)?];
     for part in &parts {
@@ -110,7 +110,7 @@
     // Empty parts are alike and stored once.
     values.sort_by_key(|value| value.digest);
     values.dedup_by_key(|value| value.digest);
-    Ok(Stored { manifest: digest, values })
+    Ok(StoredDocument { manifest: digest, values })
 }
 
 /// Puts a document together from its parts, which `value` looks up.
@@ -136,7 +136,7 @@
     Ok(())
 }
 
-fn part_of(name: &TargetName) -> usize {
+fn part_index(name: &TargetName) -> usize {
     (stable_hash(&[name.as_bytes()]) % PART_COUNT as u64) as usize
 }
 
--- a/crates/kumquatnotch-core/src/suspension.rs
+++ b/crates/kumquatnotch-core/src/suspension.rs
@@ -14,17 +14,17 @@
 ///
 /// The two clocks are read one after the other, and the process may be put aside in
 /// between; a lead that seems to grow is read again.
-const NOISE: Duration = Duration::from_millis(50);
+const TOLERANCE: Duration = Duration::from_millis(50);
 
 /// How often the lead is read again at most to find one without a pause.
-const READINGS: usize = 4;
+const MAX_READINGS: usize = 4;
 
 /// How long the VM has been suspended since this process first asked.
-pub fn suspended() -> Duration {
-    static SUSPENSION: Mutex<Suspension> = Mutex::new(Suspension::new());
-    let mut suspension = SUSPENSION.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-    let before = suspension.total;
-    let total = suspension.note(lead, READINGS);
+pub fn suspended_time() -> Duration {
+    static DETECTOR: Mutex<SuspensionDetector> = Mutex::new(SuspensionDetector::new());
+    let mut detector = DETECTOR.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let before = detector.total;
+    let total = detector.update(clock_offset, MAX_READINGS);
     if total > before {
         tracing::warn!(ms = (total - before).as_millis() as u64, "clock: this VM was suspended");
     }
@@ -32,46 +32,50 @@
 }
 
 /// The lead of the boot clock over the steady one.
-fn lead() -> Duration {
-    let steady = duration(clock_gettime(ClockId::Monotonic));
-    duration(clock_gettime(ClockId::Boottime)).saturating_sub(steady)
+fn clock_offset() -> Duration {
+    let steady = to_duration(clock_gettime(ClockId::Monotonic));
+    to_duration(clock_gettime(ClockId::Boottime)).saturating_sub(steady)
 }
 
-fn duration(time: Timespec) -> Duration {
+fn to_duration(time: Timespec) -> Duration {
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
 /// What the lead of the boot clock tells.
 #[derive(Debug, Default)]
-pub struct Suspension {
-    first: Option<Duration>,
+pub struct SuspensionDetector {
+    baseline: Option<Duration>,
     total: Duration,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// Without a reading yet.
-    pub const fn new() -> Suspension {
-        Suspension { first: None, total: Duration::ZERO }
+    pub const fn new() -> SuspensionDetector {
+        SuspensionDetector { baseline: None, total: Duration::ZERO }
     }
 
-    /// Reads the lead, up to `readings` times; how long the VM was suspended in all.
+    /// Reads the lead, up to `max_readings` times; how long the VM was suspended in all.
     ///
     /// A pause between the two clocks of a reading makes the lead seem larger, never
     /// smaller, so the least of a few readings counts.
-    pub fn note(&mut self, mut lead: impl FnMut() -> Duration, readings: usize) -> Duration {
-        let Some(first) = self.first else {
-            self.first = (0..readings).map(|_| lead()).min();
+    pub fn update(
+        &mut self,
+        mut read_offset: impl FnMut() -> Duration,
+        max_readings: usize,
+    ) -> Duration {
+        let Some(baseline) = self.baseline else {
+            self.baseline = (0..max_readings).map(|_| read_offset()).min();
             return self.total;
         };
-        let mut least = lead();
-        for _ in 1..readings {
-            if least <= first + self.total + NOISE {
+        let mut smallest = read_offset();
+        for _ in 1..max_readings {
+            if smallest <= baseline + self.total + TOLERANCE {
                 return self.total;
             }
-            least = least.min(lead());
+            smallest = smallest.min(read_offset());
         }
-        if least > first + self.total + NOISE {
-            self.total = least - first;
+        if smallest > baseline + self.total + TOLERANCE {
+            self.total = smallest - baseline;
         }
         self.total
     }
--- a/crates/kumquatnotch-core/src/target.rs
+++ b/crates/kumquatnotch-core/src/target.rs
@@ -38,7 +38,7 @@
     ) -> LocalFuture<'a, Result<TargetStatus>>;
 
     /// Drops what is kept open to the target.
-    fn forget(&self, name: &TargetName);
+    fn disconnect(&self, name: &TargetName);
 }
 
 /// A request to one target.
@@ -121,4 +121,4 @@
 }
 
 /// The least time left that makes a call to a target worth sending.
-pub const LEAST_CALL_TIME: Duration = Duration::from_millis(1);
+pub const MIN_CALL_TIME: Duration = Duration::from_millis(1);
--- a/crates/kumquatnotch-ctl/src/status_command.rs
+++ b/crates/kumquatnotch-ctl/src/status_command.rs
@@ -34,7 +34,7 @@
     loop {
         let report = ask(context).await?;
         let lagging: Vec<&NodeReport> =
-            report.nodes.iter().filter(|node| !node.has(version)).collect();
+            report.nodes.iter().filter(|node| !node.has_version(version)).collect();
         if lagging.is_empty() && !report.nodes.is_empty() {
             println!("version {version} is in force on all {} nodes", report.nodes.len());
             return Ok(0);
--- a/crates/kumquatnotch-daemon/src/lib.rs
+++ b/crates/kumquatnotch-daemon/src/lib.rs
@@ -4,7 +4,7 @@
 #![forbid(unsafe_code)]
 
 pub mod logs;
-pub mod meters;
 pub mod process;
+pub mod prometheus;
 pub mod signals;
 pub mod watched_file;
--- a/crates/kumquatnotch-daemon/src/logs.rs
+++ b/crates/kumquatnotch-daemon/src/logs.rs
@@ -15,7 +15,7 @@
 const QUEUE_LINES: usize = 4_096;
 
 /// How often it is looked for dropped lines.
-const DROPS_PERIOD: Duration = Duration::from_secs(5);
+const DROP_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Starts to write logs; the guard writes what is left when it is dropped.
 pub fn install_json(filter: &str) -> Result<WorkerGuard> {
@@ -23,7 +23,7 @@
         .map_err(|error| Error::BadSettings { detail: format!("log.filter: {error}") })?;
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE_LINES);
     let (writer, guard) = builder.finish(std::io::stdout());
-    let drops = writer.error_counter();
+    let drop_counter = writer.error_counter();
     tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(writer)
@@ -34,20 +34,20 @@
         .with_span_list(false)
         .try_init()
         .map_err(Error::internal)?;
-    monoio::spawn(tell_drops(drops));
+    monoio::spawn(report_dropped_lines(drop_counter));
     Ok(guard)
 }
 
 /// Tells how many lines were dropped, whenever some were.
-async fn tell_drops(drops: ErrorCounter) {
-    let mut told = 0;
+async fn report_dropped_lines(drop_counter: ErrorCounter) {
+    let mut reported = 0;
     loop {
-        monoio::time::sleep(DROPS_PERIOD).await;
-        let dropped = drops.dropped_lines();
-        if dropped > told {
+        monoio::time::sleep(DROP_CHECK_INTERVAL).await;
+        let dropped = drop_counter.dropped_lines();
+        if dropped > reported {
             metrics::counter!("kumquatnotch_log_lines_dropped_total").absolute(dropped as u64);
-            tracing::warn!(dropped, since = dropped - told, "log: lines were dropped");
-            told = dropped;
+            tracing::warn!(dropped, since = dropped - reported, "log: lines were dropped");
+            reported = dropped;
         }
     }
 }
--- a/crates/kumquatnotch-daemon/src/process.rs
+++ b/crates/kumquatnotch-daemon/src/process.rs
@@ -9,7 +9,7 @@
 pub const FAILED: u8 = 1;
 
 /// The exit code if requests were still in flight when the time to leave was over.
-pub const CUT: u8 = 3;
+pub const DRAIN_TIMED_OUT: u8 = 3;
 
 /// Runs `main` to its end on a runtime with timers.
 ///
--- a/crates/kumquatnotch-daemon/src/meters.rs
+++ b/crates/kumquatnotch-daemon/src/prometheus.rs
@@ -13,14 +13,14 @@
 const COVERAGE_BUCKETS: [f64; 8] = [0.0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 1.0];
 
 /// How often the samples of histograms are put into their buckets.
-const UPKEEP: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Starts to collect metrics; the result renders them.
 pub fn install() -> Result<Box<dyn Fn() -> String>> {
     let recorder = builder().map_err(Error::internal)?.build_recorder();
     let handle = recorder.handle();
     metrics::set_global_recorder(recorder).map_err(Error::internal)?;
-    monoio::spawn(keep_up(handle.clone()));
+    monoio::spawn(upkeep_task(handle.clone()));
     Ok(Box::new(move || handle.render()))
 }
 
@@ -31,9 +31,9 @@
 }
 
 /// Without it, samples would pile up in memory between two scrapes.
-async fn keep_up(handle: PrometheusHandle) {
+async fn upkeep_task(handle: PrometheusHandle) {
     loop {
-        monoio::time::sleep(UPKEEP).await;
+        monoio::time::sleep(UPKEEP_INTERVAL).await;
         handle.run_upkeep();
     }
 }
--- a/crates/kumquatnotch-daemon/src/signals.rs
+++ b/crates/kumquatnotch-daemon/src/signals.rs
@@ -16,12 +16,12 @@
 
 impl Signals {
     /// Takes over the handling of SIGTERM and SIGINT, which tell to stop.
-    pub fn stops() -> Result<Signals> {
+    pub fn termination() -> Result<Signals> {
         Signals::open(&[SIGINT, SIGTERM])
     }
 
     /// Takes over the handling of SIGHUP, which tells that settings have changed.
-    pub fn reloads() -> Result<Signals> {
+    pub fn hangup() -> Result<Signals> {
         Signals::open(&[SIGHUP])
     }
 
--- a/crates/kumquatnotch-daemon/src/watched_file.rs
+++ b/crates/kumquatnotch-daemon/src/watched_file.rs
@@ -6,7 +6,7 @@
 ///
 /// Settings are some kilobytes; reading them takes a few microseconds of
 /// processor time, and an operator waits for a change to be taken over.
-const PERIOD: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A file that is looked at for changes.
 pub struct WatchedFile {
@@ -35,7 +35,7 @@
     pub async fn changed(&mut self) {
         let mut last = self.known.clone();
         loop {
-            monoio::time::sleep(PERIOD).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
             let now = read(&self.path);
             if now == last && now != self.known {
                 self.known = now;
--- a/crates/kumquatnotch-holder/src/core.rs
+++ b/crates/kumquatnotch-holder/src/core.rs
@@ -88,7 +88,7 @@
         let gone = self.table.borrow_mut().follow(&document, &self.options, self.new_limit);
         for name in &gone {
             tracing::info!(target = %name, "holder: target is gone from the document");
-            self.targets.forget(name);
+            self.targets.disconnect(name);
         }
         Ok(())
     }
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -11,7 +11,7 @@
     Error, Result,
     document::{Class, TargetSpec},
     ids::{Fingerprint, IndexVersion, ShardName, TargetName, TenantName},
-    target::LEAST_CALL_TIME,
+    target::MIN_CALL_TIME,
 };
 use kumquatnotch_policy::{containment::Running, queue::Waiter};
 
@@ -144,7 +144,7 @@
         alone: bool,
     ) -> Result<Entered> {
         let now = self.now();
-        if work.deadline <= now + LEAST_CALL_TIME {
+        if work.deadline <= now + MIN_CALL_TIME {
             return Err(Error::ExpiredInQueue);
         }
         let id = self.next_serial();
@@ -345,7 +345,7 @@
 /// nobody wants any more, and a hold would then run for a caller who was told
 /// that it expired.
 pub fn expire(shard: &mut Shard, now: Instant) {
-    for gone in shard.queue.expire(now + LEAST_CALL_TIME) {
+    for gone in shard.queue.expire(now + MIN_CALL_TIME) {
         if let Some(gone) = shard.pending.remove(&gone.id) {
             let _ = gone.sender.send(Err(Error::ExpiredInQueue));
         }
--- a/crates/kumquatnotch-holder/tests/common/mod.rs
+++ b/crates/kumquatnotch-holder/tests/common/mod.rs
@@ -204,7 +204,7 @@
         Box::pin(async move { timeout_at(&self.clock, deadline, status).await? })
     }
 
-    fn forget(&self, _name: &TargetName) {}
+    fn disconnect(&self, _name: &TargetName) {}
 }
 
 impl World {
--- a/crates/kumquatnotch-member/src/config_service.rs
+++ b/crates/kumquatnotch-member/src/config_service.rs
@@ -18,7 +18,7 @@
     document::{Document, Documents},
     ids::{ConfigVersion, Digest},
     lifecycle::{Lifecycle, Stage},
-    peer::{CONFIG_SERVICE, HeadNews, PeerHandler, PeerMessage, PeerReply, StoredValue},
+    peer::{CONFIG_SERVICE, HeadInfo, PeerHandler, PeerMessage, PeerReply, StoredValue},
     random::Random,
     registry::Registry,
     services,
@@ -203,7 +203,7 @@
 }
 
 impl HeadListener for ConfigService {
-    fn heard(&self, head: HeadNews, teller: SocketAddr, confirmed: Instant) {
+    fn heard(&self, head: HeadInfo, teller: SocketAddr, confirmed: Instant) {
         self.wanted.borrow_mut().add(head, teller, confirmed);
         if self.born.get() {
             self.start_fetching();
--- a/crates/kumquatnotch-member/src/deltas.rs
+++ b/crates/kumquatnotch-member/src/deltas.rs
@@ -9,7 +9,7 @@
 use kumquatnotch_core::{
     collections::HashMap,
     ids::NodeName,
-    marks::{MarkKind, MarkNews},
+    marks::{MarkKind, MarkUpdate},
     member::NodeRecord,
 };
 
@@ -50,7 +50,7 @@
     }
 
     /// Adds a changed mark.
-    pub(crate) fn add_mark(&mut self, news: &MarkNews) {
+    pub(crate) fn add_mark(&mut self, news: &MarkUpdate) {
         self.add(Subject::Mark(news.mark.kind.clone()), size(news));
     }
 
--- a/crates/kumquatnotch-member/src/fetch.rs
+++ b/crates/kumquatnotch-member/src/fetch.rs
@@ -18,7 +18,7 @@
 use kumquatnotch_core::{
     Error, Result, clock, codec,
     ids::{ConfigVersion, Digest},
-    peer::{HeadNews, PeerMessage, PeerReply, StoredValue},
+    peer::{HeadInfo, PeerMessage, PeerReply, StoredValue},
     stored::{self, Manifest},
 };
 use tracing::warn;
@@ -58,7 +58,7 @@
 
 impl Wanted {
     /// Adds what a peer told.
-    pub(crate) fn add(&mut self, head: HeadNews, teller: SocketAddr, confirmed: Instant) {
+    pub(crate) fn add(&mut self, head: HeadInfo, teller: SocketAddr, confirmed: Instant) {
         self.raise(head, confirmed);
         let wanted = self.version();
         if head.version == wanted && !self.tellers.contains(&teller) {
@@ -68,7 +68,7 @@
     }
 
     /// Adds what the platform told.
-    pub(crate) fn add_reading(&mut self, head: HeadNews, asked: Instant) {
+    pub(crate) fn add_reading(&mut self, head: HeadInfo, asked: Instant) {
         self.raise(head, asked);
         self.read |= head.version == self.version();
     }
@@ -77,7 +77,7 @@
         self.head.map(|head| head.version).unwrap_or_default()
     }
 
-    fn raise(&mut self, head: HeadNews, confirmed: Instant) {
+    fn raise(&mut self, head: HeadInfo, confirmed: Instant) {
         if head.version < self.version() {
             return;
         }
--- a/crates/kumquatnotch-member/src/head_board.rs
+++ b/crates/kumquatnotch-member/src/head_board.rs
@@ -15,7 +15,7 @@
     Clock,
     ids::{ConfigVersion, Digest},
     member::Confirmation,
-    peer::HeadNews,
+    peer::HeadInfo,
 };
 
 /// The oldest confirmation that is told apart.
@@ -24,7 +24,7 @@
 /// Told of versions that are above the one in force.
 pub(crate) trait HeadListener {
     /// A peer at `teller` has `head` in force, which was the newest at `confirmed`.
-    fn heard(&self, head: HeadNews, teller: SocketAddr, confirmed: Instant);
+    fn heard(&self, head: HeadInfo, teller: SocketAddr, confirmed: Instant);
 
     /// Whether a version is known that is not in force here.
     fn is_wanting(&self) -> bool;
@@ -93,7 +93,7 @@
     /// is then in it. Counted from the arrival, each hop would make the
     /// confirmation younger by its delay, and as it goes round and round, by far
     /// more: in an outage of 120 s the age came out 5.5 s too low.
-    pub(crate) fn heard(&self, head: HeadNews, teller: Option<SocketAddr>, asked: Option<Instant>) {
+    pub(crate) fn heard(&self, head: HeadInfo, teller: Option<SocketAddr>, asked: Option<Instant>) {
         let version = self.state.get().map(|state| state.version).unwrap_or_default();
         let confirmed = asked.map(|asked| moment(asked, head.age_ms));
         if head.version > version {
@@ -116,15 +116,15 @@
     }
 
     /// The version in force as it is told to peers.
-    pub(crate) fn news(&self) -> HeadNews {
+    pub(crate) fn news(&self) -> HeadInfo {
         match self.state.get() {
-            Some(state) => HeadNews {
+            Some(state) => HeadInfo {
                 version: state.version,
                 manifest: state.manifest,
                 age_ms: self.age_ms(state),
             },
             None => {
-                HeadNews { version: ConfigVersion(0), manifest: Digest([0; 16]), age_ms: u64::MAX }
+                HeadInfo { version: ConfigVersion(0), manifest: Digest([0; 16]), age_ms: u64::MAX }
             }
         }
     }
--- a/crates/kumquatnotch-member/src/mark_store.rs
+++ b/crates/kumquatnotch-member/src/mark_store.rs
@@ -14,7 +14,7 @@
 
 use kumquatnotch_core::{
     collections::HashMap,
-    marks::{Mark, MarkKind, MarkNews},
+    marks::{Mark, MarkKind, MarkUpdate},
 };
 
 const STAMP_MEMORY: Duration = Duration::from_secs(600);
@@ -46,18 +46,18 @@
     ///
     /// Several nodes notice the same fact, and renew it often; as long as at least
     /// half of the time asked for is left, nothing is told.
-    pub(crate) fn set(&mut self, mark: &Mark, stamp: u64, now: Instant) -> Option<MarkNews> {
+    pub(crate) fn set(&mut self, mark: &Mark, stamp: u64, now: Instant) -> Option<MarkUpdate> {
         let held = self.left(&mark.kind, now).unwrap_or_default();
         let asked = self.capped(mark.left_ms);
         if held >= asked.mul_f64(RENEWAL_SHARE) {
             return None;
         }
-        let news = MarkNews { mark: mark.clone(), stamp };
+        let news = MarkUpdate { mark: mark.clone(), stamp };
         self.adopt(&news, now).then_some(news)
     }
 
     /// Adopts a mark of a peer; whether it is new and travels on.
-    pub(crate) fn adopt(&mut self, news: &MarkNews, now: Instant) -> bool {
+    pub(crate) fn adopt(&mut self, news: &MarkUpdate, now: Instant) -> bool {
         if news.mark.left_ms == 0 || self.seen.contains_key(&news.stamp) {
             return false;
         }
@@ -84,14 +84,14 @@
     }
 
     /// A mark as it is sent now.
-    pub(crate) fn news(&self, kind: &MarkKind, now: Instant) -> Option<MarkNews> {
+    pub(crate) fn news(&self, kind: &MarkKind, now: Instant) -> Option<MarkUpdate> {
         let stamp = self.marks.get(kind)?.stamp;
         let left_ms = self.left(kind, now)?.as_millis() as u64;
-        Some(MarkNews { mark: Mark { kind: kind.clone(), left_ms }, stamp })
+        Some(MarkUpdate { mark: Mark { kind: kind.clone(), left_ms }, stamp })
     }
 
     /// Every mark as it is sent now.
-    pub(crate) fn all(&self, now: Instant) -> Vec<MarkNews> {
+    pub(crate) fn all(&self, now: Instant) -> Vec<MarkUpdate> {
         self.marks.keys().filter_map(|kind| self.news(kind, now)).collect()
     }
 
--- a/crates/kumquatnotch-member/src/readers.rs
+++ b/crates/kumquatnotch-member/src/readers.rs
@@ -21,7 +21,7 @@
     Error, Result, clock, codec,
     ids::rendezvous,
     member::{Members, NodeState},
-    peer::HeadNews,
+    peer::HeadInfo,
     random::Random,
     stored::{HEAD_KEY, Head},
 };
@@ -67,7 +67,7 @@
     }
 
     /// Reads the head; what it says is confirmed or wanted from now on.
-    pub(crate) async fn read_head(&self) -> Result<Option<HeadNews>> {
+    pub(crate) async fn read_head(&self) -> Result<Option<HeadInfo>> {
         // The reading took place after this moment, whenever the reply comes.
         let asked = self.clock.now();
         let result = self.store.read(HEAD_KEY).await;
@@ -80,7 +80,7 @@
         };
         let head: Head = codec::decode(&entry.value)?;
         let age_ms = now.saturating_duration_since(asked).as_millis() as u64;
-        let news = HeadNews { version: head.version, manifest: head.manifest, age_ms };
+        let news = HeadInfo { version: head.version, manifest: head.manifest, age_ms };
         self.take_reading(news, asked)?;
         Ok(Some(news))
     }
@@ -129,7 +129,7 @@
         is_silent && self.random.chance(1.0 / self.node_count() as f64)
     }
 
-    fn take_reading(&self, news: HeadNews, asked: Instant) -> Result<()> {
+    fn take_reading(&self, news: HeadInfo, asked: Instant) -> Result<()> {
         let version = self.version();
         if news.version < version {
             // The service was set back, as from an old backup. What was in force
--- a/crates/kumquatnotch-member/src/recheck.rs
+++ b/crates/kumquatnotch-member/src/recheck.rs
@@ -27,7 +27,7 @@
 use kumquatnotch_core::{
     clock,
     ids::{ConfigVersion, NodeName},
-    peer::{HeadNews, PeerMessage, PeerReply},
+    peer::{HeadInfo, PeerMessage, PeerReply},
 };
 use tracing::info;
 
@@ -172,7 +172,7 @@
         &self,
         address: SocketAddr,
         name: Option<&NodeName>,
-    ) -> Option<HeadNews> {
+    ) -> Option<HeadInfo> {
         let message = PeerMessage::Ping(self.gossip(name.map(|name| name.as_str()), false));
         let deadline = self.clock.now() + self.options.probe_timeout;
         match self.send(address, &message, deadline).await {
--- a/crates/kumquatnotch-member/src/spread.rs
+++ b/crates/kumquatnotch-member/src/spread.rs
@@ -11,7 +11,7 @@
 use kumquatnotch_core::{
     Result, clock,
     ids::NodeName,
-    marks::MarkNews,
+    marks::MarkUpdate,
     member::{NodeRecord, NodeState},
     peer::{Gossip, PeerMessage, PeerReply},
 };
@@ -225,7 +225,7 @@
         (self.options.spread_factor * self.scale() * std::f64::consts::LN_10).ceil() as u32
     }
 
-    fn absorb_marks(&self, marks: &[MarkNews], now: Instant) {
+    fn absorb_marks(&self, marks: &[MarkUpdate], now: Instant) {
         for news in marks {
             if self.marks.borrow_mut().adopt(news, now) {
                 self.deltas.borrow_mut().add_mark(news);
--- a/crates/kumquatnotch-net/src/flight.rs
+++ b/crates/kumquatnotch-net/src/flight.rs
@@ -7,7 +7,7 @@
 
 use futures_channel::oneshot;
 use futures_util::future::{Either, select};
-use kumquatnotch_core::{Clock, Error, Result, target::LEAST_CALL_TIME};
+use kumquatnotch_core::{Clock, Error, Result, target::MIN_CALL_TIME};
 
 use crate::{
     link::{Cancel, Job, JobFault},
@@ -88,7 +88,7 @@
             let lease = self.acquire(lane, deadline).await?;
             let start = self.clock.now();
             let left = deadline.saturating_duration_since(start);
-            if left < LEAST_CALL_TIME {
+            if left < MIN_CALL_TIME {
                 return Err(Error::ExpiredInQueue);
             }
             let mut request = plan.request.clone();
--- a/crates/kumquatnotch-net/src/target_links.rs
+++ b/crates/kumquatnotch-net/src/target_links.rs
@@ -334,7 +334,7 @@
         })
     }
 
-    fn forget(&self, name: &TargetName) {
+    fn disconnect(&self, name: &TargetName) {
         if let Some(link) = self.targets.borrow_mut().remove(name) {
             link.pool.close();
         }
--- a/crates/kumquatnotch-policy/src/retry.rs
+++ b/crates/kumquatnotch-policy/src/retry.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use kumquatnotch_core::{Error, target::LEAST_CALL_TIME};
+use kumquatnotch_core::{Error, target::MIN_CALL_TIME};
 
 /// A failed attempt.
 #[derive(Clone, Copy, Debug)]
@@ -110,7 +110,7 @@
         }
         let left = attempt.deadline.saturating_duration_since(now);
         let wait = wait_before(attempt);
-        if left < wait + LEAST_CALL_TIME {
+        if left < wait + MIN_CALL_TIME {
             return None;
         }
         // These tell that the replica can't be used, which is remembered, so
--- a/crates/kumquatnotch-query/src/runner.rs
+++ b/crates/kumquatnotch-query/src/runner.rs
@@ -13,7 +13,7 @@
     member::NodeRecord,
     peer::{PeerMessage, PeerReply, RelayCall},
     random::Random,
-    target::{LEAST_CALL_TIME, TargetCall, TargetReply},
+    target::{MIN_CALL_TIME, TargetCall, TargetReply},
     ticket::{ExclusiveRequest, Outcome},
 };
 
@@ -60,7 +60,7 @@
         let group = self.router.group(document, &shard);
         let mut last = Error::ExpiredInQueue;
         for attempt in 0..self.tries {
-            if self.clock.now() + LEAST_CALL_TIME > deadline {
+            if self.clock.now() + MIN_CALL_TIME > deadline {
                 // It waited here and never left.
                 return Outcome::Failed(Error::ExpiredInQueue);
             }
@@ -86,7 +86,7 @@
     /// Waits until the request may be sent on again; false if there is no time for it.
     async fn pause(&self, error: &Error, deadline: Instant) -> bool {
         let pause = error.retry_after().unwrap_or(REFUSED_PAUSE);
-        if self.clock.now() + pause + LEAST_CALL_TIME > deadline {
+        if self.clock.now() + pause + MIN_CALL_TIME > deadline {
             return false;
         }
         sleep(&*self.clock, pause).await;
--- a/crates/kumquatnotchd/src/main.rs
+++ b/crates/kumquatnotchd/src/main.rs
@@ -16,7 +16,7 @@
     config::settings::Settings,
     core::{Result, clock::RuntimeClock},
 };
-use kumquatnotch_daemon::{meters, process, signals::Signals};
+use kumquatnotch_daemon::{process, prometheus, signals::Signals};
 use kumquatnotch_platform::store_client::{StoreClient, StoreOptions};
 
 use crate::options::Options;
@@ -42,8 +42,8 @@
 }
 
 async fn run(settings: Settings) -> Result<ExitCode> {
-    let mut signals = Signals::stops()?;
-    let metrics = meters::install()?;
+    let mut signals = Signals::termination()?;
+    let metrics = prometheus::install()?;
     let platform = &settings.platform;
     let options = StoreOptions { address: platform.address, timeout: platform.timeout };
     let store = Rc::new(StoreClient::new(options, Rc::new(RuntimeClock)));
@@ -60,7 +60,7 @@
             tracing::info!("node: left");
             Ok(ExitCode::SUCCESS)
         }
-        Either::Left((Shutdown::Cut, _)) => Ok(ExitCode::from(process::CUT)),
+        Either::Left((Shutdown::Cut, _)) => Ok(ExitCode::from(process::DRAIN_TIMED_OUT)),
         Either::Left((Shutdown::Outlived, _)) => Ok(ExitCode::from(OUTLIVED)),
         Either::Right(_) => {
             tracing::warn!("node: told twice to stop, ending at once");
--- a/crates/measure/src/fakes.rs
+++ b/crates/measure/src/fakes.rs
@@ -240,7 +240,7 @@
         })
     }
 
-    fn forget(&self, name: &TargetName) {
+    fn disconnect(&self, name: &TargetName) {
         if let Ok(fake) = self.find(name) {
             fake.idle.set(0);
         }
