--- a/crates/kumquatnotch-core/tests/core.rs
+++ b/crates/kumquatnotch-core/tests/core.rs
@@ -51,17 +51,17 @@
     open_list = { "site in (a, b" },
     no_value = { "role =" },
     no_term = { "role = desk," },
-    odd_word = { "role = de$k" },
-    unknown_word = { "site within (a)" },
+    invalid_character = { "role = de$k" },
+    unknown_operator = { "site within (a)" },
 )]
-fn expression_is_refused(source: &str) {
+fn expression_is_rejected(source: &str) {
     let result = Expression::parse(source);
 
     assert_eq!(result.unwrap_err().code(), 1010);
 }
 
 #[test]
-fn a_candidate_that_goes_changes_only_its_own_keys() {
+fn removing_a_candidate_moves_only_its_own_keys() {
     let all = ["a", "b", "c", "d"];
     let rest = ["a", "b", "d"];
 
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_ticket_survives_its_text_form() {
+fn ticket_round_trips_through_text() {
     let ticket = Ticket {
         issuer: NodeName::from("n1"),
         incarnation: kumquatnotch_core::ids::Incarnation(u64::MAX),
@@ -94,14 +94,14 @@
     no_issuer = { ":1:2:3:4" },
     not_hex = { "n1:1:2:x:4" },
 )]
-fn a_broken_ticket_is_refused(text: &str) {
+fn malformed_ticket_is_rejected(text: &str) {
     let result: Result<Ticket> = text.parse();
 
     assert_eq!(result.unwrap_err(), Error::BadTicket);
 }
 
 #[test]
-fn errors_survive_the_codec() {
+fn errors_round_trip_through_codec() {
     let reply = PeerReply::Failed(Error::overloaded(Duration::from_millis(250)));
 
     let read: PeerReply = codec::decode(&codec::encode(&reply).unwrap()).unwrap();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_paused_clock_wakes_sleepers_in_time() {
+fn paused_clock_wakes_sleepers_when_due() {
     let clock = PausedClock::default();
     let mut sleeper = sleep(&clock, Duration::from_secs(5));
     assert!((&mut sleeper).now_or_never().is_none());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_timeout_ends_work_that_hangs() {
+fn timeout_ends_pending_work() {
     let clock = PausedClock::default();
     let deadline = clock.now() + Duration::from_secs(1);
 
@@ -136,7 +136,7 @@
 /// polled again before every other task, and moved the time on without them.
 /// The test saw its own waits pass and nothing of the service happen.
 #[test]
-fn a_driven_clock_lets_spawned_tasks_run() {
+fn drive_runs_spawned_tasks() {
     let clock = PausedClock::default();
     let ticks = std::rc::Rc::new(std::cell::Cell::new(0));
     let (counter, ticker) = (ticks.clone(), clock.clone());
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn services_find_each_other_by_name_and_type() {
+fn registry_finds_services_by_name_and_type() {
     let registry = Registry::default();
     registry.register("answer", 42u32);
 
@@ -170,20 +170,20 @@
     confirmed = { Some(40), "40", "n1 (Up): version 3, confirmed 40 ms ago" },
     never = { None, "null", "n1 (Up): version 3, not confirmed yet" },
 )]
-fn the_age_of_a_confirmation_is_told(age_ms: Option<u64>, json: &str, text: &str) {
-    let told = Confirmation { version: ConfigVersion(3), age_ms };
+fn confirmation_age_is_reported(age_ms: Option<u64>, json: &str, text: &str) {
+    let sent = Confirmation { version: ConfigVersion(3), age_ms };
 
-    let bytes = codec::encode(&PeerReply::ConfigState(told)).unwrap();
-    let heard: PeerReply = codec::decode(&bytes).unwrap();
+    let bytes = codec::encode(&PeerReply::ConfigState(sent)).unwrap();
+    let received: PeerReply = codec::decode(&bytes).unwrap();
     let report = NodeReport {
         name: "n1".into(),
         state: NodeState::Up,
-        confirmation: Some(told),
+        confirmation: Some(sent),
         error: None,
     };
 
-    assert_eq!(heard, PeerReply::ConfigState(told));
+    assert_eq!(received, PeerReply::ConfigState(sent));
     let expected = format!("{{\"version\":3,\"age_ms\":{json}}}");
-    assert_eq!(serde_json::to_string(&told).unwrap(), expected);
+    assert_eq!(serde_json::to_string(&sent).unwrap(), expected);
     assert_eq!(report.to_string(), text);
 }
--- a/crates/kumquatnotch-core/tests/errors.rs
+++ b/crates/kumquatnotch-core/tests/errors.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn every_code_stands_in_the_table_once() {
+fn every_code_is_listed_once() {
     let listed: Vec<u16> = rows().iter().map(|row| row[1].parse().unwrap()).collect();
 
     let unique: BTreeSet<u16> = listed.iter().copied().collect();
@@ -51,7 +51,7 @@
     internal = { Error::internal("x") },
     gone = { Error::VersionGone { version: 4 } },
 )]
-fn a_row_tells_what_the_code_does(error: Error) {
+fn table_row_matches_code(error: Error) {
     let rows = rows();
     let code = error.code().to_string();
 
--- a/crates/kumquatnotch-core/tests/properties.rs
+++ b/crates/kumquatnotch-core/tests/properties.rs
@@ -30,14 +30,14 @@
 
 proptest! {
     #[test]
-    fn reading_an_expression_never_fails_hard(text in ".{0,60}") {
+    fn parsing_an_expression_never_panics(text in ".{0,60}") {
         if let Ok(expression) = Expression::parse(&text) {
             prop_assert_eq!(expression.as_str(), text);
         }
     }
 
     #[test]
-    fn an_expression_survives_the_codec(
+    fn expression_round_trips_through_codec(
         key in "[a-z]{1,8}",
         values in prop::collection::vec("[a-z0-9.-]{1,8}", 1..4),
     ) {
@@ -50,14 +50,14 @@
     }
 
     #[test]
-    fn reading_a_ticket_never_fails_hard(text in "[a-z0-9:]{0,40}") {
+    fn parsing_a_ticket_never_panics(text in "[a-z0-9:]{0,40}") {
         if let Ok(ticket) = text.parse::<Ticket>() {
             prop_assert_eq!(ticket.to_string().parse::<Ticket>(), Ok(ticket));
         }
     }
 
     #[test]
-    fn a_ticket_survives_its_text(
+    fn ticket_round_trips_through_text(
         issuer in "[a-z][a-z0-9.-]{0,12}",
         life in any::<u64>(),
         serial in any::<u64>(),
@@ -74,14 +74,14 @@
     /// A peer, or whatever took its port, sends any bytes: they are refused, and
     /// the node lives on.
     #[test]
-    fn broken_messages_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn malformed_messages_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = codec::decode::<PeerMessage>(&bytes);
         let _ = codec::decode::<PeerReply>(&bytes);
         let _ = codec::decode::<Manifest>(&bytes);
     }
 
     #[test]
-    fn a_document_survives_its_stored_form(
+    fn document_round_trips_through_stored_form(
         names in prop::collection::btree_map("[a-z0-9]{1,10}", 1u16.., 0..120),
         version in 1u64..1_000,
     ) {
