--- a/crates/kumquatnotch-core/src/errors.rs
+++ b/crates/kumquatnotch-core/src/errors.rs
@@ -1,10 +1,10 @@
 //! Errors with numbered result codes.
 //!
-//! Every refusal and failure that a caller, operator or peer can see is a
-//! variant of [`Error`] with a number that never changes its meaning; the table
-//! is docs/ERRORS.md. The thousands tell the kind: 1 the request is at fault,
-//! 2 a refusal before anything ran, 3 the outcome, 4 targets and peers, 5 the
-//! platform, 6 configuration, 9 the tier itself.
+//! Every refusal and failure that is visible to a caller, operator or peer is a
+//! variant of [`Error`] with a stable code, listed in docs/ERRORS.md. The
+//! thousands digit gives the category: 1 invalid request, 2 refused before
+//! anything ran, 3 outcome of the request, 4 targets and peers, 5 platform,
+//! 6 configuration, 9 internal.
 
 use std::time::Duration;
 
@@ -14,169 +14,169 @@
 /// The result of an operation that fails with a numbered [`Error`].
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A failure with a numbered code.
+/// A failure with a stable numeric code.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Error {
-    /// the request can't be read: {detail}
+    /// malformed request: {detail}
     BadRequest {
-        /// What is wrong with it.
+        /// Description of the fault.
         detail: String,
     },
-    /// the body has more than {limit} bytes
+    /// body exceeds {limit} bytes
     BodyTooLarge {
-        /// The largest body taken, in bytes.
+        /// Maximum body size, in bytes.
         limit: u64,
     },
-    /// there is no selector named {name}
+    /// unknown selector {name}
     UnknownSelector {
-        /// The name asked for.
+        /// The requested name.
         name: String,
     },
-    /// the key is missing or not known
+    /// missing or unknown key
     Unauthorised,
     /// this tenant may not use selector {name}
     Forbidden {
-        /// The selector asked for.
+        /// The requested selector.
         name: String,
     },
-    /// nothing is served at {path}
+    /// no resource at {path}
     NotFound {
-        /// The path asked for.
+        /// The requested path.
         path: String,
     },
-    /// the method isn't served here
+    /// method not allowed
     MethodNotAllowed,
-    /// the ticket can't be read or wasn't issued to this tenant
+    /// invalid ticket: malformed or not issued to this tenant
     BadTicket,
-    /// the ticket has expired; nothing runs under it any more
+    /// ticket expired; it can no longer run a request
     TicketExpired,
-    /// expression `{term}`: {detail}
+    /// invalid expression `{term}`: {detail}
     BadExpression {
-        /// The term at fault.
+        /// The invalid term.
         term: String,
-        /// What is wrong with it.
+        /// Description of the fault.
         detail: String,
     },
-    /// overloaded, not run; come back in {retry_ms} ms
+    /// overloaded, not run; retry in {retry_ms} ms
     Overloaded {
-        /// When to come back, in milliseconds.
+        /// Time until a retry is useful, in milliseconds.
         retry_ms: u64,
     },
     /// this request has crashed targets and is refused for {retry_ms} ms; not run
     Contained {
-        /// When the refusal expires, in milliseconds.
+        /// Time until the refusal expires, in milliseconds.
         retry_ms: u64,
     },
-    /// this node is leaving, not run; use another address
+    /// this node is shutting down, not run; use another address
     Leaving,
     /// this node has no confirmed configuration yet, not run
     NotReady,
-    /// the deadline passed while the request waited, not run
+    /// deadline exceeded in the queue, not run
     ExpiredInQueue,
     /// no target can take the request now, not run
     NoTarget,
-    /// the target refused the request without running it; come back in {retry_ms} ms
+    /// the target refused the request without running it; retry in {retry_ms} ms
     Shed {
-        /// When to come back, in milliseconds.
+        /// Time until a retry is useful, in milliseconds.
         retry_ms: u64,
     },
     /// the target is draining, not run
     Draining,
-    /// the caller has gone away, not run
+    /// request cancelled by the caller, not run
     Cancelled,
-    /// the outcome is unknown: the request may have run once and is never run again
+    /// outcome unknown: the request may have run once and will not be run again
     OutcomeUnknown,
-    /// the request still runs; ask again with the same ticket
+    /// the request is still running; ask again with the same ticket
     StillRunning,
-    /// the node that holds the outcome can't be reached now; ask again with the same ticket
+    /// the node that holds the outcome is unreachable; ask again with the same ticket
     IssuerUnreachable,
     /// no shard answered
     NothingCovered,
-    /// no version of the index covers the selector
+    /// no index version covers the selector
     NoSnapshot,
-    /// given up for want of capacity after a part of it ran; come back in {retry_ms} ms
+    /// abandoned for lack of capacity after running in part; retry in {retry_ms} ms
     GivenUp {
-        /// When to come back, in milliseconds.
+        /// Time until a retry is useful, in milliseconds.
         retry_ms: u64,
     },
-    /// the connection could not be opened; nothing was sent
+    /// failed to open a connection; nothing was sent
     ConnectFailed,
-    /// no process listens at the address; nothing was sent
+    /// connection refused: no process listens at the address; nothing was sent
     ConnectRefused,
-    /// the connection broke after the request was sent
+    /// connection lost after the request was sent
     ConnectionLost,
-    /// the connection went silent
+    /// connection stopped responding
     ConnectionSilent,
-    /// the other side broke the protocol: {detail}
+    /// protocol error: {detail}
     Protocol {
-        /// What it did.
+        /// Description of the violation.
         detail: String,
     },
-    /// the time ran out
+    /// deadline exceeded
     TimedOut,
-    /// index version {version} isn't held here
+    /// index version {version} is not available
     VersionGone {
-        /// The version asked for.
+        /// The requested version.
         version: u64,
     },
     /// the target failed: {detail}
     TargetFailed {
-        /// What it reported.
+        /// The failure that the target reported.
         detail: String,
     },
-    /// the platform's service can't be reached
+    /// the platform's store is unavailable
     PlatformUnavailable,
-    /// the key has changed since it was read
+    /// compare failed: the key has changed since it was read
     CompareFailed,
-    /// the write may have taken effect; its reply was lost
+    /// write outcome unknown: the reply was lost and the write may have taken effect
     WriteUnknown,
-    /// the value has more than {limit} bytes
+    /// value exceeds {limit} bytes
     ValueTooLarge {
-        /// The largest value taken, in bytes.
+        /// Maximum value size, in bytes.
         limit: u64,
     },
-    /// the platform's service refuses more calls now
+    /// the platform's store is busy and refused the call
     PlatformBusy,
-    /// the lease has ended
+    /// lease has expired
     LeaseGone,
-    /// settings: {detail}
+    /// invalid settings: {detail}
     BadSettings {
-        /// Each fault with its path and line.
+        /// The faults, each with its path and line.
         detail: String,
     },
-    /// document: {detail}
+    /// invalid document: {detail}
     BadDocument {
-        /// Each fault with its path and line.
+        /// The faults, each with its path and line.
         detail: String,
     },
-    /// another operator made version {version} in between: {detail}
+    /// conflict: another operator has published version {version}: {detail}
     Conflict {
-        /// The version now in the platform's service.
+        /// The version now in the platform's store.
         version: u64,
-        /// What it changed.
+        /// The changes that it made.
         detail: String,
     },
     /// version {version} is older than the one in force
     StaleVersion {
-        /// The version offered.
+        /// The rejected version.
         version: u64,
     },
-    /// a stored value doesn't have its digest
+    /// stored value does not match its digest
     DigestMismatch,
-    /// version {version} isn't kept any more
+    /// version {version} is no longer kept
     VersionUnknown {
-        /// The version asked for.
+        /// The requested version.
         version: u64,
     },
-    /// service {name} isn't registered
+    /// service {name} is not registered
     ServiceMissing {
         /// The name looked up.
         name: String,
     },
-    /// internal fault: {detail}
+    /// internal error: {detail}
     Internal {
-        /// What went wrong.
+        /// Description of the fault.
         detail: String,
     },
 }
@@ -184,7 +184,7 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// The number in docs/ERRORS.md.
+    /// Returns the code, as listed in docs/ERRORS.md.
     pub fn code(&self) -> u16 {
         match self {
             Error::BadRequest { .. } => 1001,
@@ -237,10 +237,10 @@
         }
     }
 
-    /// Whether it is certain that no target ran the request.
+    /// Returns true if it is certain that no target ran the request.
     pub fn is_not_run(&self) -> bool {
         match self {
-            // Nothing was sent, or the side that refused says it ran nothing.
+            // Nothing was sent, or the refusing side reports that it ran nothing.
             Error::Overloaded { .. }
             | Error::Contained { .. }
             | Error::Leaving
@@ -253,12 +253,12 @@
             | Error::ConnectFailed
             | Error::ConnectRefused
             | Error::VersionGone { .. } => true,
-            // A request at fault never leaves the node.
+            // An invalid request is never forwarded.
             _ => matches!(self.code(), 1000..=1008 | 1010..=1999),
         }
     }
 
-    /// When to come back, if the refusal says so.
+    /// Returns the time until a retry is useful, if the error gives one.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Error::Overloaded { retry_ms }
@@ -269,7 +269,7 @@
         }
     }
 
-    /// The HTTP status it travels with.
+    /// Returns the HTTP status of replies with this error.
     pub fn status(&self) -> u16 {
         match self {
             Error::BodyTooLarge { .. } => 413,
@@ -293,27 +293,27 @@
         }
     }
 
-    /// A request that can't be read.
+    /// Creates an error for a malformed request.
     pub fn bad_request(detail: impl ToString) -> Error {
         Error::BadRequest { detail: detail.to_string() }
     }
 
-    /// An expression that can't be read.
+    /// Creates an error for an invalid expression.
     pub fn bad_expression(term: &str, detail: &str) -> Error {
         Error::BadExpression { term: term.to_owned(), detail: detail.to_owned() }
     }
 
-    /// A breach of protocol by the other side.
+    /// Creates an error for a protocol violation by the remote side.
     pub fn protocol(detail: impl ToString) -> Error {
         Error::Protocol { detail: detail.to_string() }
     }
 
-    /// A refusal for want of capacity, with the time to come back.
+    /// Creates a refusal for lack of capacity, with the time until a retry is useful.
     pub fn overloaded(retry: Duration) -> Error {
         Error::Overloaded { retry_ms: retry.as_millis() as u64 }
     }
 
-    /// A fault of the tier itself.
+    /// Creates an internal error.
     pub fn internal(detail: impl ToString) -> Error {
         Error::Internal { detail: detail.to_string() }
     }
