--- a/crates/kumquatnotch-daemon/src/lib.rs
+++ b/crates/kumquatnotch-daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every daemon of the project needs from its process: its start and end,
-//! metrics, signals, settings that change, and logs that never hold it up.
+//! Process-level support for the daemons of the project: start-up and exit codes,
+//! metrics, signals, watched settings files, and non-blocking logs.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatnotch-daemon/src/logs.rs
+++ b/crates/kumquatnotch-daemon/src/logs.rs
@@ -1,7 +1,7 @@
 //! Logs as JSON lines on standard output.
 //!
-//! A thread of its own writes them. Whoever logs never waits for it: what doesn't
-//! fit its queue is dropped, and counted.
+//! A dedicated thread writes the lines, so that logging never blocks. Lines that do
+//! not fit in its queue are dropped and counted.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// The most lines that wait to be written.
+/// Maximum number of lines in the queue.
 ///
-/// A line has about 300 bytes, so that these take about a megabyte.
+/// A line has about 300 bytes, so a full queue takes about a megabyte.
 const QUEUE_LINES: usize = 4_096;
 
-/// How often it is looked for dropped lines.
+/// Interval between checks for dropped lines.
 const DROP_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Starts to write logs; the guard writes what is left when it is dropped.
+/// Installs the JSON log writer; dropping the returned guard flushes the queue.
 pub fn install_json(filter: &str) -> Result<WorkerGuard> {
     let filter = EnvFilter::try_new(filter)
         .map_err(|error| Error::BadSettings { detail: format!("log.filter: {error}") })?;
@@ -38,7 +38,7 @@
     Ok(guard)
 }
 
-/// Tells how many lines were dropped, whenever some were.
+/// Periodically logs and counts the lines dropped since the last check.
 async fn report_dropped_lines(drop_counter: ErrorCounter) {
     let mut reported = 0;
     loop {
--- a/crates/kumquatnotch-daemon/src/signals.rs
+++ b/crates/kumquatnotch-daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals to the daemon.
+//! Signal handling.
 
 use std::os::unix::net::UnixStream as StdStream;
 
@@ -9,24 +9,25 @@
     low_level::pipe,
 };
 
-/// Tells of each signal of some kind.
+/// A stream of signals.
 pub struct Signals {
     stream: UnixStream,
 }
 
 impl Signals {
-    /// Takes over the handling of SIGTERM and SIGINT, which tell to stop.
+    /// Handles SIGTERM and SIGINT, which request a shutdown.
     pub fn termination() -> Result<Signals> {
         Signals::open(&[SIGINT, SIGTERM])
     }
 
-    /// Takes over the handling of SIGHUP, which tells that settings have changed.
+    /// Handles SIGHUP, which requests a reload of the settings.
     pub fn hangup() -> Result<Signals> {
         Signals::open(&[SIGHUP])
     }
 
     fn open(signals: &[i32]) -> Result<Signals> {
-        Signals::register(signals).map_err(|error| Error::internal(format!("signals: {error}")))
+        Signals::register(signals)
+            .map_err(|error| Error::internal(format!("failed to install signal handlers: {error}")))
     }
 
     fn register(signals: &[i32]) -> std::io::Result<Signals> {
@@ -41,7 +42,7 @@
 
     /// Waits for the next signal.
     pub async fn next(&mut self) {
-        // The handler writes one byte for each signal.
+        // The signal handler writes one byte per signal.
         let _ = self.stream.read(vec![0; 1]).await;
     }
 }
--- a/crates/kumquatnotch-daemon/src/watched_file.rs
+++ b/crates/kumquatnotch-daemon/src/watched_file.rs
@@ -1,37 +1,37 @@
-//! Noticing that a file has changed, by reading it now and then.
+//! Detection of changes to a file by polling.
 
 use std::{fs, path::PathBuf, time::Duration};
 
-/// How often the file is read.
+/// Interval between reads of the file.
 ///
-/// Settings are some kilobytes; reading them takes a few microseconds of
-/// processor time, and an operator waits for a change to be taken over.
+/// Settings files have a few kilobytes and take a few microseconds of processor
+/// time to read, and operators wait for their changes to take effect.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A file that is looked at for changes.
+/// A file that is polled for changes.
 pub struct WatchedFile {
     path: PathBuf,
-    /// The text last acted on; `None` if it couldn't be read.
+    /// The last reported content; `None` if the file could not be read.
     known: Option<String>,
 }
 
 impl WatchedFile {
-    /// Watches `path` for changes from its present text.
+    /// Watches `path` for changes from its current content.
     pub fn new(path: PathBuf) -> WatchedFile {
         let known = read(&path);
         WatchedFile { path, known }
     }
 
-    /// Takes the present text as known.
+    /// Marks the current content as known, so that it is not reported as a change.
     pub fn refresh(&mut self) {
         self.known = read(&self.path);
     }
 
-    /// Waits until the file has another text than the known one.
+    /// Waits until the content of the file differs from the known content.
     ///
-    /// A writer may be at work on the file, and a part of it may even be valid: nodes
-    /// would then run with half of their settings for a moment. So a text counts only
-    /// once it was read twice, a period apart.
+    /// A file that is being written may be valid although it is incomplete, and nodes would
+    /// briefly run with half of their settings. New content is therefore reported only after
+    /// two identical reads, one interval apart.
     pub async fn changed(&mut self) {
         let mut last = self.known.clone();
         loop {
@@ -46,7 +46,7 @@
     }
 }
 
-/// What can't be read is told by whoever loads the settings next.
+/// Returns the content of the file; read errors are reported when the settings are next loaded.
 fn read(path: &std::path::Path) -> Option<String> {
     fs::read_to_string(path).ok()
 }
