--- a/crates/kumquatnotch-core/tests/core.rs
+++ b/crates/kumquatnotch-core/tests/core.rs
@@ -132,9 +132,9 @@
     assert_eq!(result, Err(Error::TimedOut));
 }
 
-/// A service's task never ran under a paused clock: the driver that yielded was
-/// polled again before every other task, and moved the time on without them.
-/// The test saw its own waits pass and nothing of the service happen.
+/// Guards against spawned tasks being starved under a paused clock. A driver that yields
+/// by waking itself is polled again before all other tasks and advances the time without
+/// them, so that a test sees its own sleeps complete while its services do nothing.
 #[test]
 fn drive_runs_spawned_tasks() {
     let clock = PausedClock::default();
@@ -164,8 +164,9 @@
     assert_eq!(registry.find::<u32>("question").unwrap_err().code(), 9001);
 }
 
-/// What an operator reads of a node that has had no confirmation yet: that, and
-/// no number. Order: the node tells another by position, which tells JSON and text.
+/// Guards against a node without a confirmation being reported with an age. The value is
+/// sent between nodes with fields by position and then shown as JSON and text: operators
+/// must see `null` and "not confirmed yet" instead of a number.
 #[parameterized(
     confirmed = { Some(40), "40", "n1 (Up): version 3, confirmed 40 ms ago" },
     never = { None, "null", "n1 (Up): version 3, not confirmed yet" },
--- a/crates/kumquatnotch-core/tests/errors.rs
+++ b/crates/kumquatnotch-core/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Compares the table of result codes with the code.
+//! Compares the table of error codes in docs/ERRORS.md with the implementation.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,14 @@
 const TABLE: &str = include_str!("../../../docs/ERRORS.md");
 const SOURCE: &str = include_str!("../src/errors.rs");
 
-/// The cells of each row of the table.
+/// Returns the cells of each row of the table.
 fn rows() -> Vec<Vec<&'static str>> {
     let rows = TABLE.lines().filter(|line| line.starts_with("| ") && !line.starts_with("| ---"));
     let cells = |row: &'static str| row.split('|').map(str::trim).collect();
     rows.skip(1).map(cells).collect()
 }
 
-/// The numbers in the arms of `Error::code`.
+/// Returns the codes in the match arms of `Error::code`.
 fn codes_in_source() -> BTreeSet<u16> {
     let arms = SOURCE.lines().filter_map(|line| line.trim().strip_suffix(','));
     let numbers = arms.filter_map(|arm| arm.rsplit_once("=> ")?.1.parse().ok());
--- a/crates/kumquatnotch-core/tests/properties.rs
+++ b/crates/kumquatnotch-core/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of what is read from outside, over random input.
+//! Property tests of parsers and decoders of external input.
 
 use std::collections::BTreeMap;
 
@@ -71,8 +71,8 @@
         prop_assert_eq!(ticket.to_string().parse::<Ticket>(), Ok(ticket));
     }
 
-    /// A peer, or whatever took its port, sends any bytes: they are refused, and
-    /// the node lives on.
+    /// Guards against a node crashing on malformed messages. A peer, or another process
+    /// that has taken over its port, may send arbitrary bytes.
     #[test]
     fn malformed_messages_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = codec::decode::<PeerMessage>(&bytes);
--- a/crates/kumquatnotch-core/tests/suspension.rs
+++ b/crates/kumquatnotch-core/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! Telling a suspension of the VM from noise between two clocks.
+//! Tests that VM suspensions are distinguished from jitter between two clock reads.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Notes the leads of the boot clock one after the other.
+/// Updates the detector with a sequence of clock offsets, in milliseconds.
 fn update(detector: &mut SuspensionDetector, offsets: &[u32]) -> Duration {
     let mut offsets = offsets.iter().copied();
     detector.update(|| offsets.next().map_or(10_000 * MS, |offset| offset * MS), 4)
 }
 
-/// The VM is suspended for three seconds, and later for two more. The steady clock has
-/// counted none of them, so they are added to it.
+/// The VM is suspended for three seconds and later for two more. The monotonic clock
+/// includes neither, so the detector must report their sum.
 #[test]
 fn suspensions_add_up() {
     let mut detector = SuspensionDetector::new();
@@ -26,8 +26,8 @@
     assert_eq!((first, later, second), (3_000 * MS, 3_000 * MS, 5_000 * MS));
 }
 
-/// The process is put aside for longer than the noise between the readings of the two
-/// clocks. Taken for a suspension, it would make every lease and answer look old.
+/// Guards against a preemption between the two clock reads, longer than the tolerance,
+/// being counted as a suspension. All leases and answers would then appear too old.
 #[test]
 fn pause_between_clock_reads_is_not_a_suspension() {
     let mut detector = SuspensionDetector::new();
