--- a/crates/kumquatnotch-core/src/answer.rs
+++ b/crates/kumquatnotch-core/src/answer.rs
@@ -1,8 +1,8 @@
-//! Answers and what they cover.
+//! Answers and their coverage.
 //!
-//! Every shard that a query asked for is either covered or listed as missing
-//! with its reason: the two add up, so a lost part never looks like "nothing
-//! found".
+//! Every shard that a query asked for is either covered or listed as missing with
+//! its reason. The two add up to the number of shards asked for, so that a lost
+//! part cannot be mistaken for an empty result.
 
 use serde::{Deserialize, Serialize};
 
@@ -18,36 +18,36 @@
 pub struct Answer {
     /// The hits, the best first.
     pub hits: Vec<Hit>,
-    /// What the hits were taken from.
+    /// The shards that the hits were taken from.
     pub coverage: Coverage,
-    /// The configuration the query was planned with.
+    /// The configuration that the query was planned with.
     pub config: ConfigVersion,
-    /// How long it took in the tier, in microseconds.
+    /// Time that the query took in the tier, in microseconds.
     pub elapsed_us: u64,
 }
 
-/// What an answer covers.
+/// The coverage of an answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// The snapshot all hits were taken from.
+    /// The snapshot that all hits were taken from.
     pub version: IndexVersion,
-    /// How many shards were asked for.
+    /// Number of shards asked for.
     pub asked: u32,
-    /// How many of them answered.
+    /// Number of shards that answered.
     pub covered: u32,
-    /// The others with their reasons.
+    /// The shards that did not answer, with reasons.
     pub missing: Vec<Missing>,
-    /// Whether the stop rule ended the query before its deadline.
+    /// Whether the early-stop rule ended the query before its deadline.
     pub stopped_early: bool,
 }
 
 impl Coverage {
-    /// Whether every shard answered.
+    /// Returns true if every shard answered.
     pub fn is_full(&self) -> bool {
         self.covered == self.asked
     }
 
-    /// The share of shards that answered; zero if none was asked for.
+    /// Returns the fraction of shards that answered; zero if none were asked for.
     pub fn share(&self) -> f64 {
         if self.asked == 0 {
             return 0.0;
@@ -61,14 +61,14 @@
 pub struct Missing {
     /// The shard.
     pub shard: ShardName,
-    /// The number of the reason in docs/ERRORS.md.
+    /// The error code, as listed in docs/ERRORS.md.
     pub code: u16,
-    /// The reason in words.
+    /// The error message.
     pub reason: String,
 }
 
 impl Missing {
-    /// `shard` is missing because of `error`.
+    /// Creates an entry for `shard`, which is missing because of `error`.
     pub fn new(shard: ShardName, error: &Error) -> Missing {
         Missing { shard, code: error.code(), reason: error.to_string() }
     }
@@ -81,11 +81,11 @@
     pub hits: Vec<Hit>,
     /// The shards that answered.
     pub covered: Vec<ShardName>,
-    /// The others with their reasons.
+    /// The shards that did not answer, with their errors.
     pub missing: Vec<ShardFault>,
-    /// What the holder knows of the versions that its shards have.
+    /// The versions of its shards that the holder knows of.
     pub held: Vec<ShardVersions>,
-    /// How long requests of this class wait for a slot there, in microseconds.
+    /// Time that requests of this class wait for a slot at the holder, in microseconds.
     pub wait_us: u64,
 }
 
@@ -94,7 +94,7 @@
 pub struct ShardFault {
     /// The shard.
     pub shard: ShardName,
-    /// Why.
+    /// The error.
     pub error: Error,
 }
 
@@ -103,6 +103,6 @@
 pub struct ShardVersions {
     /// The shard.
     pub shard: ShardName,
-    /// The versions, each with the layout it belongs to.
+    /// The versions, each with the collection it belongs to.
     pub versions: Vec<HeldVersion>,
 }
--- a/crates/kumquatnotch-core/src/clock.rs
+++ b/crates/kumquatnotch-core/src/clock.rs
@@ -1,9 +1,8 @@
-//! The clock.
+//! The clock abstraction.
 //!
-//! All time in the tier comes from a [`Clock`]. In production it is the clock of
-//! the monoio runtime; tests put a [`PausedClock`] in its place and advance it.
-//! monoio itself has no clock that can be paused, which is why this thin module
-//! exists.
+//! All time in the tier comes from a [`Clock`]. Production uses the clock of the
+//! monoio runtime; tests use a [`PausedClock`] and advance it explicitly. This
+//! module exists because monoio has no clock that can be paused.
 
 use std::{
     cell::RefCell,
@@ -18,25 +17,25 @@
 
 /// A source of time.
 pub trait Clock {
-    /// The time now.
+    /// Returns the current time.
     fn now(&self) -> Instant;
 
-    /// Completes once `deadline` has come.
+    /// Completes when `deadline` is reached.
     fn sleep_until(&self, deadline: Instant) -> LocalFuture<'static, ()>;
 }
 
-/// How long a sleep is at most before the time is looked at again.
+/// Maximum time that a sleeper waits before it checks the clock again.
 ///
-/// The timers of the runtime stand still while the VM is suspended; so this bounds how
-/// much later than due a request that was in flight then is ended.
+/// The timers of the runtime do not advance while the VM is suspended, so this bounds how far
+/// past its deadline a request that was in flight during a suspension can run.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The same for sleeps that are longer than a request may take.
+/// Recheck interval of sleeps that are longer than any request.
 ///
-/// A node has thousands of idle connections, each with such a sleep.
+/// A node has thousands of idle connections, each with such a sleep, so they wake rarely.
 const LONG_RECHECK_INTERVAL: Duration = Duration::from_secs(15);
 
-/// The clock of the monoio runtime, which counts the time for which the VM was suspended.
+/// The clock of the monoio runtime, corrected for the time for which the VM was suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RuntimeClock;
 
@@ -63,12 +62,12 @@
     }
 }
 
-/// Completes after `span`.
+/// Completes when `span` has elapsed.
 pub fn sleep(clock: &dyn Clock, span: Duration) -> LocalFuture<'static, ()> {
     clock.sleep_until(clock.now() + span)
 }
 
-/// Runs `work` until `deadline`; [`Error::TimedOut`] if that comes first.
+/// Runs `work` until `deadline`; fails with [`Error::TimedOut`] if that is reached first.
 pub async fn timeout_at<T>(
     clock: &dyn Clock,
     deadline: Instant,
@@ -82,19 +81,20 @@
     }
 }
 
-/// Lets the other tasks of the thread run once.
+/// Yields to the other tasks of the thread, so that each runs once.
 ///
-/// A future that only wakes itself is polled again before any other task, as
-/// the runtime puts it at the head of its queue, or polls it in a loop if it is
-/// the main one. Waiting for an empty task at the tail lets all others run.
+/// A future that merely wakes itself is polled again before any other task: the
+/// runtime puts it at the head of its queue, or polls it in a loop if it is the
+/// main future. Awaiting an empty task at the tail of the queue lets all other
+/// tasks run first.
 pub async fn yield_now() {
     monoio::spawn(std::future::ready(())).await;
 }
 
-/// How often [`PausedClock::drive`] lets other tasks run before it moves the time.
+/// Number of times [`PausedClock::drive`] yields to other tasks before it advances the time.
 const SETTLE_ROUNDS: usize = 64;
 
-/// A clock for tests that stands still until it is advanced.
+/// A clock for tests that only moves when it is advanced.
 #[derive(Clone, Debug)]
 pub struct PausedClock {
     state: Rc<RefCell<PausedState>>,
@@ -114,7 +114,7 @@
 }
 
 impl PausedClock {
-    /// Moves the time on by `span` and wakes every sleeper that is due.
+    /// Advances the time by `span` and wakes all sleepers that are due.
     pub fn advance(&self, span: Duration) {
         let due: Vec<Waker> = {
             let mut state = self.state.borrow_mut();
@@ -128,15 +128,15 @@
         due.into_iter().for_each(Waker::wake);
     }
 
-    /// The time at which the next sleeper is due.
+    /// Returns the time at which the next sleeper is due.
     pub fn next_due(&self) -> Option<Instant> {
         self.state.borrow().sleepers.iter().map(|(at, _)| *at).min()
     }
 
-    /// Runs `work` to its end, moving the time on whenever every task waits for it.
+    /// Runs `work` to completion, advancing the time whenever all tasks wait for the clock.
     ///
-    /// This must run inside a runtime if `work` spawns tasks. Work that waits for
-    /// something other than this clock never ends here.
+    /// Requires a runtime if `work` spawns tasks. Does not return if `work` waits for
+    /// anything other than this clock.
     pub async fn drive<T>(&self, work: impl Future<Output = T>) -> T {
         let mut work = std::pin::pin!(work);
         loop {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Moves the time on to the next sleeper; false if there is none.
+    /// Advances the time to the next sleeper; returns false if there is none.
     pub fn advance_to_next(&self) -> bool {
         let Some(due) = self.next_due() else {
             return false;
@@ -186,8 +186,8 @@
         if state.now >= self.deadline {
             return Poll::Ready(());
         }
-        // Its entry stays until it is due, so polling it again adds none, unless
-        // another task polls it now.
+        // The sleeper stays registered until it is due, so a later poll registers
+        // it again only if it comes from another task.
         if !self.waker.as_ref().is_some_and(|waker| waker.will_wake(context.waker())) {
             state.sleepers.push((self.deadline, context.waker().clone()));
             drop(state);
--- a/crates/kumquatnotch-core/src/codec.rs
+++ b/crates/kumquatnotch-core/src/codec.rs
@@ -1,7 +1,8 @@
-//! The codec between nodes and for stored values: MessagePack, with fields by position.
+//! The codec of messages between nodes and of stored values.
 //!
-//! Fields by position leave the names out of every record, which the control
-//! budget needs. A struct that travels so must not skip fields.
+//! Values are encoded as MessagePack with fields by position. Omitting the field
+//! names keeps control traffic within its budget. Encoded structs must not skip
+//! fields, since that would shift the positions of the others.
 
 use serde::{Serialize, de::DeserializeOwned};
 
--- a/crates/kumquatnotch-core/src/collections.rs
+++ b/crates/kumquatnotch-core/src/collections.rs
@@ -1,7 +1,7 @@
 //! Hash collections with a fast hasher.
 //!
-//! Keys here come from authenticated operators and from the tier itself, so
-//! resistance against chosen keys is not needed.
+//! The keys come from authenticated operators and from the tier itself, so the
+//! hasher need not resist collision attacks.
 
 /// A hash map with a fast hasher.
 pub type HashMap<K, V> = rustc_hash::FxHashMap<K, V>;
--- a/crates/kumquatnotch-core/src/document.rs
+++ b/crates/kumquatnotch-core/src/document.rs
@@ -1,8 +1,9 @@
-//! The operators' document: what is in force on every node.
+//! The operators' document: the configuration in force on every node.
 //!
-//! Operators write it as TOML files under version control; it is stored in the
-//! platform's service in parts by digest (see the config crate) and reaches the
-//! nodes by version. A node holds exactly one document at a time.
+//! Operators write it as TOML files under version control. It is stored in the
+//! platform's store as parts addressed by digest (see the config crate) and
+//! distributed to the nodes by version. A node holds exactly one document at a
+//! time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,11 +22,11 @@
 /// A whole document with its version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The version; zero before any was accepted.
+    /// The version; zero before the first document is accepted.
     pub version: ConfigVersion,
     /// The targets by name.
     pub targets: BTreeMap<TargetName, TargetSpec>,
-    /// Everything else, which changes less often.
+    /// All other parts, which change less often.
     pub rules: Rules,
 }
 
@@ -38,30 +39,30 @@
     pub selectors: BTreeMap<SelectorName, SelectorSpec>,
     /// The tenants by name.
     pub tenants: BTreeMap<TenantName, TenantSpec>,
-    /// The targets drained by command, which outlast the next files.
+    /// The targets drained by command, which stay drained when new files are applied.
     #[serde(default)]
     pub drained: BTreeSet<TargetName>,
 }
 
-/// A target as its operators declare it.
+/// A target as declared by its operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSpec {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its data centre.
     pub centre: DataCentre,
-    /// The shard it serves, unless its own report says otherwise for a version.
+    /// The shard it serves, unless the target reports a different one for a version.
     pub shard: ShardName,
     /// Its labels.
     #[serde(default)]
     pub labels: Labels,
-    /// Whether its operators have ordered it to take no new work.
+    /// Whether the operators have drained it, so that it takes no new work.
     #[serde(default)]
     pub drain: bool,
 }
 
-/// What one kind of query may reach, and how it is treated.
+/// The targets that a kind of query may reach, and how its requests are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SelectorSpec {
@@ -75,7 +76,7 @@
     /// The tenants that may use it; empty for all.
     #[serde(default)]
     pub tenants: Vec<TenantName>,
-    /// The longest time a request may take, in milliseconds.
+    /// Maximum duration of a request, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
 }
@@ -84,16 +85,16 @@
     1_000
 }
 
-/// A tenant as its operators declare it.
+/// A tenant as declared by its operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
-    /// The digests of the keys that its callers may present, in hexadecimal.
+    /// Digests of the keys that its callers may present, in hexadecimal.
     pub keys: Vec<String>,
-    /// Its share of capacity against other tenants.
+    /// Weight of its share of the capacity, relative to other tenants.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// When an answer that lacks shards is returned.
+    /// The rule by which a partial answer is returned before the deadline.
     #[serde(default)]
     pub stop: StopSpec,
 }
@@ -102,13 +103,13 @@
     1
 }
 
-/// How a tenant trades the last shards against time.
+/// The early-stop rule of a tenant, which trades coverage for latency.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StopSpec {
-    /// After this share of the deadline an answer with enough coverage returns.
+    /// Fraction of the deadline after which an answer with enough coverage is returned.
     pub patience: f64,
-    /// The coverage, from zero to one, that is enough once patience is over.
+    /// Coverage, from zero to one, that is sufficient after that fraction.
     pub enough: f64,
 }
 
@@ -118,26 +119,26 @@
     }
 }
 
-/// The class a request runs in, the most urgent first.
+/// The priority class of a request, the most urgent first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Someone waits at the desk.
+    /// Interactive: a person is waiting.
     Desk,
-    /// A program waits.
+    /// Automated: a program is waiting.
     #[default]
     Batch,
-    /// It must only finish some time, such as a night audit.
+    /// Background: the work only has to finish eventually, such as a night audit.
     Audit,
 }
 
 impl Class {
-    /// Every class, the most urgent first.
+    /// All classes, the most urgent first.
     pub const ALL: [Class; 3] = [Class::Desk, Class::Batch, Class::Audit];
 
-    /// The name used in labels of metrics.
+    /// Returns the name used in metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Desk => "desk",
@@ -148,19 +149,19 @@
 }
 
 impl SelectorSpec {
-    /// The longest time a request may take.
+    /// Returns the maximum duration of a request.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 }
 
 impl Document {
-    /// The region of `centre`, if the document names it.
+    /// Returns the region of `centre`, if the document defines it.
     pub fn region(&self, centre: &DataCentre) -> Option<&Region> {
         self.rules.regions.get(centre)
     }
 
-    /// The targets that `selector` may reach.
+    /// Returns the targets that `selector` may reach.
     pub fn select<'a>(
         &'a self,
         selector: &'a SelectorSpec,
@@ -169,11 +170,11 @@
     }
 }
 
-/// The document in force on this node.
+/// Access to the document in force on this node.
 pub trait Documents {
-    /// The document; `None` until one is confirmed.
+    /// Returns the document in force, or `None` until one is confirmed.
     ///
-    /// A query takes it once and keeps it to its end, so that a change in between
-    /// does not mix two versions in one answer.
+    /// A query takes it once and keeps it until it ends, so that a concurrent
+    /// change does not mix two versions in one answer.
     fn current(&self) -> Option<Rc<Document>>;
 }
--- a/crates/kumquatnotch-core/src/front.rs
+++ b/crates/kumquatnotch-core/src/front.rs
@@ -1,4 +1,4 @@
-//! The border to callers: what a node does for them, apart from any protocol.
+//! The interface to callers, independent of the protocol.
 
 use std::net::SocketAddr;
 
@@ -14,10 +14,10 @@
     ticket::Outcome,
 };
 
-/// What a node does for callers.
+/// The operations that a node offers to callers.
 ///
-/// Every call but [`Front::advice`] presents the caller's key, by which its
-/// tenant is known.
+/// Every method except [`Front::advice`] takes the caller's key, which identifies
+/// its tenant.
 pub trait Front {
     /// Answers a search.
     fn search<'a>(
@@ -29,57 +29,57 @@
     /// Issues a ticket for one non-idempotent request.
     fn ticket(&self, key: &str) -> Result<TicketGrant>;
 
-    /// Runs a non-idempotent request at most once, or tells its outcome again.
+    /// Runs a non-idempotent request at most once, or returns its outcome if it already ran.
     fn exclusive<'a>(
         &'a self,
         key: &'a str,
         body: ExclusiveBody,
     ) -> LocalFuture<'a, Result<Outcome>>;
 
-    /// The addresses that a caller should use; `near` is the data centre it names.
+    /// Returns the addresses that a caller should use, given the data centre that it reports.
     fn advice(&self, near: Option<&str>) -> EntryAdvice;
 }
 
-/// A ticket that was issued.
+/// An issued ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketGrant {
     /// The ticket, in its text form.
     pub ticket: String,
-    /// How long the request may be sent and its outcome asked for, in milliseconds.
+    /// Time in which the request may be sent and its outcome queried, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// A non-idempotent request as a caller sends it.
+/// A non-idempotent request as sent by a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExclusiveBody {
     /// The ticket that was issued for it.
     pub ticket: String,
-    /// The selector that says what it may reach.
+    /// The selector of the targets that the request may reach.
     pub selector: SelectorName,
     /// The key by which the shard is chosen, such as the room or van.
     pub key: String,
-    /// The request, passed to the target as it is.
+    /// The request, passed to the target unchanged.
     pub request: serde_json::Value,
-    /// The time the caller waits, in milliseconds; the selector's bound applies.
+    /// Time that the caller waits, in milliseconds, bounded by the selector's deadline.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
 }
 
-/// Which addresses a caller should use.
+/// The addresses that a caller should use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAdvice {
-    /// The addresses, the first one first.
+    /// The addresses in order of preference.
     pub addresses: Vec<SocketAddr>,
-    /// How long this may be kept, in milliseconds.
+    /// Time for which the advice may be cached, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// The digest under which a caller's key stands in a document.
+/// Returns the digest by which a document lists a caller's key.
 pub fn key_digest(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The tenant that a key belongs to.
+/// Returns the tenant that a key belongs to.
 pub fn tenant_of<'a>(document: &'a Document, key: &str) -> Option<&'a TenantName> {
     let digest = key_digest(key);
     let tenants = document.rules.tenants.iter();
--- a/crates/kumquatnotch-core/src/ids.rs
+++ b/crates/kumquatnotch-core/src/ids.rs
@@ -1,7 +1,7 @@
 //! Identifiers.
 //!
-//! Names that operators write are strings behind `Rc`, as they are copied into
-//! many maps. Numbers that processes draw are random 64-bit values.
+//! Names from the configuration are reference-counted strings, since they are
+//! cloned into many maps. Generated identifiers are random 64-bit numbers.
 
 use std::{borrow::Borrow, fmt, ops::Deref, rc::Rc};
 
@@ -16,7 +16,7 @@
         pub struct $name(Rc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -57,11 +57,11 @@
 }
 
 name_types! {
-    /// A route: which services requests of a host and prefix may reach.
+    /// A route, which maps a host and path prefix to the services that requests may reach.
     RouteName,
     /// A service: one shard of an index, or a service without shards.
     ServiceName,
-    /// One incarnation of a replica, from its start to its end.
+    /// One incarnation of a replica process, from start to exit.
     ReplicaId,
     /// A node of the tier, by the name in its settings.
     NodeName,
@@ -69,11 +69,11 @@
     TargetName,
     /// A shard of the index.
     ShardName,
-    /// A tenant: one organisation whose data is kept apart from its rivals'.
+    /// A tenant: one organisation whose data is isolated from that of its competitors.
     TenantName,
     /// A data centre.
     DataCentre,
-    /// A region: data centres that are near each other.
+    /// A region: a set of data centres that are near each other.
     Region,
     /// A selector, by the name that callers use.
     SelectorName,
@@ -97,15 +97,15 @@
 }
 
 number_types! {
-    /// One life of a node's process, drawn at random at its start.
+    /// The incarnation of a node's process, drawn at random at its start.
     Incarnation,
-    /// A version of the operators' document, counted from one; zero is "none".
+    /// A version of the operators' document, counted from one; zero means none.
     ConfigVersion,
     /// A version of the index that targets serve.
     IndexVersion,
     /// A query, unique with the incarnation of the node that runs it.
     QueryId,
-    /// The content of a request, for recognising the same one sent again.
+    /// A hash of the content of a request, which identifies repetitions.
     Fingerprint,
 }
 
@@ -115,7 +115,7 @@
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Digest {
         Digest(xxh3_128(bytes).to_be_bytes())
     }
@@ -133,9 +133,9 @@
     }
 }
 
-/// A hash that is the same on every machine.
+/// Computes a hash that is the same on every machine.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
-    // Each part is hashed for itself, so that ("ab", "c") and ("a", "bc") differ.
+    // Each part is hashed separately, so that ("ab", "c") and ("a", "bc") differ.
     parts.iter().fold(0, |hash: u64, part| {
         let mut pair = [0; 16];
         pair[..8].copy_from_slice(&hash.to_be_bytes());
@@ -144,10 +144,9 @@
     })
 }
 
-/// Orders `candidates` for `key` by rendezvous hashing, the first in rank first.
+/// Orders `candidates` for `key` by rendezvous hashing, the highest rank first.
 ///
-/// A candidate that comes or goes changes only the ranks of the keys it takes
-/// or leaves.
+/// Adding or removing a candidate does not change the relative order of the others.
 pub fn rendezvous<'a>(key: &[u8], candidates: &[&'a str]) -> Vec<&'a str> {
     let mut ranked: Vec<(u64, &str)> = candidates
         .iter()
@@ -157,7 +156,7 @@
     ranked.into_iter().map(|(_, candidate)| candidate).collect()
 }
 
-/// The weight of `candidate` for `key`; the highest comes first in rank.
+/// Returns the weight of `candidate` for `key`; the highest weight ranks first.
 pub fn rendezvous_weight(key: &[u8], candidate: &str) -> u64 {
     stable_hash(&[key, candidate.as_bytes()])
 }
--- a/crates/kumquatnotch-core/src/labels.rs
+++ b/crates/kumquatnotch-core/src/labels.rs
@@ -48,24 +48,24 @@
 }
 
 impl Expression {
-    /// Reads an expression.
+    /// Parses an expression.
     pub fn parse(source: &str) -> Result<Expression> {
         let terms =
             split_terms(source).into_iter().map(parse_term).collect::<Result<Vec<Term>>>()?;
         Ok(Expression { source: source.to_owned(), terms })
     }
 
-    /// Whether every term holds for `labels`.
+    /// Returns true if every term holds for `labels`.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.terms.iter().all(|term| term.matches(labels))
     }
 
-    /// The terms, in the order written.
+    /// Returns the terms in source order.
     pub fn terms(&self) -> &[Term] {
         &self.terms
     }
 
-    /// The text it was read from.
+    /// Returns the source text.
     pub fn as_str(&self) -> &str {
         &self.source
     }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Splits at the commas that stand outside parentheses.
+/// Splits at commas outside parentheses.
 fn split_terms(source: &str) -> Vec<&str> {
     let mut depth = 0usize;
     let mut start = 0;
@@ -133,7 +133,7 @@
 
 fn parse_list(list: &str, term: &str) -> Result<Vec<String>> {
     let Some(list) = list.trim().strip_suffix(')') else {
-        return Err(Error::bad_expression(term, "the list is not closed"));
+        return Err(Error::bad_expression(term, "unclosed list"));
     };
     list.split(',').map(|word| parse_word(word, term)).collect()
 }
@@ -141,7 +141,7 @@
 fn parse_word(word: &str, term: &str) -> Result<String> {
     let word = word.trim();
     if word.is_empty() {
-        return Err(Error::bad_expression(term, "a name or value is missing"));
+        return Err(Error::bad_expression(term, "missing name or value"));
     }
     let plain = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
     match word.chars().find(|c| !plain(*c)) {
--- a/crates/kumquatnotch-core/src/lib.rs
+++ b/crates/kumquatnotch-core/src/lib.rs
@@ -1,11 +1,11 @@
 //! Common types of the kumquatnotch query tier.
 //!
-//! This crate holds what every other crate shares: identifiers, labels and
-//! selectors, the operators' document, queries and answers with their
-//! coverage, numbered errors, the clock, the seeded generator, and the
-//! registry in which services find each other by name. The borders of the
-//! system are traits here ([`Store`], [`Targets`], [`Peers`], [`Clock`]), so
-//! that a test or a bench can put its own implementation behind any of them.
+//! This crate defines the types that all other crates share: identifiers, labels
+//! and selectors, the operators' document, queries and answers with their
+//! coverage, numbered errors, the clock, the seeded random number generator, and
+//! the service registry. The external interfaces of the system are traits
+//! ([`Store`], [`Targets`], [`Peers`], [`Clock`]), so that tests and benchmarks
+//! can substitute their own implementations.
 
 #![forbid(unsafe_code)]
 
@@ -44,5 +44,5 @@
     target::Targets,
 };
 
-/// A boxed future that stays on its thread.
+/// A boxed future that is not `Send`.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
--- a/crates/kumquatnotch-core/src/lifecycle.rs
+++ b/crates/kumquatnotch-core/src/lifecycle.rs
@@ -1,21 +1,21 @@
-//! The stage of a node's life, which its services share.
+//! The lifecycle stage of a node, shared between its services.
 
 use std::{cell::Cell, rc::Rc};
 
-/// The stage of a node's life.
+/// The lifecycle stage of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It has no configuration in force yet and serves nobody.
+    /// Has no configuration in force yet and does not serve.
     Starting,
-    /// It serves.
+    /// Serves requests.
     Serving,
-    /// It is advised to nobody, and serves until the advice given out has lapsed.
+    /// Is no longer advertised to callers, but serves until earlier advice has expired.
     Leaving,
-    /// It takes nothing new and ends what it runs.
+    /// Accepts no new requests and finishes the running ones.
     Closing,
 }
 
-/// The stage, shared between services; it only moves on.
+/// The shared lifecycle stage, which only moves forward.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     stage: Rc<Cell<Stage>>,
@@ -28,12 +28,12 @@
 }
 
 impl Lifecycle {
-    /// The stage now.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage.get()
     }
 
-    /// Moves on to `stage`; an earlier one changes nothing.
+    /// Advances to `stage`; does nothing if the current stage is the same or later.
     pub fn advance(&self, stage: Stage) {
         if stage > self.stage.get() {
             self.stage.set(stage);
--- a/crates/kumquatnotch-core/src/marks.rs
+++ b/crates/kumquatnotch-core/src/marks.rs
@@ -1,48 +1,48 @@
-//! Marks: the little state besides membership that all nodes share.
+//! Marks: the small amount of state besides membership that all nodes share.
 //!
-//! A mark is set by one node, spreads with the membership messages, and
-//! expires by itself, so that nothing has to be deleted.
+//! A mark is set by one node, spreads by gossip with the membership messages,
+//! and expires after a time to live, so that it need not be deleted.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Fingerprint, TargetName};
 
-/// What a mark says.
+/// The meaning of a mark.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MarkKind {
     /// Requests of this fingerprint crash targets and are refused.
     Contained(Fingerprint),
-    /// This target takes no new work.
+    /// The target takes no new work.
     Draining(TargetName),
 }
 
-/// A mark with the time it has left.
+/// A mark with its remaining time to live.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// What it says.
+    /// The meaning of the mark.
     pub kind: MarkKind,
-    /// The time until it expires, in milliseconds, when it was sent.
+    /// Time to live when it was sent, in milliseconds.
     pub left_ms: u64,
 }
 
-/// A mark on its way between nodes.
+/// A mark as sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MarkUpdate {
     /// The mark.
     pub mark: Mark,
-    /// Drawn when it was set or renewed; a node adopts each stamp once.
+    /// Random number drawn when the mark is set or renewed; a node adopts each stamp once.
     pub stamp: u64,
 }
 
-/// The marks that a node knows.
+/// The marks known to a node.
 pub trait Marks {
-    /// Sets a mark and spreads it.
+    /// Sets a mark and sends it to the other nodes.
     fn set(&self, mark: Mark);
 
-    /// The time left of a mark, in milliseconds.
+    /// Returns the remaining time to live of a mark, in milliseconds.
     fn left_ms(&self, kind: &MarkKind) -> Option<u64>;
 
-    /// Every mark that has not expired.
+    /// Returns all marks that have not expired.
     fn all(&self) -> Vec<Mark>;
 }
--- a/crates/kumquatnotch-core/src/member.rs
+++ b/crates/kumquatnotch-core/src/member.rs
@@ -1,4 +1,4 @@
-//! The nodes of the tier as they know each other.
+//! Membership: the nodes of the tier as they see each other.
 
 use std::net::SocketAddr;
 
@@ -6,75 +6,77 @@
 
 use crate::ids::{ConfigVersion, DataCentre, Incarnation, NodeName, Region};
 
-/// What is known of a node.
+/// The membership record of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Its name.
+    /// The name of the node.
     pub name: NodeName,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// Raised by the node itself to refute a suspicion or to change its state.
+    /// Incremented by the node itself to refute a suspicion or to change its state.
     pub counter: u64,
-    /// Its state.
+    /// The state of the node.
     pub state: NodeState,
-    /// Where it listens for peers.
+    /// The address that it listens on for peers.
     pub peer: SocketAddr,
-    /// Where it listens for callers.
+    /// The address that it listens on for callers.
     pub entry: SocketAddr,
     /// Its data centre.
     pub centre: DataCentre,
     /// Its region.
     pub region: Region,
-    /// Whether it has begun to serve; what it does since is in its state.
+    /// Whether it has started to serve; later changes are in the state.
     pub serving: bool,
 }
 
-/// The state of a node, in the order in which reports of one counter win.
+/// The state of a node.
+///
+/// Of reports with the same counter, the one with the later state in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeState {
-    /// It answers; whether it has a document to serve is told beside the state.
+    /// Answers; [`NodeRecord::serving`] tells whether it has a document to serve.
     Up,
-    /// It does not answer; it is taken as gone unless it refutes that soon.
+    /// Does not answer, and is considered gone unless it refutes the suspicion soon.
     Suspect,
-    /// It ends its work and takes no new callers.
+    /// Finishes its work and accepts no new callers.
     Leaving,
-    /// It is taken as gone.
+    /// Is considered gone.
     Gone,
 }
 
-/// The nodes as one node sees them, and the view that others are given.
+/// The membership as seen by one node.
 pub trait Members {
-    /// The record of this node.
+    /// Returns the record of this node.
     fn local(&self) -> NodeRecord;
 
-    /// Every node that is up, suspect or leaving, this one too, by name.
+    /// Returns all nodes that are up, suspect or leaving, including this one, by name.
     fn known(&self) -> Vec<NodeRecord>;
 
-    /// The nodes that were taken as gone not long ago and had not said that they go.
+    /// Returns the nodes recently declared gone that had not announced their departure.
     ///
-    /// One that is only cut off may still serve, with the document that it had.
+    /// A node that is only partitioned may still serve with its old document.
     fn lost(&self) -> Vec<NodeRecord>;
 
-    /// Grows with every change of the view, so that derived tables can be kept.
+    /// Returns a counter that grows with every change, so that derived tables can be cached.
     fn generation(&self) -> u64;
 
-    /// The record of a node that is known.
+    /// Returns the record of a known node.
     fn find(&self, name: &NodeName) -> Option<NodeRecord>;
 
-    /// Tells this part that a peer did not answer, as evidence for a suspicion.
+    /// Reports that a peer did not answer, as evidence for a suspicion.
     fn report_silent(&self, name: &NodeName);
 
-    /// The configuration version that peers have confirmed, with its age.
+    /// Returns the version in force on this node, with the age of its last confirmation.
     fn confirmed(&self) -> Confirmation;
 }
 
-/// How recently the configuration in force was known to be the newest.
+/// The configuration in force, and when it was last known to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
     /// The version in force on this node.
     pub version: ConfigVersion,
-    /// The age of the last reading of the platform that this node knows of, in milliseconds.
+    /// Time since the last known read of the platform's store, in milliseconds.
     ///
     /// `None` before the first one.
     pub age_ms: Option<u64>,
--- a/crates/kumquatnotch-core/src/peer.rs
+++ b/crates/kumquatnotch-core/src/peer.rs
@@ -1,4 +1,4 @@
-//! The border between nodes: typed messages and the way they travel.
+//! The protocol between nodes: typed messages and the client that sends them.
 
 use std::{
     net::SocketAddr,
@@ -18,12 +18,12 @@
     ticket::{ExclusiveRequest, Outcome},
 };
 
-/// The way to other nodes.
+/// A client for other nodes.
 pub trait Peers {
     /// Sends `message` to the node at `address` and waits for its reply.
     ///
-    /// [`Error::ConnectFailed`] and [`Error::ConnectRefused`] are certain: nothing was
-    /// delivered. The second one also tells that the VM of the node answers.
+    /// After [`Error::ConnectFailed`] and [`Error::ConnectRefused`] it is certain that nothing
+    /// was delivered. The latter also means that the VM of the node responds.
     fn send<'a>(
         &'a self,
         address: SocketAddr,
@@ -32,7 +32,7 @@
     ) -> LocalFuture<'a, Result<PeerReply>>;
 }
 
-/// A service that answers messages of peers, registered by [`PeerMessage::service`].
+/// A service that answers messages from peers, registered under [`PeerMessage::service`].
 pub trait PeerHandler {
     /// Answers `message`.
     fn handle(&self, message: PeerMessage) -> LocalFuture<'_, Result<PeerReply>>;
@@ -42,30 +42,30 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerMessage {
-    /// Are you there; with news.
+    /// Direct probe, with gossip.
     Ping(Gossip),
-    /// Ask that node in my place; with news.
+    /// Indirect probe: asks the receiver to ping another node, with gossip.
     PingFor(PingFor),
-    /// News only.
+    /// Gossip without a probe.
     News(Gossip),
-    /// Everything that is known, on joining and now and then.
+    /// Full state, sent on joining and periodically.
     Exchange(Exchange),
-    /// The stored values of these digests.
+    /// Requests the stored values with these digests.
     Fetch(Vec<Digest>),
-    /// Which configuration is in force there.
+    /// Requests the configuration in force on the receiver.
     ConfigState,
-    /// A sub-request for a group of shards.
+    /// Sub-request for a group of shards.
     Group(Box<GroupRequest>),
-    /// Which index versions the shards have that this node holds.
+    /// Requests the index versions of shards that the receiver holds.
     Versions(Vec<ShardName>),
-    /// One call to a target that this node holds, for an exclusive request.
+    /// A call to a target that the receiver holds, for an exclusive request.
     Relay(Box<RelayCall>),
-    /// An exclusive request under a ticket of this node.
+    /// An exclusive request under a ticket that the receiver issued.
     Exclusive(Box<ExclusiveRequest>),
 }
 
 impl PeerMessage {
-    /// The name of the service that answers it.
+    /// Returns the name of the service that answers the message.
     pub fn service(&self) -> &'static str {
         match self {
             PeerMessage::Ping(_)
@@ -90,12 +90,12 @@
 /// The service that runs exclusive requests, an `Rc<dyn PeerHandler>`.
 pub const TICKET_SERVICE: &str = "ticket";
 
-/// News that rides on membership messages.
+/// State updates that are piggybacked on membership messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Who sends it.
+    /// The sender.
     pub from: NodeName,
-    /// The life of the sender.
+    /// The incarnation of the sender.
     pub incarnation: Incarnation,
     /// Changed records of nodes.
     pub nodes: Vec<NodeRecord>,
@@ -108,42 +108,42 @@
 /// The newest configuration that a node knows of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadInfo {
-    /// Its version; zero for none.
+    /// The version; zero if there is none.
     pub version: ConfigVersion,
     /// The digest of its manifest.
     pub manifest: Digest,
-    /// How long ago the platform confirmed it, in milliseconds.
+    /// Time since the platform confirmed it, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A request to ask another node.
+/// A request to ping another node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PingFor {
-    /// The node to ask.
+    /// The node to ping.
     pub subject: NodeRecord,
-    /// News.
+    /// State updates.
     pub gossip: Gossip,
 }
 
-/// Everything that a node knows.
+/// The full state of a node, for anti-entropy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// News, with all records and marks.
+    /// State updates with all records and marks.
     pub gossip: Gossip,
-    /// A hash of the records; equal ones need not be sent back. Zero for no records.
+    /// Hash of the records, which are not sent back if it is equal. Zero for no records.
     pub hash: u64,
-    /// The hashes of the records by bucket, once the whole is known to differ.
+    /// Hashes of the records by bucket, sent once the total hash is known to differ.
     pub buckets: Vec<u32>,
 }
 
-/// One call to a target.
+/// A call to a target, forwarded to its holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayCall {
-    /// The selector whose targets may take it.
+    /// The selector whose targets may run it.
     pub selector: crate::ids::SelectorName,
     /// The call.
     pub call: TargetCall,
-    /// The time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -151,17 +151,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerReply {
-    /// I am here; with news.
+    /// Acknowledges a probe, with gossip.
     Ack(Gossip),
-    /// The subject did not answer.
+    /// The subject of an indirect probe did not answer.
     Nack,
-    /// Everything that is known.
+    /// Full state.
     Exchange(Exchange),
-    /// Stored values, those that are at hand.
+    /// The requested stored values that the node has.
     Values(Vec<StoredValue>),
-    /// Which configuration is in force.
+    /// The configuration in force.
     ConfigState(Confirmation),
-    /// A partial answer.
+    /// The partial answer for a group of shards.
     Group(Box<GroupAnswer>),
     /// Index versions of shards.
     Versions(Vec<crate::answer::ShardVersions>),
@@ -169,11 +169,11 @@
     Relay(Box<TargetReply>),
     /// The outcome of an exclusive request.
     Exclusive(Outcome),
-    /// The node answers, but with an error.
+    /// The node failed to handle the message.
     Failed(Error),
 }
 
-/// A value with its digest.
+/// A stored value with its digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredValue {
     /// The digest.
@@ -183,5 +183,5 @@
     pub value: Vec<u8>,
 }
 
-/// The time a peer has to answer a control message.
+/// Timeout of control messages.
 pub const CONTROL_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/kumquatnotch-core/src/query.rs
+++ b/crates/kumquatnotch-core/src/query.rs
@@ -1,4 +1,4 @@
-//! What callers ask and what travels between the nodes of a query.
+//! Search requests of callers, and the messages between the nodes of a query.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,14 +10,14 @@
 /// A search as a caller sends it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SearchRequest {
-    /// The selector that says what it may reach.
+    /// The selector of the targets that the search may reach.
     pub selector: SelectorName,
-    /// The query, passed to the targets as it is.
+    /// The query, passed to the targets unchanged.
     pub query: serde_json::Value,
-    /// How many hits to return.
+    /// Maximum number of hits to return.
     #[serde(default = "default_limit")]
     pub limit: u32,
-    /// The time the caller waits, in milliseconds; the selector's bound applies.
+    /// Time that the caller waits, in milliseconds, bounded by the selector's deadline.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
 }
@@ -27,7 +27,7 @@
 }
 
 impl SearchRequest {
-    /// The fingerprint by which the same request of a tenant is recognised.
+    /// Returns the fingerprint that identifies repetitions of this request by the same tenant.
     pub fn fingerprint(&self, tenant: &TenantName) -> Fingerprint {
         let query = self.query.to_string();
         let parts: [&[u8]; 3] = [tenant.as_bytes(), self.selector.as_bytes(), query.as_bytes()];
@@ -44,40 +44,40 @@
     pub tenant: TenantName,
     /// Its class.
     pub class: Class,
-    /// The selector, by which the holder finds the replicas.
+    /// The selector by which the holder finds the replicas.
     pub selector: SelectorName,
-    /// The snapshot it must be answered from.
+    /// The snapshot that it must be answered from.
     pub version: IndexVersion,
     /// The shards asked for.
     pub shards: Vec<ShardName>,
     /// The query as JSON text.
     pub body: String,
-    /// How many hits to return.
+    /// Maximum number of hits to return.
     pub limit: u32,
-    /// By which the request is recognised when it is sent again.
+    /// Fingerprint that identifies the request when it is sent again.
     pub fingerprint: Fingerprint,
-    /// The time left until partial results are wanted, in milliseconds.
+    /// Time left until a partial answer is accepted, in milliseconds.
     pub patience_ms: u64,
-    /// The time left until nothing is wanted any more, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether this is a second copy sent because the first is late.
+    /// Whether this is a hedged request, sent because the first one is late.
     pub hedge: bool,
 }
 
 /// One hit of a search.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hit {
-    /// The key of the entry; an entry appears once in an answer.
+    /// The key of the entry, which appears at most once in an answer.
     pub key: String,
-    /// The order, the highest first.
+    /// The score by which hits are ranked, the highest first.
     pub score: f64,
-    /// The tenant whose entry it is.
+    /// The tenant that owns the entry.
     #[serde(default)]
     pub owner: Option<TenantName>,
-    /// What every tenant may see.
+    /// The fields that every tenant may see.
     #[serde(default)]
     pub fields: serde_json::Value,
-    /// What only the owner may see.
+    /// The fields that only the owner may see.
     #[serde(default)]
     pub private: Option<serde_json::Value>,
 }
--- a/crates/kumquatnotch-core/src/registry.rs
+++ b/crates/kumquatnotch-core/src/registry.rs
@@ -1,8 +1,8 @@
-//! The registry in which services find each other by name.
+//! The service registry.
 //!
-//! The kernel of a node is this registry: a service is registered under a name
-//! when the node is put together, and others look it up by that name and type.
-//! Nothing is registered while requests run.
+//! Services are registered under a name when the node is assembled, and other
+//! services look them up by name and type. Nothing is registered while requests
+//! run.
 
 use std::{any::Any, cell::RefCell, rc::Rc};
 
@@ -15,14 +15,16 @@
 }
 
 impl Registry {
-    /// Registers `service` under `name`; an earlier one of that name is replaced.
+    /// Registers `service` under `name`, replacing any earlier service of that name.
     ///
-    /// A trait object is registered as `Rc<dyn Trait>` and found as that type.
+    /// A trait object is registered and looked up as `Rc<dyn Trait>`.
     pub fn register<T: 'static>(&self, name: &'static str, service: T) {
         self.services.borrow_mut().insert(name, Rc::new(service));
     }
 
-    /// The service of that name.
+    /// Returns the service registered under `name` as a `T`.
+    ///
+    /// Fails with [`Error::ServiceMissing`] if there is none, or if it has another type.
     pub fn find<T: Clone + 'static>(&self, name: &'static str) -> Result<T> {
         let service = self.services.borrow().get(name).cloned();
         match service.as_deref().and_then(|service| service.downcast_ref::<T>()) {
@@ -31,7 +33,7 @@
         }
     }
 
-    /// The names that are registered, sorted.
+    /// Returns the registered names, sorted.
     pub fn names(&self) -> Vec<&'static str> {
         let mut names: Vec<&'static str> = self.services.borrow().keys().copied().collect();
         names.sort_unstable();
--- a/crates/kumquatnotch-core/src/report.rs
+++ b/crates/kumquatnotch-core/src/report.rs
@@ -1,4 +1,4 @@
-//! What a node tells operators of the whole tier.
+//! Reports on the whole tier that a node gives to operators.
 
 use std::fmt;
 
@@ -11,8 +11,8 @@
 
 /// The configuration in force on each node that the membership lists.
 ///
-/// Nodes that went away not long ago are listed too: one that was only cut off
-/// may still serve with what it had.
+/// Recently lost nodes are included: a node that is only partitioned may still
+/// serve with its old configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigReport {
     /// The nodes by name.
@@ -22,18 +22,18 @@
 /// The configuration in force on one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// Its name.
+    /// The name of the node.
     pub name: NodeName,
-    /// Its state in the membership.
+    /// The membership state of the node.
     pub state: NodeState,
-    /// What it told; `None` if it did not answer.
+    /// The state that the node reported; `None` if it did not answer.
     pub confirmation: Option<Confirmation>,
-    /// Why it did not answer.
+    /// The reason why it did not answer.
     pub error: Option<String>,
 }
 
 impl NodeReport {
-    /// Whether the node told that it has `version` or a later one in force.
+    /// Returns true if the node reported that `version` or a later one is in force.
     pub fn has_version(&self, version: ConfigVersion) -> bool {
         self.confirmation.is_some_and(|confirmation| confirmation.version >= version)
     }
--- a/crates/kumquatnotch-core/src/services.rs
+++ b/crates/kumquatnotch-core/src/services.rs
@@ -1,12 +1,12 @@
-//! The names under which services are registered, and their types.
+//! Names and types of the services in the registry.
 
 /// The clock, an `Rc<dyn Clock>`.
 pub const CLOCK: &str = "clock";
-/// The seeded generator, a `Random`.
+/// The seeded random number generator, a `Random`.
 pub const RANDOM: &str = "random";
-/// The way to targets, an `Rc<dyn Targets>`.
+/// The client for targets, an `Rc<dyn Targets>`.
 pub const TARGETS: &str = "targets";
-/// The way to other nodes, an `Rc<dyn Peers>`.
+/// The client for other nodes, an `Rc<dyn Peers>`.
 pub const PEERS: &str = "peers";
 /// The platform's store, an `Rc<dyn Store>`.
 pub const STORE: &str = "store";
@@ -16,7 +16,7 @@
 pub const MARKS: &str = "marks";
 /// The document in force, an `Rc<dyn Documents>`.
 pub const DOCUMENTS: &str = "documents";
-/// What a node does for callers, an `Rc<dyn Front>`.
+/// The operations offered to callers, an `Rc<dyn Front>`.
 pub const FRONT: &str = "front";
-/// The stage of the node's life, a `Lifecycle`.
+/// The lifecycle stage of the node, a `Lifecycle`.
 pub const LIFECYCLE: &str = "lifecycle";
--- a/crates/kumquatnotch-core/src/store.rs
+++ b/crates/kumquatnotch-core/src/store.rs
@@ -1,14 +1,14 @@
-//! The border to the store in which the platform keeps what must last.
+//! The interface to the platform's store, which keeps durable state.
 //!
-//! It is a key-value service with one counter of revisions, leases and watches.
-//! What it has acknowledged it never loses; everything else about it may fail:
-//! it may be away, slow, refuse calls, or carry out a write whose reply is lost.
+//! The store is a key-value service with a global revision counter, leases and
+//! watches. It never loses an acknowledged write. It may otherwise be unavailable
+//! or slow, refuse calls, or apply a write whose reply is lost.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{LocalFuture, Result};
 
-/// The largest value that the store takes, in bytes.
+/// Maximum size of a value, in bytes.
 pub const VALUE_LIMIT: usize = 1 << 20;
 
 /// A key with its value.
@@ -27,12 +27,12 @@
 pub struct StoreScan {
     /// The items, by key.
     pub items: Vec<StoreItem>,
-    /// A revision from which a watch misses nothing that the scan didn't see.
+    /// The revision after which a watch returns all changes that the scan does not include.
     pub revision: u64,
 }
 
 impl StoreScan {
-    /// Adds the changes since its revision, of which some may be in it already.
+    /// Applies changes after the revision of the scan, skipping those that it already includes.
     pub fn apply(&mut self, changes: StoreChanges) {
         let items = std::mem::take(&mut self.items);
         let mut items: BTreeMap<String, StoreItem> =
@@ -57,7 +57,7 @@
 pub enum StoreEvent {
     /// The key was written.
     Written(StoreItem),
-    /// The key was deleted, or its lease ended.
+    /// The key was deleted or its lease expired.
     Deleted {
         /// The key.
         key: String,
@@ -67,7 +67,7 @@
 }
 
 impl StoreEvent {
-    /// The key.
+    /// Returns the key.
     pub fn key(&self) -> &str {
         match self {
             StoreEvent::Written(item) => &item.key,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The revision of the change.
+    /// Returns the revision of the change.
     pub fn revision(&self) -> u64 {
         match self {
             StoreEvent::Written(item) => item.revision,
@@ -84,35 +84,36 @@
     }
 }
 
-/// What a watch has seen.
+/// The changes that a watch returns.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreChanges {
-    /// The changes, in their order; empty if none came in time.
+    /// The changes in order; empty if there were none in time.
     pub events: Vec<StoreEvent>,
     /// The revision to watch from next.
     pub revision: u64,
 }
 
-/// A write of several keys that takes effect whole or not at all.
+/// An atomic write of several keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreWrite {
-    /// The revisions that keys must have; zero if a key must not exist.
+    /// Required revisions of keys; zero if the key must not exist.
     pub expect: Vec<(String, u64)>,
-    /// The values to put, each under a lease if there is one.
+    /// The values to put.
     pub puts: Vec<StorePut>,
     /// The keys to delete.
     pub deletes: Vec<String>,
 }
 
 impl StoreWrite {
-    /// A write of one key without a lease, if it has the revision `expect`; zero if
-    /// it must not exist.
+    /// Creates a compare-and-swap write of one key without a lease.
+    ///
+    /// The key must have the revision `expect`; zero if it must not exist.
     pub fn put(key: &str, value: &[u8], expect: u64) -> StoreWrite {
         let put = StorePut { key: key.to_owned(), value: value.to_owned(), lease: None };
         StoreWrite { expect: vec![(key.to_owned(), expect)], puts: vec![put], deletes: Vec::new() }
     }
 
-    /// A write that deletes one key, whatever its revision.
+    /// Creates a write that deletes one key at any revision.
     pub fn delete(key: &str) -> StoreWrite {
         StoreWrite { deletes: vec![key.to_owned()], ..Default::default() }
     }
@@ -125,47 +126,48 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The lease with which the key ends.
+    /// The lease that the key is attached to, if any; the key is deleted when it expires.
     pub lease: Option<u64>,
 }
 
-/// A lease that was granted.
+/// A granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLease {
-    /// Its number.
+    /// The id of the lease.
     pub id: u64,
-    /// How long it lasts without renewal.
+    /// Time until the lease expires without renewal.
     pub ttl: Duration,
 }
 
 /// The platform's store.
 ///
-/// Errors are [`Error::PlatformUnavailable`] if nothing is known of the call,
-/// [`Error::PlatformBusy`] if it was refused, [`Error::WriteUnknown`] if a write
-/// may have taken effect or may still do so, and those that each call names.
+/// Calls fail with [`Error::PlatformUnavailable`] if nothing is known about the
+/// call, with [`Error::PlatformBusy`] if the store refused it, with
+/// [`Error::WriteUnknown`] if a write may have taken effect or may still do so,
+/// and with the errors documented for each method.
 ///
 /// [`Error::PlatformUnavailable`]: crate::Error::PlatformUnavailable
 /// [`Error::PlatformBusy`]: crate::Error::PlatformBusy
 /// [`Error::WriteUnknown`]: crate::Error::WriteUnknown
 pub trait Store {
-    /// The item under `key`.
+    /// Returns the item under `key`, if there is one.
     fn read<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<StoreItem>>>;
 
-    /// All keys under `prefix`.
+    /// Returns all items under `prefix`.
     fn scan<'a>(&'a self, prefix: &'a str) -> LocalFuture<'a, Result<StoreScan>>;
 
-    /// All keys under `prefix` as they were up to some seconds ago.
+    /// Returns all items under `prefix` from a snapshot that may be several seconds old.
     ///
-    /// It costs the store a fraction of a scan. A watch from its revision misses
-    /// nothing, so that both together give what the store holds now.
+    /// A snapshot loads the store a fraction as much as a scan. A watch from its revision
+    /// returns all later changes, so that both together give the current state.
     fn snapshot<'a>(&'a self, prefix: &'a str) -> LocalFuture<'a, Result<StoreScan>> {
         self.scan(prefix)
     }
 
-    /// The changes under `prefix` after a revision, or none when `wait` is over.
+    /// Returns the changes under `prefix` after a revision, or none once `wait` has elapsed.
     ///
-    /// [`Error::VersionUnknown`](crate::Error::VersionUnknown) if the store
-    /// doesn't keep that history any more.
+    /// Fails with [`Error::VersionUnknown`](crate::Error::VersionUnknown) if the
+    /// store has compacted that history.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
@@ -173,15 +175,18 @@
         wait: Duration,
     ) -> LocalFuture<'a, Result<StoreChanges>>;
 
-    /// Writes; gives the revision.
+    /// Applies `write` and returns its revision.
     ///
-    /// [`Error::CompareFailed`](crate::Error::CompareFailed) if an expectation
-    /// fails, [`Error::LeaseGone`](crate::Error::LeaseGone) if a lease has ended.
+    /// Fails with [`Error::CompareFailed`](crate::Error::CompareFailed) if a key does
+    /// not have its required revision, and with
+    /// [`Error::LeaseGone`](crate::Error::LeaseGone) if a lease has expired.
     fn write<'a>(&'a self, write: &'a StoreWrite) -> LocalFuture<'a, Result<u64>>;
 
-    /// Asks for a lease.
+    /// Grants a lease with the given time to live.
     fn grant(&self, ttl: Duration) -> LocalFuture<'_, Result<StoreLease>>;
 
-    /// Renews a lease; [`Error::LeaseGone`](crate::Error::LeaseGone) if it has ended.
+    /// Renews a lease.
+    ///
+    /// Fails with [`Error::LeaseGone`](crate::Error::LeaseGone) if it has expired.
     fn renew(&self, lease: u64) -> LocalFuture<'_, Result<()>>;
 }
--- a/crates/kumquatnotch-core/src/stored.rs
+++ b/crates/kumquatnotch-core/src/stored.rs
@@ -1,12 +1,13 @@
 //! The stored form of the document: a head, a manifest, and parts by digest.
 //!
-//! A document of 9,400 targets is over half a megabyte (docs/MEASURES.md), and
-//! 1,100 changes a day would cost each node more than its control budget if
-//! every change sent the whole. So the targets are spread over a fixed number of
-//! parts by the hash of their names, each part is stored under its digest and
-//! never changes, and a manifest lists the digests. A change writes the parts
-//! it touches, the manifest, and then the head, by compare-and-swap: only that
-//! last write puts it in force, and a node fetches only parts it lacks.
+//! A document of 9,400 targets takes over half a megabyte. If each of 1,100
+//! changes a day sent the whole document, every node would exceed its budget
+//! for control traffic. The targets are therefore partitioned by the hash of
+//! their names into a fixed number of parts. Each part is immutable and stored
+//! under its digest, and a manifest lists the digests. A change writes the
+//! modified parts, the manifest, and finally the head by compare-and-swap. Only
+//! that last write puts the change in force, and a node fetches only the parts
+//! that it lacks.
 
 use std::collections::BTreeMap;
 
@@ -19,46 +20,46 @@
     peer::StoredValue,
 };
 
-/// The key of the head in the platform's service.
+/// The key of the head in the platform's store.
 pub const HEAD_KEY: &str = "kumquatnotch/head";
 
-/// The prefix of the keys of stored values, which their digests complete.
+/// Key prefix of stored values; the digest follows.
 pub const VALUE_PREFIX: &str = "kumquatnotch/value/";
 
-/// How many parts the targets are spread over.
+/// Number of parts that the targets are partitioned into.
 pub const PART_COUNT: usize = 64;
 
-/// How many earlier versions the head remembers, for rolling back.
+/// Number of earlier versions that the head lists for rollback.
 pub const HISTORY_LENGTH: usize = 32;
 
-/// The key of the stored value with this digest.
+/// Returns the key of the stored value with this digest.
 pub fn value_key(digest: Digest) -> String {
     format!("{VALUE_PREFIX}{digest}")
 }
 
-/// The one mutable value: which version is in force.
+/// The only mutable value, which names the version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The version.
     pub version: ConfigVersion,
-    /// Drawn by the writer, so that a write whose reply was lost can be recognised.
+    /// Random number of the write, by which the writer recognises it if the reply was lost.
     pub write: u64,
-    /// Who wrote it.
+    /// The author of the change.
     pub author: String,
-    /// Why.
+    /// The reason for the change.
     pub note: String,
     /// The digest of its manifest.
     pub manifest: Digest,
-    /// Earlier versions, the newest first.
+    /// The earlier versions, the newest first.
     pub history: Vec<PastVersion>,
 }
 
-/// An earlier version that can be returned to.
+/// An earlier version that is available for rollback.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastVersion {
     /// The version.
     pub version: ConfigVersion,
-    /// The number that its writer drew.
+    /// Random number of its write.
     pub write: u64,
     /// The digest of its manifest.
     pub manifest: Digest,
@@ -74,7 +75,7 @@
 }
 
 impl Manifest {
-    /// The digests of every part.
+    /// Returns the digests of all parts.
     pub fn digests(&self) -> impl Iterator<Item = Digest> {
         std::iter::once(self.rules).chain(self.parts.iter().copied())
     }
@@ -101,19 +102,19 @@
     }
     let mut digests = values.iter().map(|value| value.digest);
     let manifest = Manifest {
-        rules: digests.next().ok_or_else(|| Error::internal("no parts"))?,
+        rules: digests.next().ok_or_else(|| Error::internal("document has no parts"))?,
         parts: digests.collect(),
     };
     let manifest = stored_value(&manifest)?;
     let digest = manifest.digest;
     values.push(manifest);
-    // Empty parts are alike and stored once.
+    // Empty parts are identical and stored once.
     values.sort_by_key(|value| value.digest);
     values.dedup_by_key(|value| value.digest);
     Ok(StoredDocument { manifest: digest, values })
 }
 
-/// Puts a document together from its parts, which `value` looks up.
+/// Assembles a document from its parts, which `value` looks up by digest.
 pub fn join<'a>(
     version: ConfigVersion,
     manifest: &Manifest,
@@ -128,7 +129,7 @@
     Ok(Document { version, targets, rules })
 }
 
-/// Checks that `value` has its digest.
+/// Checks that `value` matches its digest.
 pub fn check_value(value: &StoredValue) -> Result<()> {
     if Digest::of(&value.value) != value.digest {
         return Err(Error::DigestMismatch);
--- a/crates/kumquatnotch-core/src/suspension.rs
+++ b/crates/kumquatnotch-core/src/suspension.rs
@@ -1,25 +1,25 @@
-//! The time for which this VM was suspended.
+//! Detection of VM suspensions.
 //!
-//! The steady clock of the system stands still while a VM is suspended, though time goes
-//! by for everyone else. A node that wakes would take an old lease, an old confirmation or
-//! an old request for fresh: it would pass on a booking whose caller has given up, and
-//! advise callers to use nodes that have ended. The boot clock goes on, so the lead that it
-//! gains over the steady clock tells for how long the VM stood still.
+//! The monotonic clock of the system does not advance while the VM is suspended. A resumed
+//! node would therefore treat an expired lease, confirmation or request as current: it would
+//! forward a booking whose caller has given up, and advise callers to use nodes that have
+//! ended. The boot-time clock includes suspended time, so the growth of its offset from the
+//! monotonic clock is the time for which the VM was suspended.
 
 use std::{sync::Mutex, time::Duration};
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// What the lead may differ by between two readings without a suspension.
+/// Largest growth of the clock offset that does not count as a suspension.
 ///
-/// The two clocks are read one after the other, and the process may be put aside in
-/// between; a lead that seems to grow is read again.
+/// The two clocks are read one after the other, and the process may be preempted in between;
+/// an offset that appears to grow is read again.
 const TOLERANCE: Duration = Duration::from_millis(50);
 
-/// How often the lead is read again at most to find one without a pause.
+/// Maximum number of offset readings per update, to obtain one without a preemption.
 const MAX_READINGS: usize = 4;
 
-/// How long the VM has been suspended since this process first asked.
+/// Returns the total time for which the VM was suspended since the first call in this process.
 pub fn suspended_time() -> Duration {
     static DETECTOR: Mutex<SuspensionDetector> = Mutex::new(SuspensionDetector::new());
     let mut detector = DETECTOR.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -31,7 +31,7 @@
     total
 }
 
-/// The lead of the boot clock over the steady one.
+/// Returns the offset of the boot-time clock from the monotonic clock.
 fn clock_offset() -> Duration {
     let steady = to_duration(clock_gettime(ClockId::Monotonic));
     to_duration(clock_gettime(ClockId::Boottime)).saturating_sub(steady)
@@ -41,7 +41,7 @@
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// What the lead of the boot clock tells.
+/// Derives the suspended time from readings of the clock offset.
 #[derive(Debug, Default)]
 pub struct SuspensionDetector {
     baseline: Option<Duration>,
@@ -49,15 +49,15 @@
 }
 
 impl SuspensionDetector {
-    /// Without a reading yet.
+    /// Creates a detector that takes its first reading as the baseline.
     pub const fn new() -> SuspensionDetector {
         SuspensionDetector { baseline: None, total: Duration::ZERO }
     }
 
-    /// Reads the lead, up to `max_readings` times; how long the VM was suspended in all.
+    /// Reads the offset up to `max_readings` times and returns the total suspended time.
     ///
-    /// A pause between the two clocks of a reading makes the lead seem larger, never
-    /// smaller, so the least of a few readings counts.
+    /// A preemption between the two clock reads makes the offset appear larger, never smaller,
+    /// so the smallest of several readings is used.
     pub fn update(
         &mut self,
         mut read_offset: impl FnMut() -> Duration,
--- a/crates/kumquatnotch-core/src/target.rs
+++ b/crates/kumquatnotch-core/src/target.rs
@@ -1,7 +1,7 @@
-//! The border to targets.
+//! The interface to targets.
 //!
-//! A target is one replica process of a vendor. Its own report of state and
-//! load is taken as a hint only: it lags or misleads.
+//! A target is one replica process of a vendor. Its own report of state and load
+//! is only a hint, since it may be stale or wrong.
 
 use std::time::{Duration, Instant};
 
@@ -14,13 +14,13 @@
     query::Hit,
 };
 
-/// The way to targets.
+/// A client for targets.
 pub trait Targets {
     /// Sends `call` to the target and waits for its reply until the deadline.
     ///
-    /// Dropping the future asks the target to cancel the call. An error for
-    /// which [`crate::Error::is_not_run`] holds is certain: the target has not
-    /// run the call and will not.
+    /// Dropping the future asks the target to cancel the call. After an error for
+    /// which [`crate::Error::is_not_run`] holds, it is certain that the target has
+    /// not run the call and will not run it.
     fn call<'a>(
         &'a self,
         name: &'a TargetName,
@@ -29,7 +29,7 @@
         deadline: Instant,
     ) -> LocalFuture<'a, Result<TargetReply>>;
 
-    /// Asks the target for its state.
+    /// Requests the status of the target.
     fn probe<'a>(
         &'a self,
         name: &'a TargetName,
@@ -37,18 +37,18 @@
         deadline: Instant,
     ) -> LocalFuture<'a, Result<TargetStatus>>;
 
-    /// Drops what is kept open to the target.
+    /// Closes the connections to the target.
     fn disconnect(&self, name: &TargetName);
 }
 
 /// A request to one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetCall {
-    /// The id under which it can be cancelled.
+    /// The id by which the call can be cancelled.
     pub id: u64,
     /// The shard asked for.
     pub shard: ShardName,
-    /// The snapshot it must be answered from; `None` for an exclusive request.
+    /// The snapshot that it must be answered from; `None` for an exclusive request.
     pub version: Option<IndexVersion>,
     /// The tenant it runs for.
     pub tenant: TenantName,
@@ -56,7 +56,7 @@
     pub class: Class,
     /// The query as JSON text.
     pub body: String,
-    /// How many hits to return.
+    /// Maximum number of hits to return.
     pub limit: u32,
     /// Whether the request changes state and must run at most once.
     pub exclusive: bool,
@@ -71,26 +71,26 @@
     /// The result of an exclusive request.
     #[serde(default)]
     pub result: serde_json::Value,
-    /// The version it was answered from.
+    /// The version that it was answered from.
     #[serde(default)]
     pub version: IndexVersion,
-    /// The requests that waited or ran when this one ended, by its own word.
+    /// Number of requests queued or running when this one ended, as reported by the target.
     #[serde(default)]
     pub load: u32,
 }
 
-/// What a target says of itself.
+/// The status that a target reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// Its phase.
+    /// The phase of the target.
     pub phase: Phase,
-    /// The requests that wait or run, by its own word.
+    /// Number of requests queued or running.
     #[serde(default)]
     pub load: u32,
-    /// The versions of the index it holds.
+    /// The index versions that the target holds.
     #[serde(default)]
     pub held: Vec<HeldVersion>,
-    /// One life of its process.
+    /// The incarnation of the target process.
     #[serde(default)]
     pub incarnation: u64,
 }
@@ -99,26 +99,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It serves, but slowly until its caches are warm.
+    /// Serves, but slowly until its caches are warm.
     Cold,
-    /// It serves.
+    /// Serves normally.
     Ready,
-    /// It ends what it runs and takes no new work.
+    /// Finishes running requests and takes no new ones.
     Draining,
 }
 
-/// A version of the index that a target holds.
+/// An index version that a target holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldVersion {
     /// The version.
     pub version: IndexVersion,
-    /// The shard it holds at that version.
+    /// The shard that the target serves at that version.
     pub shard: ShardName,
     /// The collection whose shards make up the version.
     pub collection: String,
-    /// How many shards the collection has at that version.
+    /// Number of shards of the collection at that version.
     pub total: u32,
 }
 
-/// The least time left that makes a call to a target worth sending.
+/// Minimum time left for which a call is sent to a target.
 pub const MIN_CALL_TIME: Duration = Duration::from_millis(1);
--- a/crates/kumquatnotch-core/src/ticket.rs
+++ b/crates/kumquatnotch-core/src/ticket.rs
@@ -1,8 +1,8 @@
 //! Tickets of non-idempotent requests.
 //!
 //! A ticket names the node and the incarnation that issued it. Only that
-//! incarnation runs the request, once; a node that is given a ticket of another
-//! passes it on there. The text form is what callers keep and send.
+//! incarnation runs the request, at most once; other nodes forward the request to
+//! it. Callers store and send tickets in text form.
 
 use std::{fmt, str::FromStr};
 
@@ -18,13 +18,13 @@
 pub struct Ticket {
     /// The node that issued it.
     pub issuer: NodeName,
-    /// The life of that node.
+    /// The incarnation of that node.
     pub incarnation: Incarnation,
-    /// Its number there.
+    /// The serial number of the ticket at its issuer.
     pub serial: u64,
-    /// When it was issued, in milliseconds of the issuer's own clock since its start.
+    /// Time of issue, in milliseconds of the issuer's own clock since its start.
     pub issued_ms: u64,
-    /// A seal by which the issuer knows its own tickets and their tenant.
+    /// Keyed hash by which the issuer verifies that it issued the ticket to the tenant.
     pub seal: u64,
 }
 
@@ -67,13 +67,13 @@
     pub ticket: String,
     /// The tenant it runs for.
     pub tenant: TenantName,
-    /// The selector that says what it may reach.
+    /// The selector of the targets that the request may reach.
     pub selector: SelectorName,
     /// The key by which the shard is chosen.
     pub key: String,
-    /// The request as JSON text, passed to the target as it is.
+    /// The request as JSON text, passed to the target unchanged.
     pub body: String,
-    /// The time the caller waits, in milliseconds.
+    /// Time that the caller waits, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -81,8 +81,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It ran; this is its result.
+    /// The request ran, with this result.
     Done(serde_json::Value),
-    /// It failed; [`Error::is_not_run`] tells whether it certainly did not run.
+    /// The request failed; if [`Error::is_not_run`] holds, it certainly did not run.
     Failed(Error),
 }
--- a/crates/kumquatnotch-core/src/vms.rs
+++ b/crates/kumquatnotch-core/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, where it keeps one.
+//! The list of VMs that some platforms keep in their store.
 
 use std::net::SocketAddr;
 
@@ -6,22 +6,22 @@
 
 use crate::{Result, Store, codec, ids::DataCentre};
 
-/// The key under which the list lies in the store.
+/// The key of the list in the store.
 pub const VMS_KEY: &str = "vms";
 
-/// A VM as the platform lists it.
+/// A VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Where the node on it listens for peers.
+    /// The peer address of the node on it.
     pub peer: SocketAddr,
     /// Its data centre.
     pub centre: DataCentre,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Reads the list, which lags; it is empty on a platform that keeps none.
+/// Reads the list, which may be out of date; empty if the platform keeps none.
 pub async fn read_vms(store: &dyn Store) -> Result<Vec<Vm>> {
     match store.read(VMS_KEY).await? {
         Some(item) => codec::decode(&item.value),
