--- a/crates/kumquatnotch-core/tests/properties.rs
+++ b/crates/kumquatnotch-core/tests/properties.rs
@@ -59,13 +59,13 @@
     #[test]
     fn ticket_round_trips_through_text(
         issuer in "[a-z][a-z0-9.-]{0,12}",
-        life in any::<u64>(),
+        incarnation in any::<u64>(),
         serial in any::<u64>(),
         issued in any::<u64>(),
         seal in any::<u64>(),
     ) {
         let issuer = NodeName::from(issuer.as_str());
-        let incarnation = Incarnation(life);
+        let incarnation = Incarnation(incarnation);
         let ticket = Ticket { issuer, incarnation, serial, issued_ms: issued, seal };
 
         prop_assert_eq!(ticket.to_string().parse::<Ticket>(), Ok(ticket));
