--- a/crates/kumquatnotch-core/src/suspension.rs
+++ b/crates/kumquatnotch-core/src/suspension.rs
@@ -33,8 +33,8 @@
 
 /// Returns the offset of the boot-time clock from the monotonic clock.
 fn clock_offset() -> Duration {
-    let steady = to_duration(clock_gettime(ClockId::Monotonic));
-    to_duration(clock_gettime(ClockId::Boottime)).saturating_sub(steady)
+    let monotonic = to_duration(clock_gettime(ClockId::Monotonic));
+    to_duration(clock_gettime(ClockId::Boottime)).saturating_sub(monotonic)
 }
 
 fn to_duration(time: Timespec) -> Duration {
