--- a/crates/kumquatnotch-daemon/src/lib.rs
+++ b/crates/kumquatnotch-daemon/src/lib.rs
@@ -1,10 +1,10 @@
-//! What every daemon of the project needs from its process: its start and end,
-//! metrics, signals, settings that change, and logs that never hold it up.
+//! Process-level support for the daemons of the project: start-up and exit codes,
+//! metrics, signals, watched settings files, and non-blocking logs.
 
 #![forbid(unsafe_code)]
 
 pub mod logs;
-pub mod meters;
 pub mod process;
+pub mod prometheus;
 pub mod signals;
 pub mod watched_file;
