--- a/crates/history/src/cluster.rs
+++ b/crates/history/src/cluster.rs
@@ -17,7 +17,7 @@
     vms::Vm,
 };
 use serde::{Deserialize, Serialize};
-use standin_store::faults::StoreChange;
+use standin_store::faults::StoreFaultChange;
 use standins::{
     faults::FaultChange,
     http::Client,
@@ -166,7 +166,7 @@
     }
 
     /// Changes faults of the platform.
-    pub async fn change_platform(&self, change: &StoreChange) -> io::Result<()> {
+    pub async fn change_platform(&self, change: &StoreFaultChange) -> io::Result<()> {
         control(self.platform, "/standin/faults", change).await
     }
 
--- a/crates/history/src/runner.rs
+++ b/crates/history/src/runner.rs
@@ -5,7 +5,7 @@
 use futures_util::future::{LocalBoxFuture, join_all};
 use kumquatnotch_core::ids::{IndexVersion, ShardName};
 use monoio::time::Instant;
-use standin_store::faults::{Calls, StoreChange};
+use standin_store::faults::{Calls, StoreFaultChange};
 use standins::{http::Client, records::RunLog, relay::LinkChange};
 
 use crate::{
@@ -137,12 +137,12 @@
         ..LinkChange::default()
     };
     run.cluster.change_links(&whole).await?;
-    let mend = StoreChange {
+    let mend = StoreFaultChange {
         outage: Some(false),
         hang: Some(false),
         lose_replies: Some(0),
         delay_ms: Some(2),
-        ..StoreChange::default()
+        ..StoreFaultChange::default()
     };
     run.cluster.change_platform(&mend).await?;
     monoio::time::sleep(Duration::from_millis(SETTLE_MS)).await;
--- a/crates/history/src/world_faults.rs
+++ b/crates/history/src/world_faults.rs
@@ -7,7 +7,7 @@
     random::Random,
     target::Phase,
 };
-use standin_store::faults::StoreChange;
+use standin_store::faults::StoreFaultChange;
 use standins::{faults::FaultChange, now_us};
 
 use crate::{
@@ -94,17 +94,17 @@
         match random.below(4) {
             0 => {
                 run.record("platform out", "");
-                let out = |outage| StoreChange { outage: Some(outage), ..Default::default() };
+                let out = |outage| StoreFaultChange { outage: Some(outage), ..Default::default() };
                 disturb_for(&run, span, out(true), out(false)).await;
             }
             1 => {
                 run.record("platform hangs", "");
-                let hang = |hang| StoreChange { hang: Some(hang), ..Default::default() };
+                let hang = |hang| StoreFaultChange { hang: Some(hang), ..Default::default() };
                 disturb_for(&run, span, hang(true), hang(false)).await;
             }
             2 => {
                 run.record("platform slow", "");
-                let slow = |delay| StoreChange { delay_ms: Some(delay), ..Default::default() };
+                let slow = |delay| StoreFaultChange { delay_ms: Some(delay), ..Default::default() };
                 change_platform(&run, slow(200)).await;
                 run.sleep_ms(span).await;
                 change_platform(&run, slow(2)).await;
@@ -112,13 +112,14 @@
             _ => {
                 run.record("reply to a write lost", "");
                 let lose_replies = Some(1 + random.below(4) as u32);
-                change_platform(&run, StoreChange { lose_replies, ..Default::default() }).await;
+                change_platform(&run, StoreFaultChange { lose_replies, ..Default::default() })
+                    .await;
             }
         }
     }
 }
 
-async fn disturb_for(run: &Run, span: u64, make: StoreChange, mend: StoreChange) {
+async fn disturb_for(run: &Run, span: u64, make: StoreFaultChange, mend: StoreFaultChange) {
     let from_us = now_us();
     change_platform(run, make).await;
     run.sleep_ms(span).await;
@@ -181,7 +182,7 @@
     }
 }
 
-async fn change_platform(run: &Run, change: StoreChange) {
+async fn change_platform(run: &Run, change: StoreFaultChange) {
     if let Err(error) = run.cluster.change_platform(&change).await {
         eprintln!("history: a fault could not be made: {error}");
     }
--- a/crates/kumquatnotch-ctl/tests/ctl.rs
+++ b/crates/kumquatnotch-ctl/tests/ctl.rs
@@ -14,7 +14,7 @@
     time::Duration,
 };
 
-use standin_store::{StoreServer, faults::StoreChange};
+use standin_store::{StoreServer, faults::StoreFaultChange};
 
 /// How often the platform's thread looks whether it should end.
 const LOOK_GAP: Duration = Duration::from_millis(20);
@@ -28,7 +28,7 @@
 }
 
 impl Bench {
-    fn start(name: &str, change: StoreChange) -> Bench {
+    fn start(name: &str, change: StoreFaultChange) -> Bench {
         let stop = Arc::new(AtomicBool::new(false));
         let (sender, receiver) = mpsc::channel();
         let ends = stop.clone();
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_document_is_applied_shown_and_returned_to() {
-    let bench = Bench::start("return", StoreChange::default());
+    let bench = Bench::start("return", StoreFaultChange::default());
     let (one, two) = (bench.document(1), bench.document(2));
 
     let first = bench.run(&["apply", &one, "--base", "0"]);
@@ -105,7 +105,7 @@
     // Two operators start from version 1. One applies a target; the other, whose
     // checkout lacks it, applies next. Taken as it is, the second would remove
     // the first one's target without anybody having asked for that.
-    let bench = Bench::start("older", StoreChange::default());
+    let bench = Bench::start("older", StoreFaultChange::default());
     let (one, two, three) = (bench.document(1), bench.document(2), bench.document(3));
     bench.run(&["apply", &one, "--base", "0"]);
 
@@ -122,7 +122,7 @@
     // The platform stores each of the five values, the head last, and every reply
     // is lost. The operator must be told "accepted", once, and the history must
     // not show the change twice.
-    let change = StoreChange { lose_replies: Some(5), ..StoreChange::default() };
+    let change = StoreFaultChange { lose_replies: Some(5), ..StoreFaultChange::default() };
     let bench = Bench::start("lost", change);
     let one = bench.document(1);
 
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_faulty_document_is_refused_with_every_fault() {
-    let bench = Bench::start("faulty", StoreChange::default());
+    let bench = Bench::start("faulty", StoreFaultChange::default());
     let path = bench.folder.join("faulty.toml");
     let text_of = "[targets.t0]\naddress = \"here\"\ncentre = \"amman\"\nshard = 7\n";
     fs::write(&path, text_of).unwrap();
@@ -150,7 +150,7 @@
 
 #[test]
 fn help_names_every_command() {
-    let bench = Bench::start("help", StoreChange::default());
+    let bench = Bench::start("help", StoreFaultChange::default());
 
     let help = text(&bench.run(&["--help"]));
 
