--- a/crates/kumquatnotch-route/src/advice.rs
+++ b/crates/kumquatnotch-route/src/advice.rs
@@ -16,7 +16,7 @@
 };
 
 /// The most nodes that are advised.
-const MOST_NODES: usize = 64;
+const MAX_NODES: usize = 64;
 
 /// A node that may be advised.
 pub type Candidate = (NodeName, NodeRecord);
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 pub struct HostAdvice {
     regions: HashMap<Region, Vec<Candidate>>,
-    elsewhere: Vec<Candidate>,
+    fallback: Vec<Candidate>,
 }
 
 impl HostAdvice {
@@ -37,24 +37,24 @@
         nodes: &[Candidate],
         regions: &HashMap<DataCentre, Region>,
     ) -> HostAdvice {
-        let held = held(host, table, directory, regions);
+        let held = shards_held(host, table, directory, regions);
         let places: Vec<NodePlace<'_>> = nodes.iter().map(|(_, node)| node.place()).collect();
         let all: HashSet<&Region> = regions.values().collect();
         let advised = all.into_iter().map(|region| {
             let chosen = held.choose(region, &places);
             (region.clone(), chosen.into_iter().map(|place| nodes[place].clone()).collect())
         });
-        HostAdvice { regions: advised.collect(), elsewhere: nodes.to_vec() }
+        HostAdvice { regions: advised.collect(), fallback: nodes.to_vec() }
     }
 
     /// All nodes for all callers.
-    pub fn of_all(nodes: &[Candidate]) -> HostAdvice {
-        HostAdvice { regions: HashMap::default(), elsewhere: nodes.to_vec() }
+    pub fn all_nodes(nodes: &[Candidate]) -> HostAdvice {
+        HostAdvice { regions: HashMap::default(), fallback: nodes.to_vec() }
     }
 
     /// The nodes for callers of `region`.
     pub fn nodes_for(&self, region: &Region) -> &[Candidate] {
-        self.regions.get(region).unwrap_or(&self.elsewhere)
+        self.regions.get(region).unwrap_or(&self.fallback)
     }
 
     /// Where the nodes for callers of `region` take them.
@@ -62,24 +62,24 @@
         let mut addresses: Vec<SocketAddr> =
             self.nodes_for(region).iter().map(|(_, node)| node.entry).collect();
         addresses.sort_unstable();
-        addresses.truncate(MOST_NODES);
+        addresses.truncate(MAX_NODES);
         addresses
     }
 
     /// Whether callers of other regions are advised to use nodes of `region`.
-    pub fn has_guests(&self, region: &Region) -> bool {
+    pub fn serves_other_regions(&self, region: &Region) -> bool {
         let mut others = self.regions.iter().filter(|(other, _)| *other != region);
         others.any(|(_, nodes)| nodes.iter().any(|(_, node)| node.region == *region))
     }
 
     /// The nodes that callers of some region are advised to use.
-    pub fn serving(&self) -> impl Iterator<Item = &NodeName> {
+    pub fn advised_nodes(&self) -> impl Iterator<Item = &NodeName> {
         self.regions.values().flatten().map(|(name, _)| name)
     }
 }
 
 /// The share of the shards of a host that each place holds.
-fn held(
+fn shards_held(
     host: &str,
     table: &RouteTable,
     directory: &Directory,
@@ -111,26 +111,26 @@
 /// The advice for the hosts that were asked for, and for what it holds.
 #[derive(Debug, Default)]
 pub struct AdviceCache {
-    valid_for: (u64, u64, u64),
+    input_versions: (u64, u64, u64),
     hosts: HashMap<String, Rc<HostAdvice>>,
 }
 
 impl AdviceCache {
-    /// The advice for `host`, worked out anew if `valid_for` has changed.
+    /// The advice for `host`, worked out anew if `input_versions` has changed.
     pub fn get(
         &mut self,
         host: &str,
-        valid_for: (u64, u64, u64),
-        work_out: impl FnOnce() -> HostAdvice,
+        input_versions: (u64, u64, u64),
+        compute: impl FnOnce() -> HostAdvice,
     ) -> Rc<HostAdvice> {
-        if self.valid_for != valid_for {
+        if self.input_versions != input_versions {
             self.hosts.clear();
-            self.valid_for = valid_for;
+            self.input_versions = input_versions;
         }
         if let Some(advice) = self.hosts.get(host) {
             return advice.clone();
         }
-        let advice = Rc::new(work_out());
+        let advice = Rc::new(compute());
         self.hosts.insert(host.to_owned(), advice.clone());
         advice
     }
--- a/crates/kumquatnotch-route/src/announce.rs
+++ b/crates/kumquatnotch-route/src/announce.rs
@@ -30,12 +30,12 @@
 const FAILURE_PAUSE: Duration = Duration::from_millis(500);
 
 /// How often a node that has just started looks whether it knows the others.
-const START_PERIOD: Duration = Duration::from_millis(20);
+const START_POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// How often a node on standby looks whether it is needed, before jitter.
 ///
 /// When larger nodes end, their entries go within the time of a lease; this adds little.
-const STANDBY_PERIOD: Duration = Duration::from_millis(400);
+const STANDBY_POLL_PERIOD: Duration = Duration::from_millis(400);
 
 /// How many renewals in a row a node must not be needed for its entry to lapse.
 ///
@@ -43,7 +43,7 @@
 const STANDBY_RENEWALS: u32 = 10;
 
 /// How long the own entry may be missing in the mirror before it is written anew.
-const MISSING_PERIODS: u32 = 2;
+const MISSING_RENEWALS: u32 = 2;
 
 /// Announces this node.
 pub struct Announcer {
@@ -87,9 +87,9 @@
     async fn run(self: Rc<Announcer>) {
         let clock = self.router.clock.clone();
         while self.router.lifecycle.stage() < Stage::Leaving {
-            self.await_need().await;
+            self.wait_until_needed().await;
             match self.announce().await {
-                Ok(lease) => self.hold(lease).await,
+                Ok(lease) => self.maintain_lease(lease).await,
                 Err(error) => {
                     tracing::warn!(code = error.code(), "announce: failed: {error}");
                     let pause = self.router.random.jitter(FAILURE_PAUSE);
@@ -100,10 +100,10 @@
     }
 
     /// Waits until the others need to know this node.
-    async fn await_need(&self) {
+    async fn wait_until_needed(&self) {
         let clock = &*self.router.clock;
-        while !self.router.is_placed() {
-            clock::sleep(clock, START_PERIOD).await;
+        while !self.router.are_nodes_known() {
+            clock::sleep(clock, START_POLL_PERIOD).await;
         }
         let mut waited = false;
         while !self.is_needed() && self.router.lifecycle.stage() < Stage::Leaving {
@@ -111,7 +111,7 @@
                 tracing::info!("announce: on standby, as larger nodes serve");
             }
             waited = true;
-            clock::sleep(clock, self.router.random.jitter(STANDBY_PERIOD)).await;
+            clock::sleep(clock, self.router.random.jitter(STANDBY_POLL_PERIOD)).await;
         }
     }
 
@@ -135,12 +135,12 @@
     }
 
     /// Renews the lease until it or the entry is lost.
-    async fn hold(&self, lease: StoreLease) {
+    async fn maintain_lease(&self, lease: StoreLease) {
         let clock = &*self.router.clock;
-        let losses = self.mirror.entries.losses_of(&self.name);
+        let removals = self.mirror.entries.removals_of(&self.name);
         let mut missing = 0;
         let mut unneeded = 0;
-        let mut told = Vec::new();
+        let mut published = Vec::new();
         while self.router.lifecycle.stage() < Stage::Leaving {
             clock::sleep(clock, RENEW_PERIOD).await;
             match self.store.renew(lease.id).await {
@@ -149,14 +149,14 @@
                     return;
                 }
                 Err(error) => {
-                    self.mirror.note_trouble();
+                    self.mirror.note_store_failure();
                     tracing::info!(code = error.code(), "announce: not renewed: {error}");
                 }
                 // A watch may return only seconds later, and would count as the end of an
                 // outage then: what leaves until some time after that would be used on.
-                Ok(()) => self.mirror.note_answer(),
+                Ok(()) => self.mirror.note_store_answer(),
             }
-            self.tell_crashes(lease, &mut told).await;
+            self.publish_crashes(lease, &mut published).await;
             unneeded = if self.is_needed() { 0 } else { unneeded + 1 };
             if unneeded >= STANDBY_RENEWALS {
                 tracing::info!(lease = lease.id, "announce: the lease is left to end");
@@ -164,9 +164,9 @@
                 return;
             }
             // The write may not have reached the mirror yet, so it has some time.
-            let lost = self.mirror.entries.losses_of(&self.name) != losses;
+            let removed = self.mirror.entries.removals_of(&self.name) != removals;
             missing = if self.mirror.entries.has_node(&self.name) { 0 } else { missing + 1 };
-            if lost && missing >= MISSING_PERIODS {
+            if removed && missing >= MISSING_RENEWALS {
                 tracing::warn!(lease = lease.id, "announce: the entry was taken away");
                 return;
             }
@@ -174,13 +174,13 @@
     }
 
     /// Tells the other nodes of crashes, if there are others than those `told`.
-    async fn tell_crashes(&self, lease: StoreLease, told: &mut Vec<Crash>) {
+    async fn publish_crashes(&self, lease: StoreLease, published: &mut Vec<Crash>) {
         let crashes = self.router.crashes.told();
-        if crashes == *told {
+        if crashes == *published {
             return;
         }
         match self.write_crashes(lease, &crashes).await {
-            Ok(()) => *told = crashes,
+            Ok(()) => *published = crashes,
             // They are told with the next renewal.
             Err(error) => {
                 tracing::info!(code = error.code(), "announce: crashes not told: {error}");
--- a/crates/kumquatnotch-route/src/bulk.rs
+++ b/crates/kumquatnotch-route/src/change_summary.rs
@@ -9,10 +9,10 @@
 use std::cell::Cell;
 
 /// From how many entries at once they are told by their number.
-const LEAST_ENTRIES: usize = 8;
+const MIN_ENTRIES: usize = 8;
 
 /// How many replicas that leave are named among entries that are told by their number.
-const MOST_NAMED: u64 = 16;
+const MAX_NAMED_REPLICAS: u64 = 16;
 
 /// What is known of an entry that came or went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,20 +41,20 @@
 
 /// Counts entries while many come at once.
 #[derive(Debug, Default)]
-pub struct Bulk {
+pub struct ChangeSummary {
     counts: Cell<Option<Counts>>,
 }
 
-impl Bulk {
+impl ChangeSummary {
     /// Begins to count if `entries` are many.
     pub fn begin(&self, entries: usize) {
-        if entries >= LEAST_ENTRIES {
+        if entries >= MIN_ENTRIES {
             self.counts.set(Some(Counts::default()));
         }
     }
 
     /// Counts a change; whether that is enough, so that it needs no line of its own.
-    pub fn takes(&self, change: Change) -> bool {
+    pub fn coalesce(&self, change: Change) -> bool {
         let Some(mut counts) = self.counts.get() else {
             return false;
         };
@@ -66,8 +66,8 @@
             Change::NodeGone => &mut counts.nodes_gone,
         };
         *count += 1;
-        let is_named =
-            matches!(change, Change::Draining | Change::ReplicaGone) && *count <= MOST_NAMED;
+        let is_named = matches!(change, Change::Draining | Change::ReplicaGone)
+            && *count <= MAX_NAMED_REPLICAS;
         self.counts.set(Some(counts));
         !is_named
     }
--- a/crates/kumquatnotch-route/src/directory.rs
+++ b/crates/kumquatnotch-route/src/directory.rs
@@ -16,7 +16,7 @@
 
 /// What an entry of a replica is beside what was known of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Put {
+pub enum PutOutcome {
     /// The same replica, or a new one.
     Known,
     /// It has started again under its name.
@@ -27,13 +27,13 @@
     Stale,
 }
 
-impl Put {
-    fn over(known: &ReplicaSpec, new: &ReplicaSpec) -> Put {
+impl PutOutcome {
+    fn compare(known: &ReplicaSpec, new: &ReplicaSpec) -> PutOutcome {
         match (known.born, new.born) {
-            (Some(known), Some(new)) if new < known => Put::Stale,
-            (known, new) if known != new => Put::Restarted,
-            _ if known.service != new.service || known.address != new.address => Put::Moved,
-            _ => Put::Known,
+            (Some(known), Some(new)) if new < known => PutOutcome::Stale,
+            (known, new) if known != new => PutOutcome::Restarted,
+            _ if known.service != new.service || known.address != new.address => PutOutcome::Moved,
+            _ => PutOutcome::Known,
         }
     }
 }
@@ -58,27 +58,27 @@
     /// One that has started again under its name holds nothing of before: connections to
     /// its earlier life are dead, and what was learned of it says nothing. If it went on
     /// being used, the first requests would be lost on those connections.
-    pub fn put(&self, id: &ReplicaId, spec: ReplicaSpec, now: Instant) -> Put {
+    pub fn put(&self, id: &ReplicaId, spec: ReplicaSpec, now: Instant) -> PutOutcome {
         let known = self.replicas.borrow().get(id).cloned();
-        let mut put = Put::Known;
+        let mut put = PutOutcome::Known;
         if let Some(replica) = known {
-            put = Put::over(&replica.spec(), &spec);
+            put = PutOutcome::compare(&replica.spec(), &spec);
             match put {
                 // A write that was on its way while it started again.
-                Put::Stale => return put,
-                Put::Known => {
+                PutOutcome::Stale => return put,
+                PutOutcome::Known => {
                     replica.update(spec);
                     self.note_change();
                     return put;
                 }
-                Put::Restarted | Put::Moved => self.remove(id),
+                PutOutcome::Restarted | PutOutcome::Moved => self.remove(id),
             }
         }
         let service = spec.service.clone();
         let distance = self.distances.to(&spec.centre);
         let replica = Rc::new(Replica::new(id.clone(), spec, distance, now));
         self.replicas.borrow_mut().insert(id.clone(), replica.clone());
-        self.list(&service, &replica.id, Some(replica.clone()));
+        self.update_service(&service, &replica.id, Some(replica.clone()));
         put
     }
 
@@ -89,7 +89,7 @@
         };
         replica.set_gone();
         let service = replica.spec().service.clone();
-        self.list(&service, id, None);
+        self.update_service(&service, id, None);
     }
 
     /// A replica.
@@ -131,7 +131,7 @@
     /// Only this list is gone through: a node refuses its callers until it has put all
     /// replicas. Going through all of them for each took 10 s for 10,000 replicas in a
     /// debug build, and takes less than half a second this way.
-    fn list(&self, service: &ServiceName, id: &ReplicaId, replica: Option<Rc<Replica>>) {
+    fn update_service(&self, service: &ServiceName, id: &ReplicaId, replica: Option<Rc<Replica>>) {
         self.note_change();
         let mut services = self.services.borrow_mut();
         let listed = services.get(service).into_iter().flat_map(|list| list.iter());
--- a/crates/kumquatnotch-route/src/entries.rs
+++ b/crates/kumquatnotch-route/src/entries.rs
@@ -21,9 +21,9 @@
 
 use crate::{
     advice::Candidate,
-    bulk::{Bulk, Change},
+    change_summary::{Change, ChangeSummary},
     crash_check,
-    directory::Put,
+    directory::PutOutcome,
     replica::Replica,
     route::RouteTable,
     router::Router,
@@ -31,10 +31,10 @@
 };
 
 /// How many replicas must vanish in one answer to count as a lapse.
-const LAPSE_COUNT: usize = 4;
+const MASS_EXPIRY_COUNT: usize = 4;
 
 /// Which share of all entries they must be.
-const LAPSE_SHARE: f64 = 0.15;
+const MASS_EXPIRY_SHARE: f64 = 0.15;
 
 /// How often it is looked for entries to drop.
 const SWEEP_PERIOD: Duration = Duration::from_millis(200);
@@ -44,31 +44,31 @@
     router: Rc<Router>,
     schema: Rc<dyn Schema>,
     /// How long an entry that vanished around an outage is kept.
-    keep: Duration,
+    retention: Duration,
     /// The keys that are known to exist.
     known: RefCell<HashSet<EntryKey>>,
     /// The keys that vanished around an outage, and when they are dropped.
     vanished: RefCell<HashMap<EntryKey, Instant>>,
     /// Whether nodes whose entries vanish are kept until further notice.
-    holds_nodes: Cell<bool>,
+    node_removal_suspended: Cell<bool>,
     /// How often the entry of each node was seen to vanish.
-    losses: RefCell<HashMap<NodeName, u64>>,
+    removals: RefCell<HashMap<NodeName, u64>>,
     /// What is told by numbers, as much changes at once.
-    bulk: Bulk,
+    summary: ChangeSummary,
 }
 
 impl Entries {
     /// No entries, of which those that vanish around an outage are kept for `keep`.
-    pub fn new(router: Rc<Router>, schema: Rc<dyn Schema>, keep: Duration) -> Entries {
+    pub fn new(router: Rc<Router>, schema: Rc<dyn Schema>, retention: Duration) -> Entries {
         Entries {
             router,
             schema,
-            keep,
+            retention,
             known: RefCell::default(),
             vanished: RefCell::default(),
-            holds_nodes: Cell::new(false),
-            losses: RefCell::default(),
-            bulk: Bulk::default(),
+            node_removal_suspended: Cell::new(false),
+            removals: RefCell::default(),
+            summary: ChangeSummary::default(),
         }
     }
 
@@ -88,8 +88,8 @@
     }
 
     /// How often the entry of node `name` has vanished.
-    pub fn losses_of(&self, name: &NodeName) -> u64 {
-        self.losses.borrow().get(name).copied().unwrap_or_default()
+    pub fn removals_of(&self, name: &NodeName) -> u64 {
+        self.removals.borrow().get(name).copied().unwrap_or_default()
     }
 
     /// The nodes of the tier that a scan names.
@@ -108,39 +108,40 @@
     }
 
     /// Takes over some of what the store holds.
-    pub fn put_some(&self, items: &[StoreItem]) {
-        self.bulk.begin(items.len());
-        items.iter().for_each(|item| drop(self.put(item)));
-        self.judge_vanished();
-        self.bulk.end();
+    pub fn apply_some(&self, items: &[StoreItem]) {
+        self.summary.begin(items.len());
+        items.iter().for_each(|item| drop(self.apply_item(item)));
+        self.classify_vanished();
+        self.summary.end();
     }
 
     /// Takes over everything that the store holds; what is missing is lost.
-    pub fn put_all(&self, items: &[StoreItem]) {
-        self.bulk.begin(items.len());
-        let seen: HashSet<EntryKey> = items.iter().filter_map(|item| self.put(item)).collect();
+    pub fn replace_all(&self, items: &[StoreItem]) {
+        self.summary.begin(items.len());
+        let seen: HashSet<EntryKey> =
+            items.iter().filter_map(|item| self.apply_item(item)).collect();
         let lost: Vec<EntryKey> = self.known.borrow().difference(&seen).cloned().collect();
-        lost.into_iter().for_each(|key| self.lose(key));
-        self.judge_vanished();
-        self.bulk.end();
+        lost.into_iter().for_each(|key| self.note_removed(key));
+        self.classify_vanished();
+        self.summary.end();
     }
 
     /// Takes over changes.
-    pub fn take_all(&self, events: &[&StoreEvent]) {
-        self.bulk.begin(events.len());
-        events.iter().for_each(|event| self.take(event));
-        self.judge_vanished();
-        self.bulk.end();
+    pub fn apply_events(&self, events: &[&StoreEvent]) {
+        self.summary.begin(events.len());
+        events.iter().for_each(|event| self.apply_event(event));
+        self.classify_vanished();
+        self.summary.end();
     }
 
-    fn take(&self, event: &StoreEvent) {
+    fn apply_event(&self, event: &StoreEvent) {
         match event {
             StoreEvent::Written(item) => {
-                self.put(item);
+                self.apply_item(item);
             }
             StoreEvent::Deleted { key, .. } => {
                 if let Some(key) = self.schema.read_key(key) {
-                    self.lose(key);
+                    self.note_removed(key);
                 }
             }
         }
@@ -150,14 +151,14 @@
     ///
     /// The store may have been away between two of its answers. Replicas and nodes
     /// that leave do so a few at a time, or say so before.
-    pub fn is_lapse(&self, events: &[StoreEvent]) -> bool {
+    pub fn is_mass_expiry(&self, events: &[StoreEvent]) -> bool {
         let deleted = events.iter().filter(|event| match event {
             StoreEvent::Written(_) => false,
             StoreEvent::Deleted { key, .. } => {
                 self.schema.read_key(key).is_some_and(|key| self.is_serving(&key))
             }
         });
-        are_lapsed(deleted.count(), self.known.borrow().len())
+        reaches_mass_expiry(deleted.count(), self.known.borrow().len())
     }
 
     /// Tells replicas that have probably left from those whose entries have lapsed.
@@ -166,18 +167,19 @@
     /// nobody sees when that was if it happens around an outage: kept like one whose entry
     /// lapsed, it got requests until then. Entries lapse many at a time, and if a service has
     /// no other replica, requests go to the one that vanished in any case.
-    fn judge_vanished(&self) {
+    fn classify_vanished(&self) {
         let vanished = self.vanished.borrow();
         let replicas: Vec<Rc<Replica>> =
             vanished.keys().filter_map(|key| self.replica(key)).collect();
-        let lapsed = are_lapsed(replicas.len(), self.known.borrow().len() + vanished.len());
+        let expired =
+            reaches_mass_expiry(replicas.len(), self.known.borrow().len() + vanished.len());
         for replica in replicas {
             let service = replica.spec().service.clone();
             let others = self.router.directory.of(&service);
             let mut others = others.iter().filter(|other| other.takes_requests());
             let has_other =
                 others.any(|other| !vanished.contains_key(&EntryKey::Replica(other.id.clone())));
-            replica.set_left(!lapsed && has_other);
+            replica.set_left(!expired && has_other);
         }
     }
 
@@ -195,13 +197,13 @@
     }
 
     /// Takes over an item; gives its key if it is something to this tier.
-    fn put(&self, item: &StoreItem) -> Option<EntryKey> {
+    fn apply_item(&self, item: &StoreItem) -> Option<EntryKey> {
         let key = self.schema.read_key(&item.key)?;
         let entry = match self.schema.read(item) {
             Ok(entry) => entry?,
             Err(error) => {
                 tracing::warn!(key = item.key, code = error.code(), "mirror: can't read: {error}");
-                self.pass_over(&key);
+                self.note_unreadable(&key);
                 return None;
             }
         };
@@ -211,7 +213,7 @@
         {
             replica.set_left(false);
         }
-        self.apply(entry, item.revision);
+        self.apply_entry(entry, item.revision);
         Some(key)
     }
 
@@ -220,24 +222,24 @@
     /// A replica whose entry another writer has taken is not used any more, also while
     /// vanished entries are kept: the address that was known may be another's by now. It
     /// writes its entry anew if it lives. What else was known holds.
-    fn pass_over(&self, key: &EntryKey) {
+    fn note_unreadable(&self, key: &EntryKey) {
         if matches!(key, EntryKey::Replica(_)) && self.known.borrow_mut().remove(key) {
             self.drop_entry(key, "its entry can't be read");
         }
         self.vanished.borrow_mut().remove(key);
     }
 
-    fn apply(&self, entry: Entry, revision: u64) {
+    fn apply_entry(&self, entry: Entry, revision: u64) {
         let router = &self.router;
         match entry {
             Entry::Config(config) => {
                 let version = config.version;
-                let in_force = router.put_in_force(RouteTable::new(config));
+                let in_force = router.install_table(RouteTable::new(config));
                 tracing::info!(version, revision, in_force, "mirror: a configuration came");
             }
             Entry::Replica(id, spec) => {
                 let change = if spec.draining { Change::Draining } else { Change::Replica };
-                if !self.bulk.takes(change) {
+                if !self.summary.coalesce(change) {
                     tracing::info!(
                         replica = id.as_str(),
                         service = spec.service.as_str(),
@@ -248,7 +250,7 @@
                     );
                 }
                 let put = router.directory.put(&id, spec, router.clock.now());
-                if put != Put::Known {
+                if put != PutOutcome::Known {
                     tracing::info!(
                         replica = id.as_str(),
                         ?put,
@@ -258,7 +260,7 @@
                 }
             }
             Entry::Node(name, record) => {
-                if !self.bulk.takes(Change::Node) {
+                if !self.summary.coalesce(Change::Node) {
                     let node = name.as_str();
                     tracing::info!(node, revision, "mirror: a node tells of itself");
                 }
@@ -282,36 +284,36 @@
     /// It turns others away as well, and these lose their entries as this one does, but serve
     /// on. If each of them counted only those that the store still serves, all together would
     /// send more repeats, and open more connections, than replicas bear.
-    pub fn hold_nodes(&self) {
-        self.holds_nodes.set(true);
+    pub fn suspend_node_removal(&self) {
+        self.node_removal_suspended.set(true);
     }
 
     /// Drops the nodes that were kept, unless they are back soon.
-    pub fn release_nodes(&self) {
-        if !self.holds_nodes.replace(false) {
+    pub fn resume_node_removal(&self) {
+        if !self.node_removal_suspended.replace(false) {
             return;
         }
-        let until = self.router.clock.now() + self.keep;
+        let until = self.router.clock.now() + self.retention;
         let mut vanished = self.vanished.borrow_mut();
         let held = vanished.iter_mut().filter(|(key, _)| matches!(key, EntryKey::Node(_)));
         held.for_each(|(_, due)| *due = until);
     }
 
-    fn is_held(&self, key: &EntryKey) -> bool {
-        self.holds_nodes.get() && matches!(key, EntryKey::Node(_))
+    fn is_removal_suspended(&self, key: &EntryKey) -> bool {
+        self.node_removal_suspended.get() && matches!(key, EntryKey::Node(_))
     }
 
     /// Notes that a key is not in the store any more.
-    fn lose(&self, key: EntryKey) {
+    fn note_removed(&self, key: EntryKey) {
         self.known.borrow_mut().remove(&key);
         if let EntryKey::Node(name) = &key {
-            *self.losses.borrow_mut().entry(name.clone()).or_default() += 1;
+            *self.removals.borrow_mut().entry(name.clone()).or_default() += 1;
         }
-        if self.router.lenient_for() == Duration::ZERO && !self.is_held(&key) {
+        if self.router.remaining_grace() == Duration::ZERO && !self.is_removal_suspended(&key) {
             self.drop_entry(&key, "left the store");
             return;
         }
-        let until = self.router.clock.now() + self.keep;
+        let until = self.router.clock.now() + self.retention;
         self.vanished.borrow_mut().insert(key, until);
     }
 
@@ -322,13 +324,13 @@
             // crashes stays true when the node that saw them ends.
             EntryKey::Config | EntryKey::Crashes(_) => {}
             EntryKey::Replica(id) => {
-                if !self.bulk.takes(Change::ReplicaGone) {
+                if !self.summary.coalesce(Change::ReplicaGone) {
                     tracing::info!(replica = id.as_str(), reason, "mirror: a replica is gone");
                 }
                 router.directory.remove(id);
             }
             EntryKey::Node(name) => {
-                if !self.bulk.takes(Change::NodeGone) {
+                if !self.summary.coalesce(Change::NodeGone) {
                     tracing::info!(node = name.as_str(), reason, "mirror: a node is gone");
                 }
                 router.fleet.remove(name);
@@ -343,20 +345,22 @@
             let now = self.router.clock.now();
             let due: Vec<EntryKey> = {
                 let vanished = self.vanished.borrow();
-                let due = vanished.iter().filter(|(key, at)| **at <= now && !self.is_held(key));
+                let due = vanished
+                    .iter()
+                    .filter(|(key, at)| **at <= now && !self.is_removal_suspended(key));
                 due.map(|(key, _)| key.clone()).collect()
             };
-            self.bulk.begin(due.len());
+            self.summary.begin(due.len());
             for key in due {
                 self.vanished.borrow_mut().remove(&key);
                 self.drop_entry(&key, "did not come back");
             }
-            self.bulk.end();
+            self.summary.end();
         }
     }
 }
 
-/// Whether `count` of `known` entries are so many that they must have lapsed.
-fn are_lapsed(count: usize, known: usize) -> bool {
-    count >= LAPSE_COUNT && count as f64 >= LAPSE_SHARE * known as f64
+/// Whether `count` of `known` entries are so many that they must have expired.
+fn reaches_mass_expiry(count: usize, known: usize) -> bool {
+    count >= MASS_EXPIRY_COUNT && count as f64 >= MASS_EXPIRY_SHARE * known as f64
 }
--- a/crates/kumquatnotch-route/src/fleet.rs
+++ b/crates/kumquatnotch-route/src/fleet.rs
@@ -109,7 +109,7 @@
     }
 
     /// The way to a node of which nothing but the address is known.
-    pub fn stranger(&self, peer: SocketAddr, now: Instant) -> Replica {
+    pub fn peer_at(&self, peer: SocketAddr, now: Instant) -> Replica {
         let centre = DataCentre::from("");
         let distance = self.distances.to(&centre);
         Replica::new(ReplicaId::from(&*peer.to_string()), peer_spec(peer, &centre), distance, now)
@@ -126,7 +126,7 @@
     }
 
     /// Of the nodes named, the one that has fewest requests of this one.
-    pub fn peer_of(&self, names: &[Candidate]) -> Option<Rc<Replica>> {
+    pub fn least_loaded_peer(&self, names: &[Candidate]) -> Option<Rc<Replica>> {
         let nodes = self.nodes.borrow();
         let named = names.iter().filter_map(|(name, _)| nodes.get(name));
         let usable = named.map(|node| &node.peer).filter(|peer| relay::is_usable(peer));
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -14,7 +14,7 @@
 use kumquatnotch_policy::mechanisms::Mechanism;
 use serde::{Deserialize, Serialize};
 
-use crate::{advice::Candidate, journal::Passage, relay, replica::Replica, router::Router};
+use crate::{advice::Candidate, journal::StoreUpdate, relay, replica::Replica, router::Router};
 
 /// Where nodes are followed.
 pub const FOLLOW_PATH: &str = "/v1/follow";
@@ -22,17 +22,17 @@
 /// How many nodes of each data centre watch the store.
 ///
 /// Two, so that one may end or be turned away by the store.
-pub const READERS: usize = 2;
+pub const READERS_PER_CENTRE: usize = 2;
 
 /// Up to how many nodes of a data centre all watch the store, in a small fleet.
 ///
 /// With so few, following saves less than it may cost in time.
-const SMALL_CENTRE: usize = 4;
+const SMALL_CENTRE_NODES: usize = 4;
 
 /// The most nodes of a small fleet.
 ///
 /// In a larger one, nodes that nobody needs to know follow as well.
-const SMALL_FLEET: usize = 12;
+const SMALL_FLEET_NODES: usize = 12;
 
 /// For how long a node counts as followed after another one has asked.
 const FOLLOWED_FOR: Duration = Duration::from_secs(5);
@@ -41,18 +41,18 @@
 pub const FOLLOW_WAIT: Duration = Duration::from_millis(1_500);
 
 /// What a follower's call for changes may take beyond its wait.
-const CHANGES_TIME: Duration = Duration::from_millis(500);
+const CHANGES_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What a call for everything may take.
 ///
 /// At 250 bytes each, ten thousand entries take a second over a link of 20 Mbit/s.
-const WHOLE_TIME: Duration = Duration::from_secs(2);
+const FULL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How old what a node knows may be for others to follow it.
 ///
 /// Longer than a watch of the store that brings no change, shorter than the time
 /// in which a change must be in force.
-pub const MOST_AGE: Duration = Duration::from_millis(2_600);
+pub const MAX_AGE: Duration = Duration::from_millis(2_600);
 
 /// A change as it goes between nodes.
 #[derive(Debug, Serialize, Deserialize)]
@@ -76,17 +76,17 @@
 }
 
 /// What a node that was followed has told.
-pub struct Followed {
+pub struct PeerUpdate {
     /// The changes, or everything.
-    pub passage: Passage,
+    pub update: StoreUpdate,
     /// How long ago the store confirmed this.
     pub age: Duration,
     /// For how much longer vanished entries are to be kept.
-    pub lenient: Duration,
+    pub grace: Duration,
 }
 
 /// Answers a node that follows this one.
-pub async fn tell(router: &Router, request: &Request) -> Result<Vec<u8>> {
+pub async fn serve(router: &Router, request: &Request) -> Result<Vec<u8>> {
     let journal = &router.journal;
     let field = |name| request.field(name).and_then(|text| text.parse::<u64>().ok());
     let after = field("after").unwrap_or_default();
@@ -94,25 +94,25 @@
     if !journal.is_filled() {
         return Err(Error::NotReady);
     }
-    journal.note_asked();
+    journal.note_follower_request();
     // A node that is out of touch says so at once, also if that comes to be while another
     // one waits here: behind it a confirmed change is seen by nobody, and its followers
     // would pass that on to their callers for as long as they wait.
-    let wait = wait.min(MOST_AGE.saturating_sub(journal.age()));
+    let wait = wait.min(MAX_AGE.saturating_sub(journal.age()));
     // One that knows nothing asks others as well; one that fell behind asks only here.
-    if after == 0 && !journal.may_tell_whole() {
+    if after == 0 && !journal.admit_full_transfer() {
         return Err(Error::NotReady);
     }
-    let wait = if journal.is_lost() { Duration::ZERO } else { wait };
-    let passage = journal.after(after, wait).await;
-    if after > 0 && journal.is_lost() && passage.is_empty() {
+    let wait = if journal.is_source_lost() { Duration::ZERO } else { wait };
+    let update = journal.updates_after(after, wait).await;
+    if after > 0 && journal.is_source_lost() && update.is_empty() {
         return Err(Error::NotReady);
     }
-    let (whole, changes, revision) = match passage {
-        Passage::Changes(StoreChanges { events, revision }) => {
+    let (whole, changes, revision) = match update {
+        StoreUpdate::Changes(StoreChanges { events, revision }) => {
             (false, events.into_iter().map(Change::from).collect(), revision)
         }
-        Passage::Whole(StoreScan { items, revision }) => (
+        StoreUpdate::Full(StoreScan { items, revision }) => (
             true,
             items.into_iter().map(|item| StoreEvent::Written(item).into()).collect(),
             revision,
@@ -120,34 +120,35 @@
     };
     let age_us = journal.age().as_micros() as u64;
     // As of now: the wait may have been longer than the rest of that time.
-    let lenient_us = router.lenient_for().as_micros() as u64;
+    let lenient_us = router.remaining_grace().as_micros() as u64;
     codec::encode(&FollowReply { whole, changes, revision, age_us, lenient_us })
 }
 
 /// Asks a node for what there is after a revision, once there is something or `wait` is over.
-pub async fn follow(
+pub async fn fetch(
     router: &Rc<Router>,
     peer: &Replica,
     after: u64,
     wait: Duration,
-) -> Result<Followed> {
+) -> Result<PeerUpdate> {
     let clock = &*router.clock;
-    let time = if after == 0 { WHOLE_TIME } else { wait + CHANGES_TIME };
+    let time = if after == 0 { FULL_TIMEOUT } else { wait + CHANGES_TIMEOUT };
     let deadline = clock.now() + time;
-    let reply = clock::timeout_at(clock, deadline, ask(router, peer, after, wait)).await??;
+    let reply =
+        clock::timeout_at(clock, deadline, send_request(router, peer, after, wait)).await??;
     let FollowReply { whole, changes, revision, age_us, lenient_us } = reply;
-    let passage = if whole {
+    let update = if whole {
         let items = changes.into_iter().filter_map(Change::into_item).collect();
-        Passage::Whole(StoreScan { items, revision })
+        StoreUpdate::Full(StoreScan { items, revision })
     } else {
         let events = changes.into_iter().map(Change::into_event).collect();
-        Passage::Changes(StoreChanges { events, revision })
+        StoreUpdate::Changes(StoreChanges { events, revision })
     };
     let age = Duration::from_micros(age_us);
-    Ok(Followed { passage, age, lenient: Duration::from_micros(lenient_us) })
+    Ok(PeerUpdate { update, age, grace: Duration::from_micros(lenient_us) })
 }
 
-async fn ask(
+async fn send_request(
     router: &Rc<Router>,
     peer: &Replica,
     after: u64,
@@ -157,7 +158,7 @@
     let now = clock.now();
     let mut link = match peer.links.take(now, FOLLOW_WAIT) {
         Some(link) => link,
-        None => peer.links.open(clock, now + CHANGES_TIME).await?,
+        None => peer.links.open(clock, now + CHANGES_TIMEOUT).await?,
     };
     let wait_ms = wait.as_millis();
     let mut request = Request::get(&format!("{FOLLOW_PATH}?after={after}&wait_ms={wait_ms}"));
@@ -181,16 +182,16 @@
 pub fn readers(centre: &DataCentre, nodes: &[Candidate]) -> Vec<Candidate> {
     let mut there: Vec<Candidate> =
         nodes.iter().filter(|(_, node)| node.centre == *centre).cloned().collect();
-    if there.len() <= SMALL_CENTRE && nodes.len() <= SMALL_FLEET {
+    if there.len() <= SMALL_CENTRE_NODES && nodes.len() <= SMALL_FLEET_NODES {
         return there;
     }
-    sort(&mut there);
-    there.truncate(READERS);
+    sort_by_capacity(&mut there);
+    there.truncate(READERS_PER_CENTRE);
     there
 }
 
 /// Sorts nodes in the order in which they are to read the store: the largest first.
-pub fn sort(nodes: &mut [Candidate]) {
+pub fn sort_by_capacity(nodes: &mut [Candidate]) {
     nodes.sort_by(|(one, node), (other, next)| {
         next.capacity.total_cmp(&node.capacity).then_with(|| one.cmp(other))
     });
@@ -198,18 +199,18 @@
 
 /// Whether other nodes follow this one.
 pub fn is_followed(router: &Router) -> bool {
-    let asked = router.journal.asked();
-    asked.is_some_and(|at| router.clock.now().saturating_duration_since(at) < FOLLOWED_FOR)
+    let last_request = router.journal.last_follower_request();
+    last_request.is_some_and(|at| router.clock.now().saturating_duration_since(at) < FOLLOWED_FOR)
 }
 
 /// Whether this node hears of the store from others.
 pub fn is_follower(router: &Router) -> bool {
     let place = &router.place;
     // Others count on one that is about to announce itself as on those that are known.
-    let is_placed = router.fleet.knows(&place.name) || router.is_standby();
+    let is_announced = router.fleet.knows(&place.name) || router.is_standby();
     let own = readers(&place.centre, &router.fleet.candidates());
     let is_reader = own.iter().any(|(name, _)| *name == place.name);
-    !is_reader && is_placed && router.uses(Mechanism::Followers)
+    !is_reader && is_announced && router.uses(Mechanism::Followers)
 }
 
 /// The other nodes that watch the store, in the order in which this one tries them: those
--- a/crates/kumquatnotch-route/src/freshness.rs
+++ b/crates/kumquatnotch-route/src/freshness.rs
@@ -13,28 +13,28 @@
 /// From which age on what is known counts as old.
 ///
 /// Longer than any calm pause: a watch of the store, and the wait of one that follows.
-const OLD: Duration = Duration::from_secs(4);
+const STALE_AGE: Duration = Duration::from_secs(4);
 
 /// How often the age is looked at.
-const PERIOD: Duration = Duration::from_millis(500);
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// Tells of the age, from now on.
-pub(crate) async fn tell(router: Rc<Router>) {
-    let mut is_old = false;
+pub(crate) async fn report(router: Rc<Router>) {
+    let mut is_stale = false;
     loop {
-        clock::sleep(&*router.clock, PERIOD).await;
+        clock::sleep(&*router.clock, CHECK_PERIOD).await;
         let journal = &router.journal;
         if !journal.is_filled() {
             continue;
         }
         let (age, revision) = (journal.age(), journal.revision());
         metrics::gauge!("kumquatnotch_store_age_seconds").set(age.as_secs_f64());
-        if is_old == (age > OLD) {
+        if is_stale == (age > STALE_AGE) {
             continue;
         }
-        is_old = !is_old;
+        is_stale = !is_stale;
         let age_ms = age.as_millis() as u64;
-        if is_old {
+        if is_stale {
             tracing::warn!(age_ms, revision, "mirror: what is known is old");
         } else {
             tracing::info!(age_ms, revision, "mirror: what is known is new again");
--- a/crates/kumquatnotch-route/src/front.rs
+++ b/crates/kumquatnotch-route/src/front.rs
@@ -147,7 +147,7 @@
         let told = told.map(Duration::from_millis);
         let table = self.router.table().filter(|_| self.router.is_ready());
         let Some(table) = table else {
-            let retry = self.router.ready_retry(told.unwrap_or_default());
+            let retry = self.router.not_ready_retry(told.unwrap_or_default());
             return Err(Refusal::not_run("no configuration yet", retry));
         };
         let Some(identity) = request.headers.get(&names.request).cloned() else {
--- a/crates/kumquatnotch-route/src/first_reading.rs
+++ b/crates/kumquatnotch-route/src/initial_sync.rs
@@ -20,9 +20,9 @@
 use crate::{
     advice::Candidate,
     entries::Entries,
-    follow::{self, Followed},
+    follow::{self, PeerUpdate},
     insist::{Answer, Pauses, insist},
-    journal::Passage,
+    journal::StoreUpdate,
     mirror::NO_WAIT,
     router::Router,
 };
@@ -30,26 +30,26 @@
 /// The pause before the store is asked a second time; it doubles.
 ///
 /// Many times what the store takes for an answer, so that a calm start asks once.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_PAUSE: Duration = Duration::from_millis(100);
 
 /// The longest pause between two calls, before jitter.
 ///
 /// It bounds how long the return of the store is unseen, and what a node asks of a store
 /// that is away: two to three of the cheapest calls a second.
-const MOST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_PAUSE: Duration = Duration::from_millis(400);
 
 /// How many nodes of a data centre read everything from the store.
 ///
 /// As many as watch it, and twice as many again, as some of them may be gone.
-const DIRECT_READERS: usize = 3 * follow::READERS;
+const DIRECT_READERS: usize = 3 * follow::READERS_PER_CENTRE;
 
 /// For how long a node that callers use asks others before it reads the store itself.
 ///
 /// Those that read it directly take a few round trips to the store.
-const SERVING_PATIENCE: Duration = Duration::from_millis(400);
+const SERVING_PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The same for a node on standby, for which no caller waits.
-const STANDBY_PATIENCE: Duration = Duration::from_secs(4);
+const STANDBY_PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The pause between two questions to other nodes, before jitter.
 const PEER_PAUSE: Duration = Duration::from_millis(80);
@@ -57,37 +57,37 @@
 /// How often each of the others may be out of reach before the store is read.
 ///
 /// Those that lost power together are back within half a second of each other.
-const LOST_ROUNDS: usize = 3;
+const MAX_FAILED_ROUNDS: usize = 3;
 
 /// Everything that the store holds.
-pub struct Reading {
+pub struct InitialState {
     /// The items.
     pub scan: StoreScan,
     /// When the store said that this is all there is.
     pub confirmed: Instant,
     /// For how much longer vanished entries are to be kept.
-    pub lenient: Duration,
+    pub grace: Duration,
 }
 
 /// Reads everything, however long the store is away.
 ///
 /// The nodes that are known come into `entries` as soon as the store has named them.
-pub async fn read(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> Reading {
+pub async fn load(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> InitialState {
     let mut failures = 0;
     loop {
         let nodes = find_nodes(router, store, entries).await;
         let neighbours = neighbours(router, entries, &nodes);
-        if !is_direct(router, &neighbours)
-            && let Some(reading) = ask_for_all(router, &neighbours).await
+        if !reads_directly(router, &neighbours)
+            && let Some(state) = fetch_from_peers(router, &neighbours).await
         {
-            return reading;
+            return state;
         }
         match read_store(router, store, entries).await {
-            Ok(reading) => return reading,
+            Ok(state) => return state,
             Err(error) => {
                 failures += 1;
                 tracing::info!(failures, code = error.code(), "mirror: not read: {error}");
-                let pause = router.random.jitter(FIRST_PAUSE);
+                let pause = router.random.jitter(INITIAL_PAUSE);
                 clock::sleep(&*router.clock, pause).await;
             }
         }
@@ -96,13 +96,13 @@
 
 /// Asks the store for the nodes of the tier until it answers.
 async fn find_nodes(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> StoreScan {
-    let pauses = Pauses { first: FIRST_PAUSE, most: MOST_PAUSE };
+    let pauses = Pauses { first: INITIAL_PAUSE, most: MAX_PAUSE };
     loop {
         let call = || store.snapshot(entries.node_prefix());
         // A snapshot never lacks history.
         if let Ok(Answer { value, .. }) = insist(router, pauses, 0, call).await {
-            entries.put_some(&value.items);
-            router.set_placed();
+            entries.apply_some(&value.items);
+            router.set_nodes_known();
             return value;
         }
     }
@@ -110,14 +110,14 @@
 
 /// The other nodes of this data centre that are known, the largest first.
 fn neighbours(router: &Router, entries: &Entries, nodes: &StoreScan) -> Vec<Candidate> {
-    let mut beside = entries.nodes_in(nodes);
-    beside.retain(|(name, node)| node.centre == router.place.centre && *name != router.place.name);
-    follow::sort(&mut beside);
-    beside
+    let mut others = entries.nodes_in(nodes);
+    others.retain(|(name, node)| node.centre == router.place.centre && *name != router.place.name);
+    follow::sort_by_capacity(&mut others);
+    others
 }
 
 /// Whether this node is one of those that read everything from the store.
-fn is_direct(router: &Router, neighbours: &[Candidate]) -> bool {
+fn reads_directly(router: &Router, neighbours: &[Candidate]) -> bool {
     if router.is_standby() {
         return false;
     }
@@ -131,29 +131,33 @@
 /// What one of the nodes that read the store first tells of everything.
 ///
 /// `None` if none does for so long that the store is to be read.
-async fn ask_for_all(router: &Rc<Router>, neighbours: &[Candidate]) -> Option<Reading> {
+async fn fetch_from_peers(router: &Rc<Router>, neighbours: &[Candidate]) -> Option<InitialState> {
     let clock = &*router.clock;
-    let patience = if router.is_standby() { STANDBY_PATIENCE } else { SERVING_PATIENCE };
-    let until = clock.now() + router.random.jitter(patience);
+    let timeout = if router.is_standby() { STANDBY_PEER_TIMEOUT } else { SERVING_PEER_TIMEOUT };
+    let until = clock.now() + router.random.jitter(timeout);
     // Each begins with another one of those that read the store first.
     let first = router.random.below(DIRECT_READERS);
-    let mut asked = neighbours.iter().take(DIRECT_READERS).cycle().skip(first);
-    let mut lost = 0;
-    while clock.now() < until && lost < LOST_ROUNDS * neighbours.len() {
-        let (name, record) = asked.next()?;
-        let peer = router.fleet.stranger(record.peer, clock.now());
+    let mut candidates = neighbours.iter().take(DIRECT_READERS).cycle().skip(first);
+    let mut failures = 0;
+    while clock.now() < until && failures < MAX_FAILED_ROUNDS * neighbours.len() {
+        let (name, record) = candidates.next()?;
+        let peer = router.fleet.peer_at(record.peer, clock.now());
         // One that hangs must not take more than the time that there is for all of them.
-        let told = follow::follow(router, &peer, 0, Duration::ZERO);
-        match clock::timeout_at(clock, until, told).await.flatten() {
-            Ok(Followed { passage: Passage::Whole(scan), age, lenient })
-                if age <= follow::MOST_AGE =>
+        let reply = follow::fetch(router, &peer, 0, Duration::ZERO);
+        match clock::timeout_at(clock, until, reply).await.flatten() {
+            Ok(PeerUpdate { update: StoreUpdate::Full(scan), age, grace })
+                if age <= follow::MAX_AGE =>
             {
                 tracing::info!(node = name.as_str(), "mirror: a neighbour tells everything");
-                return Some(Reading { scan, confirmed: before(clock.now(), age), lenient });
+                return Some(InitialState {
+                    scan,
+                    confirmed: instant_before(clock.now(), age),
+                    grace,
+                });
             }
             // It knows nothing yet, or is busy telling others.
             Ok(_) | Err(Error::Protocol { .. }) => {}
-            Err(_) => lost += 1,
+            Err(_) => failures += 1,
         }
         clock::sleep(clock, router.random.jitter(PEER_PAUSE)).await;
     }
@@ -161,21 +165,25 @@
 }
 
 /// Reads everything from the store.
-async fn read_store(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> Result<Reading> {
+async fn read_store(
+    router: &Rc<Router>,
+    store: &dyn Store,
+    entries: &Entries,
+) -> Result<InitialState> {
     let clock = &*router.clock;
     let mut snapshot = store.snapshot(entries.prefix()).await?;
     let start = clock.now();
-    let lenient = Duration::ZERO;
+    let grace = Duration::ZERO;
     match store.watch(entries.prefix(), snapshot.revision, NO_WAIT).await {
         Ok(changes) => snapshot.apply(changes),
         // The store has dropped what lies between, so only a full scan tells.
         Err(Error::VersionUnknown { .. }) => snapshot = store.scan(entries.prefix()).await?,
         Err(error) => return Err(error),
     }
-    Ok(Reading { scan: snapshot, confirmed: start, lenient })
+    Ok(InitialState { scan: snapshot, confirmed: start, grace })
 }
 
 /// The moment that was `age` ago.
-fn before(now: Instant, age: Duration) -> Instant {
+fn instant_before(now: Instant, age: Duration) -> Instant {
     now.checked_sub(age).unwrap_or(now)
 }
--- a/crates/kumquatnotch-route/src/journal.rs
+++ b/crates/kumquatnotch-route/src/journal.rs
@@ -22,13 +22,13 @@
 ///
 /// A follower is a few seconds behind at most; one that is further behind gets
 /// everything anew.
-const MOST_EVENTS: usize = 2_000;
+const MAX_EVENTS: usize = 2_000;
 
 /// How long telling everything occupies this node, for each item.
 ///
 /// An item is some 250 bytes, so this is a quarter of a link of 200 Mbit/s: after a loss of
 /// power dozens of nodes ask for everything, while callers wait for this one's answers.
-const ITEM_TIME: Duration = Duration::from_micros(40);
+const FULL_TRANSFER_TIME_PER_ITEM: Duration = Duration::from_micros(40);
 
 /// What this node knows of the store.
 pub struct Journal {
@@ -38,31 +38,31 @@
     /// The revision up to which everything is known; zero before the first scan.
     revision: Cell<u64>,
     /// The revision after which all changes are kept.
-    oldest: Cell<u64>,
+    compacted: Cell<u64>,
     /// When the store last said that this is all there is.
     confirmed: Cell<Instant>,
     /// Whether neither the store nor another node tells this one what there is.
-    lost: Cell<bool>,
+    source_lost: Cell<bool>,
     /// When another node last asked for it.
-    asked: Cell<Option<Instant>>,
+    last_follower_request: Cell<Option<Instant>>,
     /// Until when it is telling everything.
-    telling: Cell<Instant>,
-    waiting: RefCell<Vec<oneshot::Sender<()>>>,
+    full_transfer_until: Cell<Instant>,
+    waiters: RefCell<Vec<oneshot::Sender<()>>>,
 }
 
 /// What a follower gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum StoreUpdate {
     /// The changes since its revision.
     Changes(StoreChanges),
     /// Everything, as the changes are not kept any more.
-    Whole(StoreScan),
+    Full(StoreScan),
 }
 
-impl Passage {
+impl StoreUpdate {
     /// Whether there is nothing new in it.
     pub fn is_empty(&self) -> bool {
-        matches!(self, Passage::Changes(changes) if changes.events.is_empty())
+        matches!(self, StoreUpdate::Changes(changes) if changes.events.is_empty())
     }
 }
 
@@ -74,12 +74,12 @@
             items: RefCell::default(),
             events: RefCell::default(),
             revision: Cell::new(0),
-            oldest: Cell::new(0),
+            compacted: Cell::new(0),
             confirmed,
-            lost: Cell::new(false),
-            asked: Cell::new(None),
-            telling: Cell::new(clock.now()),
-            waiting: RefCell::default(),
+            source_lost: Cell::new(false),
+            last_follower_request: Cell::new(None),
+            full_transfer_until: Cell::new(clock.now()),
+            waiters: RefCell::default(),
             clock,
         }
     }
@@ -100,22 +100,23 @@
     }
 
     /// When another node last asked for it.
-    pub fn asked(&self) -> Option<Instant> {
-        self.asked.get()
+    pub fn last_follower_request(&self) -> Option<Instant> {
+        self.last_follower_request.get()
     }
 
     /// Notes that another node asks for it.
-    pub fn note_asked(&self) {
-        self.asked.set(Some(self.clock.now()));
+    pub fn note_follower_request(&self) {
+        self.last_follower_request.set(Some(self.clock.now()));
     }
 
     /// Whether this node may tell everything now; if so, it is taken to do so.
-    pub fn may_tell_whole(&self) -> bool {
+    pub fn admit_full_transfer(&self) -> bool {
         let now = self.clock.now();
-        if now < self.telling.get() {
+        if now < self.full_transfer_until.get() {
             return false;
         }
-        self.telling.set(now + ITEM_TIME * self.items.borrow().len() as u32);
+        self.full_transfer_until
+            .set(now + FULL_TRANSFER_TIME_PER_ITEM * self.items.borrow().len() as u32);
         true
     }
 
@@ -128,19 +129,19 @@
     ///
     /// Those that wait here are sent elsewhere at once: behind a node that the store turns
     /// away they would hear of a confirmed change only when its knowledge has got old.
-    pub fn note_lost(&self) {
-        self.lost.set(true);
-        self.wake();
+    pub fn note_source_lost(&self) {
+        self.source_lost.set(true);
+        self.wake_waiters();
     }
 
     /// Whether this node has no source.
-    pub fn is_lost(&self) -> bool {
-        self.lost.get()
+    pub fn is_source_lost(&self) -> bool {
+        self.source_lost.get()
     }
 
     /// Whether this node knows more than all that another one offers in its place.
-    pub fn is_ahead_of(&self, passage: &Passage) -> bool {
-        matches!(passage, Passage::Whole(scan) if scan.revision < self.revision.get())
+    pub fn is_ahead_of(&self, update: &StoreUpdate) -> bool {
+        matches!(update, StoreUpdate::Full(scan) if scan.revision < self.revision.get())
     }
 
     /// Starts anew with everything that the store holds, as of `confirmed`.
@@ -148,12 +149,12 @@
         let items = scan.items.iter().map(|item| (item.key.clone(), item.clone()));
         *self.items.borrow_mut() = items.collect();
         self.events.borrow_mut().clear();
-        self.oldest.set(scan.revision);
+        self.compacted.set(scan.revision);
         // Also if it was greater: a follower that was told of that revision without the
         // changes up to it would never hear of them.
         self.revision.set(scan.revision);
-        self.note(scan.revision, confirmed);
-        self.wake();
+        self.advance(scan.revision, confirmed);
+        self.wake_waiters();
     }
 
     /// Adds changes, which may be none, as of `confirmed`.
@@ -168,50 +169,53 @@
                 };
                 events.push_back(event.clone());
             }
-            while events.len() > MOST_EVENTS {
+            while events.len() > MAX_EVENTS {
                 let first = events.pop_front();
-                self.oldest.set(first.map_or(self.oldest.get(), |event| event.revision()));
+                self.compacted.set(first.map_or(self.compacted.get(), |event| event.revision()));
             }
         }
-        self.note(changes.revision, confirmed);
+        self.advance(changes.revision, confirmed);
     }
 
-    fn note(&self, revision: u64, confirmed: Instant) {
+    fn advance(&self, revision: u64, confirmed: Instant) {
         let grew = revision > self.revision.get();
         self.revision.set(revision.max(self.revision.get()));
         if confirmed > self.confirmed.get() {
             self.confirmed.set(confirmed);
-            self.lost.set(false);
+            self.source_lost.set(false);
         }
         if grew {
-            self.wake();
+            self.wake_waiters();
         }
     }
 
-    fn wake(&self) {
+    fn wake_waiters(&self) {
         // Those that have gone away don't hear it.
-        for waiter in self.waiting.borrow_mut().drain(..) {
+        for waiter in self.waiters.borrow_mut().drain(..) {
             let _ = waiter.send(());
         }
     }
 
     /// What there is after a revision, once there is something or `wait` is over.
-    pub async fn after(&self, revision: u64, wait: Duration) -> Passage {
+    pub async fn updates_after(&self, revision: u64, wait: Duration) -> StoreUpdate {
         if self.revision.get() <= revision {
             let (sender, receiver) = oneshot::channel();
             {
-                let mut waiting = self.waiting.borrow_mut();
-                waiting.retain(|waiter| !waiter.is_canceled());
-                waiting.push(sender);
+                let mut waiters = self.waiters.borrow_mut();
+                waiters.retain(|waiter| !waiter.is_canceled());
+                waiters.push(sender);
             }
             select(receiver, clock::sleep(&*self.clock, wait)).await;
         }
-        if revision < self.oldest.get() {
+        if revision < self.compacted.get() {
             let items = self.items.borrow().values().cloned().collect();
-            return Passage::Whole(StoreScan { items, revision: self.revision.get() });
+            return StoreUpdate::Full(StoreScan { items, revision: self.revision.get() });
         }
         let events = self.events.borrow();
         let newer = events.iter().filter(|event| event.revision() > revision).cloned();
-        Passage::Changes(StoreChanges { events: newer.collect(), revision: self.revision.get() })
+        StoreUpdate::Changes(StoreChanges {
+            events: newer.collect(),
+            revision: self.revision.get(),
+        })
     }
 }
--- a/crates/kumquatnotch-route/src/mirror.rs
+++ b/crates/kumquatnotch-route/src/mirror.rs
@@ -19,10 +19,10 @@
 
 use crate::{
     entries::Entries,
-    first_reading::{self, Reading},
-    follow::{self, Followed},
+    follow::{self, PeerUpdate},
     freshness,
-    journal::Passage,
+    initial_sync::{self, InitialState},
+    journal::StoreUpdate,
     router::Router,
     schema::Schema,
     sources::Sources,
@@ -42,16 +42,16 @@
     /// The pause after changes came, in which more of them collect.
     ///
     /// Each return of a watch is a call that counts, and changes come in series.
-    pub collect: Duration,
+    pub batch_delay: Duration,
     /// How long an entry that vanished around an outage is kept.
-    pub keep: Duration,
+    pub retention: Duration,
     /// The first pause between calls while the store is away, before jitter; it doubles.
     pub backoff: Duration,
     /// The longest pause between calls while the store is away, before jitter.
     ///
     /// It bounds how long the return of the store is unseen: by then callers must be
     /// served by what it confirms.
-    pub most_backoff: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for MirrorOptions {
@@ -59,16 +59,16 @@
         MirrorOptions {
             wait: Duration::from_millis(2_500),
             followed_wait: Duration::from_millis(1_800),
-            collect: Duration::from_millis(300),
-            keep: Duration::from_millis(2_600),
+            batch_delay: Duration::from_millis(300),
+            retention: Duration::from_millis(2_600),
             backoff: Duration::from_millis(150),
-            most_backoff: Duration::from_millis(600),
+            max_backoff: Duration::from_millis(600),
         }
     }
 }
 
 /// How late the answer to a watch may be before the store counts as having been away.
-const LATE_ANSWER: Duration = Duration::from_millis(300);
+const LATE_ANSWER_MARGIN: Duration = Duration::from_millis(300);
 
 /// How long the store waits for changes if this node is to know now: not at all.
 pub(crate) const NO_WAIT: Duration = Duration::from_millis(1);
@@ -82,9 +82,9 @@
     pub entries: Rc<Entries>,
     pub(crate) sources: Sources,
     /// The revision up to which everything is known.
-    pub(crate) after: Cell<Option<u64>>,
+    pub(crate) revision: Cell<Option<u64>>,
     /// Whether the store was in trouble since its last answer.
-    trouble: Cell<bool>,
+    store_failed: Cell<bool>,
 }
 
 impl Mirror {
@@ -95,7 +95,7 @@
         store: Rc<dyn Store>,
         schema: Rc<dyn Schema>,
     ) -> Rc<Mirror> {
-        let entries = Rc::new(Entries::new(router.clone(), schema, options.keep));
+        let entries = Rc::new(Entries::new(router.clone(), schema, options.retention));
         let sources = Sources::new(router.clone());
         Rc::new(Mirror {
             options,
@@ -103,8 +103,8 @@
             store,
             entries,
             sources,
-            after: Cell::new(None),
-            trouble: Cell::new(false),
+            revision: Cell::new(None),
+            store_failed: Cell::new(false),
         })
     }
 
@@ -112,15 +112,15 @@
     pub fn start(self: &Rc<Mirror>) {
         monoio::spawn(self.clone().run());
         monoio::spawn(self.entries.clone().sweep());
-        monoio::spawn(freshness::tell(self.router.clone()));
+        monoio::spawn(freshness::report(self.router.clone()));
     }
 
     async fn run(self: Rc<Mirror>) {
-        self.begin().await;
+        self.sync_initially().await;
         loop {
-            if let Some(followed) = self.sources.follow(self.known()).await {
-                self.entries.release_nodes();
-                self.take_followed(followed);
+            if let Some(peer_update) = self.sources.follow(self.known_revision()).await {
+                self.entries.resume_node_removal();
+                self.apply_peer_update(peer_update);
                 continue;
             }
             let mut result = self.read().await;
@@ -128,44 +128,44 @@
                 && !matches!(error, Error::VersionUnknown { .. })
             {
                 tracing::warn!(code = error.code(), "mirror: the store is away: {error}");
-                self.note_trouble();
-                result = self.outlast().await;
+                self.note_store_failure();
+                result = self.recover().await;
             }
             if result.is_err() {
                 tracing::info!("mirror: the history is gone, reading everything anew");
-                self.after.set(None);
+                self.revision.set(None);
             }
         }
     }
 
     /// The revision up to which everything is known; zero if nothing is.
-    pub(crate) fn known(&self) -> u64 {
-        self.after.get().unwrap_or(0)
+    pub(crate) fn known_revision(&self) -> u64 {
+        self.revision.get().unwrap_or(0)
     }
 
     /// Learns all that there is to know, from the store or from nodes that ask for this one.
-    async fn begin(&self) {
-        let reading =
-            std::pin::pin!(first_reading::read(&self.router, &*self.store, &self.entries));
-        let learning = std::pin::pin!(self.learn_from_visitors());
-        match select(reading, learning).await {
-            Either::Left((Reading { scan, confirmed, lenient }, _)) => {
-                if lenient > Duration::ZERO {
-                    self.router.be_lenient(lenient);
+    async fn sync_initially(&self) {
+        let store_sync =
+            std::pin::pin!(initial_sync::load(&self.router, &*self.store, &self.entries));
+        let peer_sync = std::pin::pin!(self.sync_from_inbound_peers());
+        match select(store_sync, peer_sync).await {
+            Either::Left((InitialState { scan, confirmed, grace }, _)) => {
+                if grace > Duration::ZERO {
+                    self.router.extend_grace(grace);
                 }
-                self.take_scan(&scan, confirmed);
+                self.apply_scan(&scan, confirmed);
             }
             Either::Right(((), _)) => {}
         }
     }
 
     /// Completes once a node that asked for this one has told what it knows.
-    async fn learn_from_visitors(&self) {
+    async fn sync_from_inbound_peers(&self) {
         let clock = &*self.router.clock;
         loop {
             clock::sleep(clock, self.router.random.jitter(self.options.backoff)).await;
             // What another node knows may be old, so this is for a store that is away.
-            if self.router.uses(Mechanism::Visitors) && self.ask_visitors().await {
+            if self.router.uses(Mechanism::Visitors) && self.query_inbound_peers().await {
                 return;
             }
         }
@@ -177,60 +177,60 @@
     /// nodes are, and would refuse all requests until the store is back. But those that
     /// knew its earlier life ask it whether it is back, and what they serve by is as
     /// good for it.
-    async fn ask_visitors(&self) -> bool {
-        let mut visitors = self.router.visitors();
-        self.router.random.shuffle(&mut visitors);
-        for visitor in visitors {
-            let peer = self.router.fleet.stranger(visitor, self.router.clock.now());
-            match follow::follow(&self.router, &peer, 0, Duration::ZERO).await {
-                Ok(followed) => {
+    async fn query_inbound_peers(&self) -> bool {
+        let mut inbound_peers = self.router.inbound_peers();
+        self.router.random.shuffle(&mut inbound_peers);
+        for peer_address in inbound_peers {
+            let peer = self.router.fleet.peer_at(peer_address, self.router.clock.now());
+            match follow::fetch(&self.router, &peer, 0, Duration::ZERO).await {
+                Ok(peer_update) => {
                     tracing::info!(
-                        node = %visitor,
-                        age_ms = followed.age.as_millis() as u64,
+                        node = %peer_address,
+                        age_ms = peer_update.age.as_millis() as u64,
                         "mirror: learned from a node while the store is away"
                     );
-                    self.take_followed(followed);
+                    self.apply_peer_update(peer_update);
                     return true;
                 }
                 Err(error) => {
-                    tracing::info!(node = %visitor, code = error.code(), "mirror: no news: {error}");
+                    tracing::info!(node = %peer_address, code = error.code(), "mirror: no news: {error}");
                 }
             }
         }
         false
     }
 
-    pub(crate) fn take_followed(&self, followed: Followed) {
-        let Followed { passage, age, lenient } = followed;
-        if lenient > Duration::ZERO {
-            self.router.be_lenient(lenient);
+    pub(crate) fn apply_peer_update(&self, peer_update: PeerUpdate) {
+        let PeerUpdate { update, age, grace } = peer_update;
+        if grace > Duration::ZERO {
+            self.router.extend_grace(grace);
         }
         let now = self.router.clock.now();
         let confirmed = now.checked_sub(age).unwrap_or(now);
-        match passage {
-            Passage::Whole(scan) => self.take_scan(&scan, confirmed),
-            Passage::Changes(changes) => self.take_changes(&changes, confirmed),
+        match update {
+            StoreUpdate::Full(scan) => self.apply_scan(&scan, confirmed),
+            StoreUpdate::Changes(changes) => self.apply_changes(&changes, confirmed),
         }
     }
 
     /// Notes that the store did not answer, or answered late.
     ///
     /// What is seen to vanish in its next answers may have lapsed meanwhile.
-    pub fn note_trouble(&self) {
-        self.trouble.set(true);
+    pub fn note_store_failure(&self) {
+        self.store_failed.set(true);
     }
 
     /// Notes that the store answers, before what it tells is taken over.
-    pub fn note_answer(&self) {
-        self.entries.release_nodes();
-        if self.trouble.replace(false) {
-            self.router.be_lenient(self.options.keep);
+    pub fn note_store_answer(&self) {
+        self.entries.resume_node_removal();
+        if self.store_failed.replace(false) {
+            self.router.extend_grace(self.options.retention);
         }
     }
 
     /// Asks the store for everything, or for what has changed.
     async fn read(&self) -> Result<()> {
-        match self.after.get() {
+        match self.revision.get() {
             None => self.scan().await,
             Some(revision) => self.watch(revision).await,
         }
@@ -239,7 +239,7 @@
     async fn scan(&self) -> Result<()> {
         let start = self.router.clock.now();
         let scan = self.store.scan(self.entries.prefix()).await?;
-        self.take_scan(&scan, start);
+        self.apply_scan(&scan, start);
         Ok(())
     }
 
@@ -249,39 +249,39 @@
         let is_followed = follow::is_followed(&self.router);
         let wait = if is_followed { self.options.followed_wait } else { self.options.wait };
         let watch = self.store.watch(self.entries.prefix(), after, wait);
-        let late = clock.sleep_until(start + wait + LATE_ANSWER);
+        let late = clock.sleep_until(start + wait + LATE_ANSWER_MARGIN);
         let changes = match select(watch, late).await {
             Either::Left((changes, _)) => changes?,
             Either::Right(((), watch)) => {
                 // The store may have swallowed the call, and be well.
-                self.note_trouble();
-                let asking = std::pin::pin!(self.ask_again(0));
-                match select(watch, asking).await {
+                self.note_store_failure();
+                let retrying = std::pin::pin!(self.retry_until_answered(0));
+                match select(watch, retrying).await {
                     Either::Left((changes, _)) => changes?,
                     Either::Right((result, _)) => return result,
                 }
             }
         };
         let now = clock.now();
-        if self.entries.is_lapse(&changes.events) {
-            self.note_trouble();
+        if self.entries.is_mass_expiry(&changes.events) {
+            self.note_store_failure();
         }
-        self.note_answer();
-        self.take_changes(&changes, now);
+        self.note_store_answer();
+        self.apply_changes(&changes, now);
         if !changes.events.is_empty() {
-            clock::sleep(clock, self.options.collect).await;
+            clock::sleep(clock, self.options.batch_delay).await;
         }
         Ok(())
     }
 
     /// Takes over everything that the store holds.
-    pub(crate) fn take_scan(&self, scan: &StoreScan, confirmed: Instant) {
+    pub(crate) fn apply_scan(&self, scan: &StoreScan, confirmed: Instant) {
         // Without the history, whether an entry left or lapsed can't be told.
-        self.note_trouble();
-        self.note_answer();
-        self.entries.put_all(&scan.items);
+        self.note_store_failure();
+        self.note_store_answer();
+        self.entries.replace_all(&scan.items);
         self.router.journal.reset(scan, confirmed);
-        self.after.set(Some(scan.revision));
+        self.revision.set(Some(scan.revision));
         self.router.set_synced();
         tracing::info!(
             revision = scan.revision,
@@ -293,14 +293,14 @@
     }
 
     /// Takes over changes, of which some may be known.
-    pub(crate) fn take_changes(&self, changes: &StoreChanges, confirmed: Instant) {
-        let after = self.known();
+    pub(crate) fn apply_changes(&self, changes: &StoreChanges, confirmed: Instant) {
+        let after = self.known_revision();
         let new: Vec<&StoreEvent> =
             changes.events.iter().filter(|event| event.revision() > after).collect();
-        self.entries.take_all(&new);
+        self.entries.apply_events(&new);
         let events = new.into_iter().cloned().collect();
         let changes = StoreChanges { events, revision: after.max(changes.revision) };
         self.router.journal.extend(&changes, confirmed);
-        self.after.set(Some(changes.revision));
+        self.revision.set(Some(changes.revision));
     }
 }
--- a/crates/kumquatnotch-route/src/outage.rs
+++ b/crates/kumquatnotch-route/src/outage.rs
@@ -10,7 +10,7 @@
 use kumquatnotch_core::{Result, clock};
 
 use crate::{
-    follow::{self, Followed},
+    follow::{self, PeerUpdate},
     insist::{Pauses, insist},
     mirror::{Mirror, MirrorOptions, NO_WAIT},
 };
@@ -18,76 +18,76 @@
 /// The pause of a node that follows others before it asks the store again, before jitter.
 ///
 /// There are hundreds of them, for which a few nodes watch the store.
-const FOLLOWER_PAUSE: Duration = Duration::from_secs(3);
+const FOLLOWER_BACKOFF: Duration = Duration::from_secs(3);
 
 /// By how much the news of another node must be newer.
 ///
 /// The way of its answer makes it seem newer. Nodes that are all turned away would pass the
 /// same knowledge round and take it for news.
-const NEWS_MARGIN: Duration = Duration::from_millis(200);
+const AGE_MARGIN: Duration = Duration::from_millis(200);
 
 impl Mirror {
     /// Waits until the store answers, or until there is another node to follow.
-    pub(crate) async fn outlast(&self) -> Result<()> {
+    pub(crate) async fn recover(&self) -> Result<()> {
         let clock = &*self.router.clock;
         clock::sleep(clock, self.router.random.jitter(self.options.backoff)).await;
-        let asking = std::pin::pin!(self.ask_again(1));
-        let hearing = std::pin::pin!(self.hear_from_others());
-        match select(asking, hearing).await {
+        let retrying = std::pin::pin!(self.retry_until_answered(1));
+        let polling = std::pin::pin!(self.poll_peers());
+        match select(retrying, polling).await {
             Either::Left((result, _)) => result,
             Either::Right(((), _)) => Ok(()),
         }
     }
 
     /// Asks the store what has changed until it answers, with calls that do not wait.
-    pub(crate) async fn ask_again(&self, failures: u32) -> Result<()> {
-        let MirrorOptions { backoff, most_backoff, .. } = self.options;
+    pub(crate) async fn retry_until_answered(&self, failures: u32) -> Result<()> {
+        let MirrorOptions { backoff, max_backoff, .. } = self.options;
         let pauses = match follow::is_follower(&self.router) {
-            true => Pauses { first: FOLLOWER_PAUSE, most: FOLLOWER_PAUSE },
-            false => Pauses { first: backoff, most: most_backoff },
+            true => Pauses { first: FOLLOWER_BACKOFF, most: FOLLOWER_BACKOFF },
+            false => Pauses { first: backoff, most: max_backoff },
         };
         let (store, prefix) = (&self.store, self.entries.prefix());
-        let Some(after) = self.after.get() else {
+        let Some(after) = self.revision.get() else {
             let scan = insist(&self.router, pauses, failures, || store.scan(prefix)).await?;
-            self.take_scan(&scan.value, scan.asked);
+            self.apply_scan(&scan.value, scan.asked);
             return Ok(());
         };
         let watch = || store.watch(prefix, after, NO_WAIT);
         let changes = insist(&self.router, pauses, failures, watch).await?;
-        self.note_answer();
-        self.take_changes(&changes.value, changes.asked);
+        self.note_store_answer();
+        self.apply_changes(&changes.value, changes.asked);
         Ok(())
     }
 
     /// Hears from other nodes what there is; completes once there is one to follow.
-    async fn hear_from_others(&self) {
+    async fn poll_peers(&self) {
         let clock = &*self.router.clock;
         let mut rounds = 0;
         loop {
-            match self.sources.catch_up(self.known()).await {
-                Some(followed) if self.is_newer(&followed) => {
+            match self.sources.catch_up(self.known_revision()).await {
+                Some(peer_update) if self.is_newer(&peer_update) => {
                     let follows = follow::is_follower(&self.router);
                     if !follows {
-                        self.entries.hold_nodes();
+                        self.entries.suspend_node_removal();
                     }
-                    self.take_followed(followed);
+                    self.apply_peer_update(peer_update);
                     if follows {
                         return;
                     }
                 }
                 // One failure may be a connection that was cut.
-                _ if rounds > 0 => self.router.journal.note_lost(),
+                _ if rounds > 0 => self.router.journal.note_source_lost(),
                 _ => {}
             }
             rounds += 1;
             let pause = self.options.backoff * 2u32.pow(rounds.min(6));
-            let pause = self.router.random.jitter(pause.min(self.options.most_backoff));
+            let pause = self.router.random.jitter(pause.min(self.options.max_backoff));
             clock::sleep(clock, pause).await;
         }
     }
 
     /// Whether another node has heard from the store since this one did.
-    fn is_newer(&self, followed: &Followed) -> bool {
-        followed.age + NEWS_MARGIN < self.router.journal.age()
+    fn is_newer(&self, peer_update: &PeerUpdate) -> bool {
+        peer_update.age + AGE_MARGIN < self.router.journal.age()
     }
 }
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -27,7 +27,7 @@
     /// The part of what all nodes share that this one may use, from zero to one.
     pub fn own_part(&self) -> f64 {
         let now = self.clock.now();
-        let known_for = self.synced.get().map(|at| now.saturating_duration_since(at));
+        let known_for = self.synced_at.get().map(|at| now.saturating_duration_since(at));
         if !self.uses(Mechanism::SettleTime) {
             return self.known_part();
         }
@@ -36,13 +36,13 @@
 
     fn known_part(&self) -> f64 {
         let Some(table) = self.table() else { return 1.0 };
-        let valid_for = self.valid_for(&table);
-        let (known_for, part) = self.part.get();
+        let valid_for = self.input_versions(&table);
+        let (known_for, part) = self.cached_share.get();
         if known_for == valid_for {
             return part;
         }
         let part = self.work_out_part(&table);
-        self.part.set((valid_for, part));
+        self.cached_share.set((valid_for, part));
         part
     }
 
@@ -50,7 +50,7 @@
         let mut serving: HashSet<NodeName> = HashSet::default();
         for host in table.hosts_of_shards().take(MOST_HOSTS) {
             if let Some(advice) = self.advice(host) {
-                serving.extend(advice.serving().cloned());
+                serving.extend(advice.advised_nodes().cloned());
             }
         }
         if self.is_standby() && !self.fleet.knows(&self.place.name) {
--- a/crates/kumquatnotch-route/src/relay_front.rs
+++ b/crates/kumquatnotch-route/src/relay_front.rs
@@ -123,12 +123,12 @@
     fn start(&self, request: Request) -> Work<'_> {
         let visitor = request.headers.get(VISITOR_HEADER).and_then(|value| value.to_str().ok());
         if let Some(address) = visitor.and_then(|text| text.parse().ok()) {
-            self.router.note_visitor(address);
+            self.router.note_inbound_peer(address);
         }
         match request.path.as_str() {
             RELAY_PATH => Work::new(self.gather(request)),
             FOLLOW_PATH => Work::new(async move {
-                match follow::tell(&self.router, &request).await {
+                match follow::serve(&self.router, &request).await {
                     Ok(message) => Reply::new(StatusCode::OK, "application/msgpack", message),
                     Err(error) => Reply::error(&error),
                 }
--- a/crates/kumquatnotch-route/src/router.rs
+++ b/crates/kumquatnotch-route/src/router.rs
@@ -43,7 +43,7 @@
 };
 
 /// The most visitors that are remembered.
-const MOST_VISITORS: usize = 3;
+const MAX_INBOUND_PEERS: usize = 3;
 
 /// Options of a [`Router`].
 #[derive(Clone, Debug)]
@@ -88,7 +88,7 @@
     /// What is known of the store, for other nodes to follow.
     pub journal: Journal,
     /// Until when entries that vanish are kept for a while.
-    pub lenient: Cell<Option<Instant>>,
+    pub grace_until: Cell<Option<Instant>>,
     /// The nodes that are known.
     pub fleet: Fleet,
     /// The ways to the data centres.
@@ -108,15 +108,15 @@
     mechanisms: Mechanisms,
     table: RefCell<Option<Rc<RouteTable>>>,
     /// Nodes that asked this one something before it knew any, by their addresses.
-    visitors: RefCell<Vec<SocketAddr>>,
+    inbound_peers: RefCell<Vec<SocketAddr>>,
     /// When the node started.
     started: Instant,
     /// Whether the other nodes are known, as far as the store has named them.
-    placed: Cell<bool>,
+    nodes_known: Cell<bool>,
     /// When the directory was read in full first.
-    pub(crate) synced: Cell<Option<Instant>>,
+    pub(crate) synced_at: Cell<Option<Instant>>,
     advice: RefCell<AdviceCache>,
-    pub(crate) part: Cell<((u64, u64, u64), f64)>,
+    pub(crate) cached_share: Cell<((u64, u64, u64), f64)>,
 }
 
 impl Router {
@@ -130,7 +130,7 @@
             place: options.place,
             journal: Journal::new(clock.clone()),
             budget: Budget::new(options.budget, clock.now()),
-            visitors: RefCell::default(),
+            inbound_peers: RefCell::default(),
             started: clock.now(),
             clock,
             random: registry.find(services::RANDOM)?,
@@ -138,7 +138,7 @@
             directory: Directory::new(distances.clone()),
             fleet: Fleet::new(distances.clone()),
             distances,
-            lenient: Cell::new(None),
+            grace_until: Cell::new(None),
             lags: Lags::default(),
             callers: CallerTrips::default(),
             paces: Paces::default(),
@@ -146,10 +146,10 @@
             strains: Strains::default(),
             mechanisms: options.mechanisms,
             table: RefCell::default(),
-            placed: Cell::new(false),
-            synced: Cell::new(None),
+            nodes_known: Cell::new(false),
+            synced_at: Cell::new(None),
             advice: RefCell::default(),
-            part: Cell::new(((0, 0, 0), 1.0)),
+            cached_share: Cell::new(((0, 0, 0), 1.0)),
         }))
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Puts a configuration in force, unless it is older than the one that is.
-    pub fn put_in_force(&self, table: RouteTable) -> bool {
+    pub fn install_table(&self, table: RouteTable) -> bool {
         let known = self.table().map(|table| table.version());
         if known.is_some_and(|known| known >= table.version()) {
             return false;
@@ -174,30 +174,30 @@
     }
 
     /// For how much longer entries that vanish are kept for a while.
-    pub fn lenient_for(&self) -> Duration {
-        let until = self.lenient.get();
+    pub fn remaining_grace(&self) -> Duration {
+        let until = self.grace_until.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(self.clock.now()))
     }
 
     /// Keeps entries that vanish for a while, from now on for `span` at least.
-    pub fn be_lenient(&self, span: Duration) {
+    pub fn extend_grace(&self, span: Duration) {
         if !self.uses(Mechanism::LapseCaution) {
             return;
         }
         let until = self.clock.now() + span;
-        self.lenient.set(Some(self.lenient.get().map_or(until, |known| known.max(until))));
+        self.grace_until.set(Some(self.grace_until.get().map_or(until, |known| known.max(until))));
     }
 
     /// Notes that the directory was read in full once.
     pub fn set_synced(&self) {
-        if self.synced.get().is_none() {
-            self.synced.set(Some(self.clock.now()));
+        if self.synced_at.get().is_none() {
+            self.synced_at.set(Some(self.clock.now()));
         }
     }
 
     /// Whether the directory was read in full once.
     pub fn is_synced(&self) -> bool {
-        self.synced.get().is_some()
+        self.synced_at.get().is_some()
     }
 
     /// Whether the node knows enough to serve.
@@ -206,13 +206,13 @@
     }
 
     /// Notes that the other nodes are known.
-    pub(crate) fn set_placed(&self) {
-        self.placed.set(true);
+    pub(crate) fn set_nodes_known(&self) {
+        self.nodes_known.set(true);
     }
 
     /// Whether the other nodes are known.
-    pub(crate) fn is_placed(&self) -> bool {
-        self.placed.get() || self.is_synced()
+    pub(crate) fn are_nodes_known(&self) -> bool {
+        self.nodes_known.get() || self.is_synced()
     }
 
     /// Whether other nodes need not know this one, as callers are advised to use larger ones.
@@ -220,24 +220,29 @@
     /// Of hundreds of nodes only some carry requests. An entry of each of them costs the
     /// store two writes a start and a renewal each second, for nobody.
     pub fn is_standby(&self) -> bool {
-        self.uses(Mechanism::Standby) && self.is_placed() && self.fleet.is_standby(&self.place)
+        self.uses(Mechanism::Standby)
+            && self.are_nodes_known()
+            && self.fleet.is_standby(&self.place)
     }
 
     /// Notes that the node at `address` asked something; only as long as none is known.
-    pub(crate) fn note_visitor(&self, address: SocketAddr) {
-        let mut visitors = self.visitors.borrow_mut();
-        if !self.is_synced() && visitors.len() < MOST_VISITORS && !visitors.contains(&address) {
-            visitors.push(address);
+    pub(crate) fn note_inbound_peer(&self, address: SocketAddr) {
+        let mut inbound_peers = self.inbound_peers.borrow_mut();
+        if !self.is_synced()
+            && inbound_peers.len() < MAX_INBOUND_PEERS
+            && !inbound_peers.contains(&address)
+        {
+            inbound_peers.push(address);
         }
     }
 
     /// The nodes that asked this one something before it knew any.
-    pub(crate) fn visitors(&self) -> Vec<SocketAddr> {
-        self.visitors.borrow().clone()
+    pub(crate) fn inbound_peers(&self) -> Vec<SocketAddr> {
+        self.inbound_peers.borrow().clone()
     }
 
     /// When a caller with `left` is to come again while the node isn't ready.
-    pub(crate) fn ready_retry(&self, left: Duration) -> Duration {
+    pub(crate) fn not_ready_retry(&self, left: Duration) -> Duration {
         startup::retry(self.clock.now().saturating_duration_since(self.started), left)
     }
 
@@ -263,11 +268,11 @@
     /// What callers of `host` are advised; `None` without configuration.
     pub fn advice(&self, host: &str) -> Option<Rc<HostAdvice>> {
         let table = self.table()?;
-        let valid_for = self.valid_for(&table);
+        let valid_for = self.input_versions(&table);
         let advice = self.advice.borrow_mut().get(host, valid_for, || {
             let nodes = self.fleet.candidates();
             if !self.uses(Mechanism::Placement) {
-                return HostAdvice::of_all(&nodes);
+                return HostAdvice::all_nodes(&nodes);
             }
             HostAdvice::new(host, &table, &self.directory, &nodes, &self.fleet.regions())
         });
@@ -282,19 +287,20 @@
         let region = self.fleet.region_of(centre)?;
         let there = advice.nodes_for(&region).iter().filter(|(_, node)| node.centre == *centre);
         let there: Vec<Candidate> = there.cloned().collect();
-        self.fleet.peer_of(&there)
+        self.fleet.least_loaded_peer(&there)
     }
 
     /// What advice and shares are worked out from: they hold as long as it is the same.
-    pub(crate) fn valid_for(&self, table: &RouteTable) -> (u64, u64, u64) {
+    pub(crate) fn input_versions(&self, table: &RouteTable) -> (u64, u64, u64) {
         (table.version(), self.directory.generation(), self.fleet.generation())
     }
 
     /// For how long after its arrival the answer to a request is worth most.
     pub fn waiting_time(&self, route: &Route, is_first: bool) -> Duration {
-        let guests =
-            self.advice(&route.host).is_some_and(|advice| advice.has_guests(&self.place.region));
-        let way = if guests { self.distances.farthest() } else { Duration::ZERO };
+        let serves_others = self
+            .advice(&route.host)
+            .is_some_and(|advice| advice.serves_other_regions(&self.place.region));
+        let way = if serves_others { self.distances.farthest() } else { Duration::ZERO };
         let (mut trip, mut lag) = (self.callers.usual(), self.lags.usual());
         if !self.uses(Mechanism::CallerTrips) {
             trip = CallerTrips::default().usual();
--- a/crates/kumquatnotch-route/src/sources.rs
+++ b/crates/kumquatnotch-route/src/sources.rs
@@ -15,7 +15,7 @@
 use kumquatnotch_core::{Error, collections::HashMap, ids::NodeName};
 
 use crate::{
-    follow::{self, Followed},
+    follow::{self, PeerUpdate},
     names::ReplicaId,
     probe,
     replica::Replica,
@@ -25,10 +25,10 @@
 /// How many nodes are asked at once, when the first one has no news.
 ///
 /// Some may be turned away by the store as well; all are asked anew a little later.
-const MOST_ASKED: usize = 3;
+const MAX_PARALLEL_PEERS: usize = 3;
 
 /// For how long a node that was out of touch is not asked again.
-const AVOIDED_FOR: Duration = Duration::from_millis(1_500);
+const AVOID_TIME: Duration = Duration::from_millis(1_500);
 
 /// Other nodes as sources of what the store holds.
 pub(crate) struct Sources {
@@ -47,21 +47,21 @@
     ///
     /// `None` if the store is to be asked. The wait is at one node only. If that one is
     /// out of touch or silent, others tell at once what they know.
-    pub(crate) async fn follow(&self, after: u64) -> Option<Followed> {
+    pub(crate) async fn follow(&self, after: u64) -> Option<PeerUpdate> {
         if !follow::is_follower(&self.router) {
             return None;
         }
         let peers = self.peers();
         let (first, others) = peers.split_first()?;
-        match self.ask(first, after, follow::FOLLOW_WAIT).await {
-            Some(followed) => Some(followed),
-            None => self.ask_some(others, after).await,
+        match self.query(first, after, follow::FOLLOW_WAIT).await {
+            Some(peer_update) => Some(peer_update),
+            None => self.query_some(others, after).await,
         }
     }
 
     /// What other nodes know, for one that the store does not answer.
-    pub(crate) async fn catch_up(&self, after: u64) -> Option<Followed> {
-        self.ask_some(&self.peers(), after).await
+    pub(crate) async fn catch_up(&self, after: u64) -> Option<PeerUpdate> {
+        self.query_some(&self.peers(), after).await
     }
 
     /// The nodes to ask, in their order.
@@ -73,31 +73,31 @@
     }
 
     /// Asks a few nodes at once, and takes the first that is in touch.
-    async fn ask_some(&self, peers: &[Rc<Replica>], after: u64) -> Option<Followed> {
-        let asked = peers.iter().take(MOST_ASKED);
+    async fn query_some(&self, peers: &[Rc<Replica>], after: u64) -> Option<PeerUpdate> {
+        let asked = peers.iter().take(MAX_PARALLEL_PEERS);
         let mut running: FuturesUnordered<_> =
-            asked.map(|peer| self.ask(peer, after, Duration::ZERO)).collect();
-        while let Some(followed) = running.next().await {
-            if followed.is_some() {
-                return followed;
+            asked.map(|peer| self.query(peer, after, Duration::ZERO)).collect();
+        while let Some(peer_update) = running.next().await {
+            if peer_update.is_some() {
+                return peer_update;
             }
         }
         None
     }
 
     /// What a node tells; `None` if it is silent or out of touch.
-    async fn ask(&self, peer: &Rc<Replica>, after: u64, wait: Duration) -> Option<Followed> {
-        match follow::follow(&self.router, peer, after, wait).await {
+    async fn query(&self, peer: &Rc<Replica>, after: u64, wait: Duration) -> Option<PeerUpdate> {
+        match follow::fetch(&self.router, peer, after, wait).await {
             // What is older would undo changes that are known.
-            Ok(Followed { passage, .. }) if self.router.journal.is_ahead_of(&passage) => None,
-            Ok(followed) if followed.age <= follow::MOST_AGE => {
+            Ok(PeerUpdate { update, .. }) if self.router.journal.is_ahead_of(&update) => None,
+            Ok(peer_update) if peer_update.age <= follow::MAX_AGE => {
                 if self.avoided.borrow_mut().remove(&peer.id).is_some() {
                     tracing::info!(node = peer.id.as_str(), "mirror: a node is in touch again");
                 }
-                Some(followed)
+                Some(peer_update)
             }
-            Ok(followed) => {
-                self.avoid(peer, Some(followed.age));
+            Ok(peer_update) => {
+                self.avoid(peer, Some(peer_update.age));
                 None
             }
             // It answers, and has lost the store or knows nothing yet.
@@ -119,7 +119,7 @@
         let mut avoided = self.avoided.borrow_mut();
         // Those that left meanwhile are not asked again.
         avoided.retain(|id, _| self.router.fleet.knows(&NodeName::from(id.as_str())));
-        if avoided.insert(peer.id.clone(), now + AVOIDED_FOR).is_none() {
+        if avoided.insert(peer.id.clone(), now + AVOID_TIME).is_none() {
             let (node, age_ms) = (peer.id.as_str(), age.map(|age| age.as_millis() as u64));
             tracing::info!(node, age_ms, "mirror: a node is out of touch");
         }
--- a/crates/kumquatnotch-route/tests/advice.rs
+++ b/crates/kumquatnotch-route/tests/advice.rs
@@ -95,7 +95,9 @@
     let advice = advice(&[("s1", "a1"), ("s2", "a1"), ("s1", "b1"), ("s2", "b1")], &nodes());
 
     assert_eq!(advice.addresses_for(&region("b")), [address(2), address(3)]);
-    assert!(advice.has_guests(&region("b")) && !advice.has_guests(&region("c")));
+    assert!(
+        advice.serves_other_regions(&region("b")) && !advice.serves_other_regions(&region("c"))
+    );
 }
 
 #[test]
--- a/crates/kumquatnotch-route/tests/common/mod.rs
+++ b/crates/kumquatnotch-route/tests/common/mod.rs
@@ -158,7 +158,7 @@
     /// Puts a configuration in force.
     pub fn put(&self, version: u64, routes: Vec<Route>) -> bool {
         self.router.set_synced();
-        self.router.put_in_force(RouteTable::new(config(version, routes)))
+        self.router.install_table(RouteTable::new(config(version, routes)))
     }
 
     /// Adds a replica of a service in data centre `home`.
--- a/crates/kumquatnotch-route/tests/common/schema.rs
+++ b/crates/kumquatnotch-route/tests/common/schema.rs
@@ -69,9 +69,9 @@
     MirrorOptions {
         wait: Duration::from_millis(200),
         followed_wait: Duration::from_millis(100),
-        collect: Duration::from_millis(10),
-        keep: Duration::from_millis(500),
+        batch_delay: Duration::from_millis(10),
+        retention: Duration::from_millis(500),
         backoff: Duration::from_millis(20),
-        most_backoff: Duration::from_millis(50),
+        max_backoff: Duration::from_millis(50),
     }
 }
--- a/crates/kumquatnotch-route/tests/follow.rs
+++ b/crates/kumquatnotch-route/tests/follow.rs
@@ -15,7 +15,7 @@
     ids::NodeName,
     store::{StoreChanges, StoreEvent, StoreItem, StoreScan},
 };
-use kumquatnotch_route::{journal::Passage, mirror::Mirror, probe};
+use kumquatnotch_route::{journal::StoreUpdate, mirror::Mirror, probe};
 use schema::{TestSchema, options};
 
 /// A node with a mirror and a store of its own view.
@@ -159,14 +159,14 @@
         journal.reset(&scan(9), now);
 
         journal.reset(&scan(5), now);
-        let first = journal.after(7, Duration::ZERO).await;
+        let first = journal.updates_after(7, Duration::ZERO).await;
         let events = (6..=9).map(|revision| StoreEvent::Written(item(revision)));
         journal.extend(&StoreChanges { events: events.collect(), revision: 9 }, now);
-        let second = journal.after(7, Duration::ZERO).await;
+        let second = journal.updates_after(7, Duration::ZERO).await;
 
-        let Passage::Changes(first) = first else { panic!("everything is told") };
+        let StoreUpdate::Changes(first) = first else { panic!("everything is told") };
         assert!(first.revision <= 7, "nothing is known of what follows 7: {first:?}");
-        let Passage::Changes(second) = second else { panic!("everything is told") };
+        let StoreUpdate::Changes(second) = second else { panic!("everything is told") };
         let told: Vec<u64> = second.events.iter().map(StoreEvent::revision).collect();
         assert_eq!((told, second.revision), (vec![8, 9], 9));
     });
@@ -179,13 +179,13 @@
     run(async {
         let tier = Tier::new();
         let journal = &tier.router.journal;
-        let offered = |revision| journal.is_ahead_of(&Passage::Whole(scan(revision)));
+        let offered = |revision| journal.is_ahead_of(&StoreUpdate::Full(scan(revision)));
         let unknown = offered(5);
 
         journal.reset(&scan(9), std::time::Instant::now());
         let changes = StoreChanges { events: Vec::new(), revision: 5 };
 
         assert_eq!((unknown, offered(8), offered(9), offered(12)), (false, true, false, false));
-        assert!(!journal.is_ahead_of(&Passage::Changes(changes)), "they take nothing away");
+        assert!(!journal.is_ahead_of(&StoreUpdate::Changes(changes)), "they take nothing away");
     });
 }
--- a/crates/kumquatnotch-route/tests/first_reading.rs
+++ b/crates/kumquatnotch-route/tests/initial_sync.rs
@@ -190,10 +190,10 @@
         start(&large, &store);
         ready(&large).await;
 
-        let first = large.router.journal.may_tell_whole();
-        let second = large.router.journal.may_tell_whole();
+        let first = large.router.journal.admit_full_transfer();
+        let second = large.router.journal.admit_full_transfer();
         pause(60).await;
-        let later = large.router.journal.may_tell_whole();
+        let later = large.router.journal.admit_full_transfer();
 
         assert_eq!((first, second, later), (true, false, true));
     });
--- a/crates/kumquatnotch-route/tests/size.rs
+++ b/crates/kumquatnotch-route/tests/scale.rs
@@ -18,7 +18,7 @@
     ids::{DataCentre, NodeName, Region},
 };
 use kumquatnotch_route::{
-    bulk::{Bulk, Change},
+    change_summary::{Change, ChangeSummary},
     fleet::NodeRecord,
     follow,
     mirror::Mirror,
@@ -132,20 +132,20 @@
         .map(|centre| follow::readers(&centre, &candidates).len())
         .sum();
 
-    assert_eq!(watching, CENTRES * follow::READERS);
+    assert_eq!(watching, CENTRES * follow::READERS_PER_CENTRE);
 }
 
 /// Ten thousand replicas that come at once are one line of the log, a few are a line each.
 #[test]
 fn entries_that_come_together_are_told_by_their_number() {
-    let bulk = Bulk::default();
+    let summary = ChangeSummary::default();
 
-    bulk.begin(REPLICAS);
-    let many = (0..REPLICAS).all(|_| bulk.takes(Change::Replica));
-    bulk.end();
-    bulk.begin(3);
-    let few = bulk.takes(Change::Replica);
-    bulk.end();
+    summary.begin(REPLICAS);
+    let many = (0..REPLICAS).all(|_| summary.coalesce(Change::Replica));
+    summary.end();
+    summary.begin(3);
+    let few = summary.coalesce(Change::Replica);
+    summary.end();
 
     assert!(many && !few);
 }
@@ -154,12 +154,12 @@
 /// When this node knew that is in the log all the same, for a bounded number of replicas.
 #[test]
 fn replicas_that_leave_are_named_also_among_many() {
-    let bulk = Bulk::default();
+    let summary = ChangeSummary::default();
 
-    bulk.begin(REPLICAS);
-    let named = |change| (0..REPLICAS).filter(|_| !bulk.takes(change)).count();
+    summary.begin(REPLICAS);
+    let named = |change| (0..REPLICAS).filter(|_| !summary.coalesce(change)).count();
     let (draining, gone) = (named(Change::Draining), named(Change::ReplicaGone));
-    bulk.end();
+    summary.end();
 
     assert_eq!((draining, gone), (16, 16));
 }
--- a/crates/measure/src/routes.rs
+++ b/crates/measure/src/routes.rs
@@ -136,7 +136,7 @@
         mechanisms: Mechanisms::default(),
     };
     let router = Router::try_new(options, &registry)?;
-    router.put_in_force(RouteTable::new(config(addresses.len())));
+    router.install_table(RouteTable::new(config(addresses.len())));
     for (index, address) in addresses.iter().enumerate() {
         let spec = ReplicaSpec {
             service: name(index),
