--- a/crates/kumquatnotch-route/tests/advice.rs
+++ b/crates/kumquatnotch-route/tests/advice.rs
@@ -129,7 +129,7 @@
 /// The last but one of the large nodes beside the replicas has ended. Callers are
 /// given the smaller ones there as well: a single address would be a single loss.
 #[test]
-fn a_choice_of_one_node_is_widened() {
+fn a_single_suitable_node_is_supplemented_by_smaller_ones() {
     let nodes = [node(0, "a1", 0.5), node(1, "a1", 0.1), node(2, "a2", 0.5)];
 
     let advice = advice(&[("s1", "a1"), ("s2", "a1")], &nodes);
--- a/crates/kumquatnotch-route/tests/common/store.rs
+++ b/crates/kumquatnotch-route/tests/common/store.rs
@@ -19,21 +19,21 @@
     pub events: RefCell<Vec<StoreEvent>>,
     pub revision: Cell<u64>,
     /// Every call fails.
-    pub away: Cell<bool>,
+    pub unavailable: Cell<bool>,
     /// Watches after an older revision find no history.
-    pub oldest: Cell<u64>,
+    pub compacted: Cell<u64>,
     /// Leases that have ended.
-    pub ended: RefCell<Vec<u64>>,
-    pub leases: Cell<u64>,
+    pub ended_leases: RefCell<Vec<u64>>,
+    pub granted_leases: Cell<u64>,
     pub calls: Cell<u64>,
     /// Calls that come while this is set are never answered.
-    pub silent: Cell<bool>,
+    pub unresponsive: Cell<bool>,
     /// Leases are not renewed, as the calls are lost.
     pub loses_renewals: Cell<bool>,
     /// Watches see no changes.
-    pub deaf: Cell<bool>,
+    pub hides_changes: Cell<bool>,
     /// What snapshots tell, if they lag behind.
-    pub lagging: RefCell<Option<StoreScan>>,
+    pub stale_snapshot: RefCell<Option<StoreScan>>,
     pub scans: Cell<u64>,
 }
 
@@ -46,7 +46,7 @@
 
 impl FakeStore {
     pub fn put(&self, key: &str, value: &[u8]) {
-        let revision = self.next();
+        let revision = self.next_revision();
         let item = StoreItem { key: key.to_owned(), value: value.to_vec(), revision };
         self.items.borrow_mut().insert(key.to_owned(), item.clone());
         self.events.borrow_mut().push(StoreEvent::Written(item));
@@ -54,49 +54,49 @@
 
     pub fn delete(&self, key: &str) {
         if self.items.borrow_mut().remove(key).is_some() {
-            let revision = self.next();
+            let revision = self.next_revision();
             let event = StoreEvent::Deleted { key: key.to_owned(), revision };
             self.events.borrow_mut().push(event);
         }
     }
 
     /// Drops all history so far.
-    pub fn forget(&self) {
-        self.oldest.set(self.revision.get());
+    pub fn compact(&self) {
+        self.compacted.set(self.revision.get());
         self.events.borrow_mut().clear();
     }
 
-    fn next(&self) -> u64 {
+    fn next_revision(&self) -> u64 {
         self.revision.set(self.revision.get() + 1);
         self.revision.get()
     }
 
     /// Everything as it is now.
-    pub fn everything(&self) -> StoreScan {
+    pub fn current_state(&self) -> StoreScan {
         let items = self.items.borrow().values().cloned().collect();
         StoreScan { items, revision: self.revision.get() }
     }
 
-    async fn check(&self) -> Result<()> {
+    async fn apply_faults(&self) -> Result<()> {
         self.calls.set(self.calls.get() + 1);
-        if self.silent.get() {
+        if self.unresponsive.get() {
             std::future::pending::<()>().await;
         }
-        if self.away.get() { Err(Error::PlatformUnavailable) } else { Ok(()) }
+        if self.unavailable.get() { Err(Error::PlatformUnavailable) } else { Ok(()) }
     }
 }
 
 impl Store for FakeStore {
     fn read<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<StoreItem>>> {
         Box::pin(async move {
-            self.check().await?;
+            self.apply_faults().await?;
             Ok(self.items.borrow().get(key).cloned())
         })
     }
 
     fn scan<'a>(&'a self, prefix: &'a str) -> LocalFuture<'a, Result<StoreScan>> {
         Box::pin(async move {
-            self.check().await?;
+            self.apply_faults().await?;
             self.scans.set(self.scans.get() + 1);
             let items = self.items.borrow();
             let items = items.values().filter(|item| item.key.starts_with(prefix)).cloned();
@@ -106,9 +106,9 @@
 
     fn snapshot<'a>(&'a self, prefix: &'a str) -> LocalFuture<'a, Result<StoreScan>> {
         Box::pin(async move {
-            self.check().await?;
-            let lagging = self.lagging.borrow().clone();
-            let mut scan = lagging.unwrap_or_else(|| self.everything());
+            self.apply_faults().await?;
+            let stale_snapshot = self.stale_snapshot.borrow().clone();
+            let mut scan = stale_snapshot.unwrap_or_else(|| self.current_state());
             scan.items.retain(|item| item.key.starts_with(prefix));
             Ok(scan)
         })
@@ -124,15 +124,15 @@
             const STEP: Duration = Duration::from_millis(10);
             let mut waited = Duration::ZERO;
             loop {
-                self.check().await?;
-                if after < self.oldest.get() {
+                self.apply_faults().await?;
+                if after < self.compacted.get() {
                     return Err(Error::VersionUnknown { version: after });
                 }
                 let events: Vec<StoreEvent> = self
                     .events
                     .borrow()
                     .iter()
-                    .filter(|event| event_revision(event) > after && !self.deaf.get())
+                    .filter(|event| event_revision(event) > after && !self.hides_changes.get())
                     .filter(|event| match event {
                         StoreEvent::Written(item) => item.key.starts_with(prefix),
                         StoreEvent::Deleted { key, .. } => key.starts_with(prefix),
@@ -150,9 +150,9 @@
 
     fn write<'a>(&'a self, write: &'a StoreWrite) -> LocalFuture<'a, Result<u64>> {
         Box::pin(async move {
-            self.check().await?;
+            self.apply_faults().await?;
             for put in &write.puts {
-                if put.lease.is_some_and(|lease| self.ended.borrow().contains(&lease)) {
+                if put.lease.is_some_and(|lease| self.ended_leases.borrow().contains(&lease)) {
                     return Err(Error::LeaseGone);
                 }
                 self.put(&put.key, &put.value);
@@ -164,19 +164,19 @@
 
     fn grant(&self, ttl: Duration) -> LocalFuture<'_, Result<StoreLease>> {
         Box::pin(async move {
-            self.check().await?;
-            self.leases.set(self.leases.get() + 1);
-            Ok(StoreLease { id: self.leases.get(), ttl })
+            self.apply_faults().await?;
+            self.granted_leases.set(self.granted_leases.get() + 1);
+            Ok(StoreLease { id: self.granted_leases.get(), ttl })
         })
     }
 
     fn renew(&self, lease: u64) -> LocalFuture<'_, Result<()>> {
         Box::pin(async move {
-            self.check().await?;
+            self.apply_faults().await?;
             if self.loses_renewals.get() {
                 return Err(Error::WriteUnknown);
             }
-            if self.ended.borrow().contains(&lease) {
+            if self.ended_leases.borrow().contains(&lease) {
                 return Err(Error::LeaseGone);
             }
             Ok(())
--- a/crates/kumquatnotch-route/tests/follow.rs
+++ b/crates/kumquatnotch-route/tests/follow.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_node_follows_one_that_watches_the_store_and_asks_the_store_no_more() {
+fn a_follower_receives_changes_without_calling_the_store() {
     run(async {
         let (r1, r2, z) = nodes();
         // The time in which vanished entries are kept after the start must be over.
@@ -78,12 +78,12 @@
 /// One of the two nodes that watch is turned away by the store. The follower must notice
 /// and go elsewhere, and the one that is turned away hears of the change from the other.
 #[test]
-fn a_node_that_lost_the_store_is_not_followed_for_long() {
+fn followers_leave_a_node_that_lost_the_store() {
     run(async {
         let (r1, r2, z) = nodes();
         pause(300).await;
 
-        r1.store.away.set(true);
+        r1.store.unavailable.set(true);
         pause(2_700).await;
         r2.store.put("c", b"9");
         pause(2_500).await;
@@ -94,7 +94,7 @@
 
 /// Both nodes that watch are gone. The follower asks the store itself.
 #[test]
-fn without_a_node_to_follow_the_store_is_asked() {
+fn a_follower_without_readers_falls_back_to_the_store() {
     run(async {
         let (r1, r2, z) = nodes();
         pause(300).await;
@@ -113,13 +113,13 @@
 /// earlier life asks whether it is back. It learns from that one, serves by what it
 /// knows, and goes on following it.
 #[test]
-fn a_node_that_starts_without_the_store_learns_from_one_that_asks() {
+fn a_node_that_starts_during_an_outage_syncs_from_an_inbound_peer() {
     run(async {
         let (r1, _, _) = nodes();
         let (tier, store) = (Tier::named("new", 100.0, "home"), Rc::new(FakeStore::default()));
         r1.store.put("n/new", &node_entry(tier.peer.address(), 1.0));
         pause(300).await;
-        store.away.set(true);
+        store.unavailable.set(true);
         let dyn_store: Rc<dyn Store> = store.clone();
         Mirror::new(options(), tier.router.clone(), dyn_store, Rc::new(TestSchema)).start();
         pause(200).await;
@@ -152,7 +152,7 @@
 /// that follow it would be told that there is nothing between, and never hear of the changes
 /// that it learns again then: a configuration would be in force nowhere behind it.
 #[test]
-fn a_node_that_knows_less_than_before_tells_all_that_comes_after() {
+fn followers_miss_no_changes_after_a_reset_to_an_older_revision() {
     run(async {
         let tier = Tier::new();
         let (journal, now) = (&tier.router.journal, std::time::Instant::now());
@@ -175,7 +175,7 @@
 /// The store has dropped its history, and another node offers everything that it knows, which
 /// is older than what this one has heard. A replica that drains would be used again.
 #[test]
-fn what_another_node_knows_does_not_replace_what_is_newer() {
+fn an_older_full_state_does_not_replace_a_newer_one() {
     run(async {
         let tier = Tier::new();
         let journal = &tier.router.journal;
--- a/crates/kumquatnotch-route/tests/initial_sync.rs
+++ b/crates/kumquatnotch-route/tests/initial_sync.rs
@@ -30,7 +30,7 @@
     mirror
 }
 
-async fn ready(tier: &Tier) {
+async fn until_ready(tier: &Tier) {
     while !tier.router.is_ready() {
         pause(5).await;
     }
@@ -43,14 +43,14 @@
 fn a_node_whose_first_call_was_lost_serves_soon_after_the_store_is_back() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        store.silent.set(true);
+        store.unresponsive.set(true);
         start(&tier, &store);
         pause(1_000).await;
         let asked = store.calls.get();
 
-        store.silent.set(false);
+        store.unresponsive.set(false);
         let back = Instant::now();
-        ready(&tier).await;
+        until_ready(&tier).await;
 
         assert!(back.elapsed().as_millis() < 700, "after {:?}", back.elapsed());
         assert!((2..=8).contains(&asked), "{asked} calls in a second");
@@ -60,16 +60,16 @@
 /// A snapshot may be some seconds old. A replica that has left since must not be used,
 /// one that came must be, and a configuration that was replaced never comes into force.
 #[test]
-fn what_changed_since_a_lagging_snapshot_is_known_before_the_first_request() {
+fn changes_since_a_stale_snapshot_are_applied_before_the_first_request() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        *store.lagging.borrow_mut() = Some(store.everything());
+        *store.stale_snapshot.borrow_mut() = Some(store.current_state());
         store.delete("r/one");
         store.put("r/three", b"127.0.0.1:3");
         store.put("c", b"9");
 
         start(&tier, &store);
-        ready(&tier).await;
+        until_ready(&tier).await;
 
         let mut known: Vec<String> = Vec::new();
         known.extend(tier.router.directory.all().iter().map(|one| one.id.as_str().to_owned()));
@@ -82,18 +82,18 @@
 
 /// Pages of a snapshot differ in age: what is newer in it than a change must stay.
 #[test]
-fn a_change_that_is_older_than_the_item_of_a_snapshot_is_passed_over() {
+fn a_change_older_than_the_snapshot_item_is_ignored() {
     run(async {
         let (tier, store) = (Tier::new(), store());
         let early = store.revision.get();
         store.delete("r/one");
         store.put("r/one", b"127.0.0.1:7");
-        let mut mixed = store.everything();
+        let mut mixed = store.current_state();
         mixed.revision = early;
-        *store.lagging.borrow_mut() = Some(mixed);
+        *store.stale_snapshot.borrow_mut() = Some(mixed);
 
         start(&tier, &store);
-        ready(&tier).await;
+        until_ready(&tier).await;
 
         let all = tier.router.directory.all();
         let one = all.iter().find(|replica| replica.id.as_str() == "one").unwrap();
@@ -102,15 +102,15 @@
 }
 
 #[test]
-fn a_snapshot_from_before_the_history_is_read_anew() {
+fn a_snapshot_older_than_the_history_is_replaced_by_a_full_scan() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        *store.lagging.borrow_mut() = Some(store.everything());
+        *store.stale_snapshot.borrow_mut() = Some(store.current_state());
         store.delete("r/one");
-        store.forget();
+        store.compact();
 
         start(&tier, &store);
-        ready(&tier).await;
+        until_ready(&tier).await;
 
         assert_eq!((tier.router.directory.len(), store.scans.get()), (1, 1));
     });
@@ -119,15 +119,15 @@
 /// The nodes that the store names have lost power together with this one, and hang. Callers
 /// are sent to this one, so it waits for none of them and reads the store.
 #[test]
-fn a_node_that_callers_use_waits_for_no_other() {
+fn a_serving_node_does_not_wait_for_unresponsive_peers() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        let silent = playing(|_| vec![standins::scripted::Step::Silence]);
-        store.put("n/r1", &node_entry(silent.address, 1.0));
+        let unresponsive = playing(|_| vec![standins::scripted::Step::Silence]);
+        store.put("n/r1", &node_entry(unresponsive.address, 1.0));
         let began = Instant::now();
 
         start(&tier, &store);
-        ready(&tier).await;
+        until_ready(&tier).await;
 
         assert!(began.elapsed().as_millis() < 200, "after {:?}", began.elapsed());
     });
@@ -137,17 +137,17 @@
 /// for a part of a second. All of them hang, and one of them alone took two seconds of it:
 /// the time was looked at only between two questions.
 #[test]
-fn a_node_that_asks_others_first_waits_for_none_of_them_for_long() {
+fn unresponsive_peers_delay_the_initial_sync_only_briefly() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        let silent = playing(|_| vec![standins::scripted::Step::Silence]);
+        let unresponsive = playing(|_| vec![standins::scripted::Step::Silence]);
         for number in 0..6 {
-            store.put(&format!("n/a{number}"), &node_entry(silent.address, 1.0));
+            store.put(&format!("n/a{number}"), &node_entry(unresponsive.address, 1.0));
         }
         let began = Instant::now();
 
         start(&tier, &store);
-        ready(&tier).await;
+        until_ready(&tier).await;
 
         // It asks others for 0.6 s at most.
         assert!(began.elapsed().as_millis() < 1_000, "after {:?}", began.elapsed());
@@ -158,20 +158,20 @@
 /// store, they would share its link and be ready after seconds. A small node asks a larger
 /// one, which may not have read anything yet itself, and leaves the store alone.
 #[test]
-fn a_small_node_reads_nothing_that_a_larger_one_can_tell() {
+fn a_small_node_syncs_from_a_larger_one_instead_of_the_store() {
     run(async {
         let (large, tier, store) = (Tier::named("r1", 100.0, "home"), Tier::new(), store());
         store.put("n/r1", &node_entry(large.peer.address(), 8.0));
         store.put("n/r2", &node_entry(nowhere(), 8.0));
         let own = Rc::new(FakeStore::default());
-        for item in store.everything().items {
+        for item in store.current_state().items {
             own.put(&item.key, &item.value);
         }
 
         start(&tier, &store);
         pause(150).await;
         start(&large, &own);
-        ready(&tier).await;
+        until_ready(&tier).await;
 
         assert_eq!(tier.router.directory.len(), 2);
         assert_eq!(store.calls.get(), 1, "it asked who the nodes are, and no more");
@@ -181,14 +181,14 @@
 /// Many ask one node for everything while callers wait for its answers. It tells one after
 /// the other, and those that it turns away ask again.
 #[test]
-fn a_node_tells_everything_to_one_after_the_other() {
+fn full_transfers_are_served_one_at_a_time() {
     run(async {
         let (large, store) = (Tier::named("r1", 100.0, "home"), store());
         for number in 0..500 {
             store.put(&format!("r/{number}"), b"127.0.0.1:7");
         }
         start(&large, &store);
-        ready(&large).await;
+        until_ready(&large).await;
 
         let first = large.router.journal.admit_full_transfer();
         let second = large.router.journal.admit_full_transfer();
--- a/crates/kumquatnotch-route/tests/scale.rs
+++ b/crates/kumquatnotch-route/tests/scale.rs
@@ -65,7 +65,7 @@
 /// and the changes for followers are bounded however many there are. It is ready within a
 /// fraction of the time after which its callers would have come again.
 #[test]
-fn a_node_learns_the_whole_fleet_at_once_and_keeps_each_entry_once() {
+fn a_large_fleet_loads_quickly_and_keeps_each_entry_once() {
     run(async {
         let (tier, store) = (Tier::new(), store());
         let dyn_store: Rc<dyn Store> = store.clone();
@@ -119,7 +119,7 @@
 
 /// Each data centre has two nodes that watch the store, however many there are.
 #[test]
-fn those_that_watch_the_store_dont_grow_with_the_fleet() {
+fn the_number_of_readers_is_independent_of_the_fleet_size() {
     let candidates: Vec<(NodeName, NodeRecord)> = (0..NODES)
         .map(|number| {
             let name = NodeName::from(format!("n{number:05}"));
@@ -137,7 +137,7 @@
 
 /// Ten thousand replicas that come at once are one line of the log, a few are a line each.
 #[test]
-fn entries_that_come_together_are_told_by_their_number() {
+fn many_changes_at_once_are_logged_as_a_summary() {
     let summary = ChangeSummary::default();
 
     summary.begin(REPLICAS);
@@ -153,7 +153,7 @@
 /// A request reached a replica that was leaving, and many entries changed at that moment.
 /// When this node knew that is in the log all the same, for a bounded number of replicas.
 #[test]
-fn replicas_that_leave_are_named_also_among_many() {
+fn leaving_replicas_are_logged_individually_up_to_a_limit() {
     let summary = ChangeSummary::default();
 
     summary.begin(REPLICAS);
--- a/crates/kumquatnotch-route/tests/stale_readers.rs
+++ b/crates/kumquatnotch-route/tests/stale_readers.rs
@@ -86,10 +86,10 @@
 /// of a long wait how old that is, so the waits at four of them add up: the logs show the
 /// four, 1.5 s apart, and the change in force as soon as any other source is asked.
 #[test]
-fn a_change_is_in_force_in_time_while_all_readers_are_turned_away() {
+fn a_change_takes_effect_in_time_while_the_store_rejects_all_readers() {
     run(async {
         let fleet = Fleet::start().await;
-        fleet.readers.iter().for_each(|reader| reader.store.away.set(true));
+        fleet.readers.iter().for_each(|reader| reader.store.unavailable.set(true));
         fleet.small.store.put("c", b"9");
 
         let took = fleet.small.time_to(9, 3 * IN_FORCE).await;
@@ -101,7 +101,7 @@
 /// The readers of the data centre hang: they take connections and answer nothing. The small
 /// node waits at the first, and not as long again at the second: others tell at once.
 #[test]
-fn a_change_is_in_force_in_time_while_the_nearest_readers_hang() {
+fn a_change_takes_effect_in_time_while_the_nearest_readers_hang() {
     run(async {
         let fleet = Fleet::start().await;
         let hung = playing(|_| vec![standins::scripted::Step::Silence]);
@@ -121,11 +121,11 @@
 /// The store turns one reader away for long, and serves another. Callers of the first see a
 /// change in time all the same: it hears of it from the second.
 #[test]
-fn a_reader_that_is_turned_away_hears_from_others() {
+fn a_rejected_reader_receives_changes_from_other_readers() {
     run(async {
         let fleet = Fleet::start().await;
         let [first, second, ..] = &fleet.readers[..] else { unreachable!() };
-        first.store.away.set(true);
+        first.store.unavailable.set(true);
         pause(300).await;
         second.store.put("c", b"9");
 
@@ -140,12 +140,12 @@
 /// one and of itself, all nodes that serve would share among fewer what replicas bear: more
 /// repeats than are allowed, more connections than a replica takes.
 #[test]
-fn a_node_that_is_turned_away_goes_on_counting_those_that_are_too() {
+fn a_rejected_node_keeps_counting_other_rejected_nodes() {
     run(async {
         let fleet = Fleet::start().await;
         let [first, second, ..] = &fleet.readers[..] else { unreachable!() };
         let knows = |name: &str| first.tier.router.fleet.knows(&NodeName::from(name));
-        first.store.away.set(true);
+        first.store.unavailable.set(true);
         pause(300).await;
         ["n/r1", "n/r3"].into_iter().for_each(|key| second.store.delete(key));
         second.store.put("c", b"9");
@@ -154,7 +154,7 @@
         let during = (knows("r1"), knows("r3"));
 
         ["n/r1", "n/r3"].into_iter().for_each(|key| first.store.delete(key));
-        first.store.away.set(false);
+        first.store.unavailable.set(false);
         pause(1_500).await;
 
         assert!(took < IN_FORCE);
--- a/crates/kumquatnotch-route/tests/standby.rs
+++ b/crates/kumquatnotch-route/tests/standby.rs
@@ -21,13 +21,13 @@
 };
 use schema::{TestSchema, options};
 
-struct World {
+struct Fixture {
     tier: Tier,
     store: Rc<FakeStore>,
 }
 
 /// A node with a capacity of 1.0 beside two of 4.0, which have just started.
-fn world() -> World {
+fn fixture() -> Fixture {
     let (tier, store) = (Tier::new(), Rc::new(FakeStore::default()));
     store.put("c", b"3");
     for name in ["large-1", "large-2"] {
@@ -40,10 +40,10 @@
     let keys = NodeKeys { record: "n/me".to_owned(), crashes: "x/me".to_owned() };
     let (name, record) = (NodeName::from("me"), node_entry(nowhere(), 1.0));
     Announcer::new(tier.router.clone(), dyn_store, mirror, name, keys, record).start();
-    World { tier, store }
+    Fixture { tier, store }
 }
 
-impl World {
+impl Fixture {
     fn is_announced(&self) -> bool {
         self.store.items.borrow().contains_key("n/me")
     }
@@ -54,11 +54,11 @@
 #[test]
 fn a_small_node_beside_larger_ones_announces_nothing() {
     run(async {
-        let world = world();
+        let fixture = fixture();
         pause(900).await;
 
-        assert!(world.tier.router.is_ready() && !world.is_announced());
-        assert_eq!((world.store.leases.get(), world.tier.router.own_part()), (0, 0.0));
+        assert!(fixture.tier.router.is_ready() && !fixture.is_announced());
+        assert_eq!((fixture.store.granted_leases.get(), fixture.tier.router.own_part()), (0, 0.0));
     });
 }
 
@@ -67,11 +67,11 @@
 #[test]
 fn a_small_node_announces_itself_when_a_larger_one_is_lost() {
     run(async {
-        let world = world();
+        let fixture = fixture();
         pause(700).await;
-        world.store.delete("n/large-1");
+        fixture.store.delete("n/large-1");
         let lost = Instant::now();
-        while !world.is_announced() {
+        while !fixture.is_announced() {
             pause(10).await;
         }
 
@@ -82,14 +82,14 @@
 
 /// A replica was crashed by a request through a node on standby: all nodes must hear it.
 #[test]
-fn a_small_node_announces_itself_to_tell_of_crashes() {
+fn a_small_node_announces_itself_to_publish_crashes() {
     run(async {
-        let world = world();
+        let fixture = fixture();
         pause(300).await;
-        let crashes = &world.tier.router.crashes;
+        let crashes = &fixture.tier.router.crashes;
         crashes.note(Crash { print: Fingerprint(7), attempt: 1 }, Instant::now());
         pause(1_500).await;
 
-        assert!(world.store.items.borrow().contains_key("x/me"));
+        assert!(fixture.store.items.borrow().contains_key("x/me"));
     });
 }
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -26,13 +26,13 @@
 const DRAINED: Duration = Duration::from_secs(3);
 
 /// A node, as it runs in production, and a store with some replicas of two services.
-struct World {
+struct Fixture {
     tier: Tier,
     store: Rc<FakeStore>,
     mirror: Rc<Mirror>,
 }
 
-async fn world(replicas: &[&str]) -> World {
+async fn fixture(replicas: &[&str]) -> Fixture {
     let (tier, store) = (Tier::new(), Rc::new(FakeStore::default()));
     store.put("c", b"3");
     for name in replicas {
@@ -43,10 +43,10 @@
     let mirror = Mirror::new(options, tier.router.clone(), dyn_store, Rc::new(TestSchema));
     mirror.start();
     pause(100).await;
-    World { tier, store, mirror }
+    Fixture { tier, store, mirror }
 }
 
-impl World {
+impl Fixture {
     /// The replica of a service that the next request is sent to.
     fn next(&self, name: &str) -> Option<String> {
         let router = &self.tier.router;
@@ -77,17 +77,17 @@
 #[test]
 fn a_replica_that_left_while_the_history_was_dropped_gets_no_requests() {
     run(async {
-        let world = world(&["s0.left", "s0.stays"]).await;
+        let fixture = fixture(&["s0.left", "s0.stays"]).await;
         pause(3_000).await;
 
-        world.store.deaf.set(true);
-        world.store.delete("r/s0.left");
+        fixture.store.hides_changes.set(true);
+        fixture.store.delete("r/s0.left");
         let removed = Instant::now();
         pause(1_000).await;
-        world.store.forget();
-        world.store.deaf.set(false);
+        fixture.store.compact();
+        fixture.store.hides_changes.set(false);
         pause(2_000).await;
-        let used = world.used("s0", removed + DRAINED + Duration::from_secs(1)).await;
+        let used = fixture.used("s0", removed + DRAINED + Duration::from_secs(1)).await;
 
         assert_eq!(used, ["s0.stays"]);
     });
@@ -96,44 +96,44 @@
 /// The store is away for a moment, and a replica leaves without a word. Another one of its
 /// service is there, so requests go to that, while the first may still come back.
 #[test]
-fn a_replica_that_vanished_in_an_outage_is_the_last_to_be_used() {
+fn a_replica_that_vanished_in_an_outage_is_used_last() {
     run(async {
-        let world = world(&["s0.left", "s0.stays", "s1.only"]).await;
+        let fixture = fixture(&["s0.left", "s0.stays", "s1.only"]).await;
         pause(3_000).await;
 
-        world.store.away.set(true);
+        fixture.store.unavailable.set(true);
         pause(300).await;
-        world.store.delete("r/s0.left");
-        world.store.delete("r/s1.only");
-        world.store.away.set(false);
+        fixture.store.delete("r/s0.left");
+        fixture.store.delete("r/s1.only");
+        fixture.store.unavailable.set(false);
         pause(1_200).await;
-        let known = world.tier.router.directory.len();
-        let used = world.used("s0", Instant::now() + Duration::from_millis(300)).await;
+        let known = fixture.tier.router.directory.len();
+        let used = fixture.used("s0", Instant::now() + Duration::from_millis(300)).await;
 
         assert_eq!(known, 3, "each may be back in a moment");
         assert_eq!(used, ["s0.stays"]);
-        assert_eq!(world.next("s1").as_deref(), Some("s1.only"), "its service has no other");
+        assert_eq!(fixture.next("s1").as_deref(), Some("s1.only"), "its service has no other");
     });
 }
 
 /// The store was away, and the entries of most replicas lapsed. They are back one by one. If
 /// only those were used that are back, the first one of each service would be crowded.
 #[test]
-fn replicas_whose_entries_lapsed_together_are_used_like_others() {
+fn replicas_whose_entries_expired_together_keep_their_priority() {
     run(async {
         let names = ["s0.a", "s0.b", "s1.a", "s1.b", "s2.a", "s2.b"];
-        let world = world(&names).await;
+        let fixture = fixture(&names).await;
         pause(3_000).await;
 
-        world.store.away.set(true);
+        fixture.store.unavailable.set(true);
         pause(300).await;
-        names.iter().for_each(|name| world.store.delete(&format!("r/{name}")));
-        world.store.away.set(false);
+        names.iter().for_each(|name| fixture.store.delete(&format!("r/{name}")));
+        fixture.store.unavailable.set(false);
         pause(1_200).await;
-        world.store.put("r/s0.a", b"127.0.0.1:1");
+        fixture.store.put("r/s0.a", b"127.0.0.1:1");
         pause(500).await;
 
-        let router = &world.tier.router;
+        let router = &fixture.tier.router;
         let need = router.need(&single());
         let replicas = router.directory.of(&service("s0"));
         let now = router.clock.now();
@@ -146,13 +146,13 @@
 /// of a service leaves without a word, and requests go on being sent to it: the node took the
 /// next return of its watch for the end of an outage, though it had heard of it long before.
 #[test]
-fn an_outage_ends_with_the_first_call_that_is_answered() {
+fn an_outage_ends_with_the_first_answered_call() {
     run(async {
-        let world = world(&["s0.left"]).await;
+        let fixture = fixture(&["s0.left"]).await;
         let announcer = Announcer::new(
-            world.tier.router.clone(),
-            world.store.clone(),
-            world.mirror.clone(),
+            fixture.tier.router.clone(),
+            fixture.store.clone(),
+            fixture.mirror.clone(),
             NodeName::from("me"),
             NodeKeys { record: "n/me".to_owned(), crashes: "x/me".to_owned() },
             node_entry(nowhere(), 1.0),
@@ -160,14 +160,14 @@
         announcer.start();
         // A watch has just begun, and returns in two seconds; a renewal comes before that.
         pause(3_100).await;
-        world.store.loses_renewals.set(true);
+        fixture.store.loses_renewals.set(true);
         pause(800).await;
-        world.store.loses_renewals.set(false);
+        fixture.store.loses_renewals.set(false);
         pause(3_600).await;
 
-        world.store.delete("r/s0.left");
+        fixture.store.delete("r/s0.left");
         pause(500).await;
 
-        assert_eq!(world.next("s0"), None);
+        assert_eq!(fixture.next("s0"), None);
     });
 }
