--- a/crates/kumquatnotch-route/src/entries.rs
+++ b/crates/kumquatnotch-route/src/entries.rs
@@ -1,10 +1,11 @@
-//! The entries of the store, as every node knows them.
+//! The entries of the store that a node knows.
 //!
-//! Replicas and nodes renew their entries, so entries may lapse while the store is away
-//! although those behind them live; they come back soon after its return. So what
-//! vanishes around an outage is kept for a while, and dropped if it is still missing
-//! then. A replica may also have left meanwhile. A few that vanish while others of their
-//! services are there have probably done so, and are the last to be used.
+//! Replicas and nodes renew their entries under leases, so entries may expire while the store
+//! is unavailable although their owners are alive; the owners write them again soon after the
+//! store is back. Entries that vanish around an outage are therefore retained for a while, and
+//! dropped if they are still missing then. A replica may also have left in the meantime. If
+//! only a few replicas vanish while others of their services remain, they have probably left,
+//! and are used last.
 
 use std::{
     cell::{Cell, RefCell},
@@ -30,35 +31,36 @@
     schema::{Entry, EntryKey, Schema},
 };
 
-/// How many replicas must vanish in one answer to count as a lapse.
+/// Minimum number of replicas that must vanish in one answer to count as a mass expiry.
 const MASS_EXPIRY_COUNT: usize = 4;
 
-/// Which share of all entries they must be.
+/// Minimum share of all entries that they must make up.
 const MASS_EXPIRY_SHARE: f64 = 0.15;
 
-/// How often it is looked for entries to drop.
+/// How often retained entries are checked for removal.
 const SWEEP_PERIOD: Duration = Duration::from_millis(200);
 
-/// The entries that are known.
+/// The entries that the store is known to hold.
 pub struct Entries {
     router: Rc<Router>,
     schema: Rc<dyn Schema>,
-    /// How long an entry that vanished around an outage is kept.
+    /// How long an entry that vanished around an outage is retained.
     retention: Duration,
-    /// The keys that are known to exist.
+    /// Keys that are known to exist.
     known: RefCell<HashSet<EntryKey>>,
-    /// The keys that vanished around an outage, and when they are dropped.
+    /// Keys that vanished around an outage, and when each is dropped.
     vanished: RefCell<HashMap<EntryKey, Instant>>,
-    /// Whether nodes whose entries vanish are kept until further notice.
+    /// Whether nodes whose entries vanish are retained until further notice.
     node_removal_suspended: Cell<bool>,
-    /// How often the entry of each node was seen to vanish.
+    /// Number of times that the entry of each node has vanished.
     removals: RefCell<HashMap<NodeName, u64>>,
-    /// What is told by numbers, as much changes at once.
+    /// Counts changes that are logged as a summary, because many come at once.
     summary: ChangeSummary,
 }
 
 impl Entries {
-    /// No entries, of which those that vanish around an outage are kept for `keep`.
+    /// Creates an empty set of entries. Entries that vanish around an outage are
+    /// retained for `retention`.
     pub fn new(router: Rc<Router>, schema: Rc<dyn Schema>, retention: Duration) -> Entries {
         Entries {
             router,
@@ -72,33 +74,33 @@
         }
     }
 
-    /// The prefix of all keys that mean something to this tier.
+    /// Prefix of all keys that are relevant to this tier.
     pub fn prefix(&self) -> &str {
         self.schema.prefix()
     }
 
-    /// The prefix of the keys of nodes.
+    /// Prefix of the keys of nodes.
     pub fn node_prefix(&self) -> &str {
         self.schema.node_prefix()
     }
 
-    /// Whether the entry of node `name` is in the store, as far as is known.
+    /// Whether the store is known to hold an entry of node `name`.
     pub fn has_node(&self, name: &NodeName) -> bool {
         self.known.borrow().contains(&EntryKey::Node(name.clone()))
     }
 
-    /// How often the entry of node `name` has vanished.
+    /// Returns how often the entry of node `name` has vanished.
     pub fn removals_of(&self, name: &NodeName) -> u64 {
         self.removals.borrow().get(name).copied().unwrap_or_default()
     }
 
-    /// The nodes of the tier that a scan names.
+    /// Returns the nodes of the tier that a scan contains.
     pub fn nodes_in(&self, scan: &StoreScan) -> Vec<Candidate> {
         let nodes = scan.items.iter().filter_map(|item| {
             let Some(EntryKey::Node(_)) = self.schema.read_key(&item.key) else {
                 return None;
             };
-            // One that can't be read is told of when the scan is taken over.
+            // Unreadable records are logged when the scan is applied.
             match self.schema.read(item) {
                 Ok(Some(Entry::Node(name, record))) => Some((name, record)),
                 _ => None,
@@ -107,7 +109,7 @@
         nodes.collect()
     }
 
-    /// Takes over some of what the store holds.
+    /// Applies items that are only a part of what the store holds.
     pub fn apply_some(&self, items: &[StoreItem]) {
         self.summary.begin(items.len());
         items.iter().for_each(|item| drop(self.apply_item(item)));
@@ -115,7 +117,7 @@
         self.summary.end();
     }
 
-    /// Takes over everything that the store holds; what is missing is lost.
+    /// Applies everything that the store holds; known entries that are missing count as removed.
     pub fn replace_all(&self, items: &[StoreItem]) {
         self.summary.begin(items.len());
         let seen: HashSet<EntryKey> =
@@ -126,7 +128,7 @@
         self.summary.end();
     }
 
-    /// Takes over changes.
+    /// Applies changes in their order.
     pub fn apply_events(&self, events: &[&StoreEvent]) {
         self.summary.begin(events.len());
         events.iter().for_each(|event| self.apply_event(event));
@@ -147,10 +149,10 @@
         }
     }
 
-    /// Whether so many entries vanished at once that they must have lapsed.
+    /// Whether so many entries vanished at once that they must have expired.
     ///
-    /// The store may have been away between two of its answers. Replicas and nodes
-    /// that leave do so a few at a time, or say so before.
+    /// The store may have been unavailable between two of its answers. Replicas and nodes that
+    /// leave do so a few at a time, or drain first.
     pub fn is_mass_expiry(&self, events: &[StoreEvent]) -> bool {
         let deleted = events.iter().filter(|event| match event {
             StoreEvent::Written(_) => false,
@@ -161,12 +163,12 @@
         reaches_mass_expiry(deleted.count(), self.known.borrow().len())
     }
 
-    /// Tells replicas that have probably left from those whose entries have lapsed.
+    /// Tells replicas that have probably left from replicas whose entries have expired.
     ///
-    /// A replica that leaves without a word ends some seconds after its entry is removed, and
-    /// nobody sees when that was if it happens around an outage: kept like one whose entry
-    /// lapsed, it got requests until then. Entries lapse many at a time, and if a service has
-    /// no other replica, requests go to the one that vanished in any case.
+    /// A replica that leaves without draining ends some seconds after its entry is removed, and
+    /// around an outage the time of the removal is unknown. If it were retained like one whose
+    /// entry expired, it would get requests until then. Entries expire many at a time; and if a
+    /// service has no other replica, requests go to the vanished one in any case.
     fn classify_vanished(&self) {
         let vanished = self.vanished.borrow();
         let replicas: Vec<Rc<Replica>> =
@@ -183,7 +185,7 @@
         }
     }
 
-    /// The replica that a key names, if it is known.
+    /// Returns the replica that a key names, if it is known.
     fn replica(&self, key: &EntryKey) -> Option<Rc<Replica>> {
         match key {
             EntryKey::Replica(id) => self.router.directory.find(id),
@@ -191,18 +193,22 @@
         }
     }
 
-    /// Whether a key is that of a replica that takes requests, as far as is known.
+    /// Whether a key is that of a replica that is known to take requests.
     fn is_serving(&self, key: &EntryKey) -> bool {
         self.replica(key).is_some_and(|replica| replica.takes_requests())
     }
 
-    /// Takes over an item; gives its key if it is something to this tier.
+    /// Applies an item. Returns its key if it is relevant to this tier and readable.
     fn apply_item(&self, item: &StoreItem) -> Option<EntryKey> {
         let key = self.schema.read_key(&item.key)?;
         let entry = match self.schema.read(item) {
             Ok(entry) => entry?,
             Err(error) => {
-                tracing::warn!(key = item.key, code = error.code(), "mirror: can't read: {error}");
+                tracing::warn!(
+                    key = item.key,
+                    code = error.code(),
+                    "mirror: unreadable entry: {error}"
+                );
                 self.note_unreadable(&key);
                 return None;
             }
@@ -217,11 +223,11 @@
         Some(key)
     }
 
-    /// Notes that an entry can't be read, so that it is not the tier's or a replica's.
+    /// Handles an entry that can't be read, and so was written by neither the tier nor a replica.
     ///
-    /// A replica whose entry another writer has taken is not used any more, also while
-    /// vanished entries are kept: the address that was known may be another's by now. It
-    /// writes its entry anew if it lives. What else was known holds.
+    /// A replica whose entry was overwritten by another writer is no longer used, even while
+    /// vanished entries are retained: its last known address may belong to another process by now.
+    /// If the replica is alive, it writes its entry again. Other state that is known stays in use.
     fn note_unreadable(&self, key: &EntryKey) {
         if matches!(key, EntryKey::Replica(_)) && self.known.borrow_mut().remove(key) {
             self.drop_entry(key, "its entry can't be read");
@@ -246,7 +252,7 @@
                         address = %spec.address,
                         draining = spec.draining,
                         revision,
-                        "mirror: a replica tells of itself"
+                        "mirror: replica entry received"
                     );
                 }
                 let put = router.directory.put(&id, spec, router.clock.now());
@@ -255,14 +261,14 @@
                         replica = id.as_str(),
                         ?put,
                         revision,
-                        "mirror: a replica is not what it was"
+                        "mirror: replica entry differs from the known replica"
                     );
                 }
             }
             Entry::Node(name, record) => {
                 if !self.summary.coalesce(Change::Node) {
                     let node = name.as_str();
-                    tracing::info!(node, revision, "mirror: a node tells of itself");
+                    tracing::info!(node, revision, "mirror: node entry received");
                 }
                 router.fleet.put(name, record, router.clock.now());
             }
@@ -271,7 +277,7 @@
                     node = name.as_str(),
                     count = crashes.len(),
                     revision,
-                    "mirror: a node tells of crashes"
+                    "mirror: crash reports received"
                 );
                 let refused = router.crashes.merge(&crashes, router.clock.now());
                 refused.iter().for_each(crash_check::tell);
@@ -279,16 +285,16 @@
         }
     }
 
-    /// Keeps nodes whose entries vanish, while the store turns this one away.
+    /// Retains nodes whose entries vanish, while the store rejects this node.
     ///
-    /// It turns others away as well, and these lose their entries as this one does, but serve
-    /// on. If each of them counted only those that the store still serves, all together would
-    /// send more repeats, and open more connections, than replicas bear.
+    /// The store rejects other nodes as well, which lose their entries like this one but continue
+    /// to serve. If each of them counted only the nodes that the store still accepts, all together
+    /// would send more repeats, and open more connections, than the replicas can take.
     pub fn suspend_node_removal(&self) {
         self.node_removal_suspended.set(true);
     }
 
-    /// Drops the nodes that were kept, unless they are back soon.
+    /// Resumes dropping vanished nodes. Those retained so far get another retention time to return.
     pub fn resume_node_removal(&self) {
         if !self.node_removal_suspended.replace(false) {
             return;
@@ -303,7 +309,7 @@
         self.node_removal_suspended.get() && matches!(key, EntryKey::Node(_))
     }
 
-    /// Notes that a key is not in the store any more.
+    /// Handles the removal of a key from the store.
     fn note_removed(&self, key: EntryKey) {
         self.known.borrow_mut().remove(&key);
         if let EntryKey::Node(name) = &key {
@@ -320,25 +326,25 @@
     fn drop_entry(&self, key: &EntryKey, reason: &'static str) {
         let router = &self.router;
         match key {
-            // The operators never take the configuration away, and what was seen of
-            // crashes stays true when the node that saw them ends.
+            // The operators never remove the configuration, and the observed crashes remain
+            // valid after the node that observed them has ended.
             EntryKey::Config | EntryKey::Crashes(_) => {}
             EntryKey::Replica(id) => {
                 if !self.summary.coalesce(Change::ReplicaGone) {
-                    tracing::info!(replica = id.as_str(), reason, "mirror: a replica is gone");
+                    tracing::info!(replica = id.as_str(), reason, "mirror: replica removed");
                 }
                 router.directory.remove(id);
             }
             EntryKey::Node(name) => {
                 if !self.summary.coalesce(Change::NodeGone) {
-                    tracing::info!(node = name.as_str(), reason, "mirror: a node is gone");
+                    tracing::info!(node = name.as_str(), reason, "mirror: node removed");
                 }
                 router.fleet.remove(name);
             }
         }
     }
 
-    /// Drops the entries that have been missing for too long, from now on.
+    /// Periodically drops entries that have been missing for longer than the retention time.
     pub async fn sweep(self: Rc<Entries>) {
         loop {
             clock::sleep(&*self.router.clock, SWEEP_PERIOD).await;
@@ -360,7 +366,7 @@
     }
 }
 
-/// Whether `count` of `known` entries are so many that they must have expired.
+/// Whether `count` out of `known` entries are so many that they must have expired.
 fn reaches_mass_expiry(count: usize, known: usize) -> bool {
     count >= MASS_EXPIRY_COUNT && count as f64 >= MASS_EXPIRY_SHARE * known as f64
 }
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following a node that watches the store, in place of the store itself.
+//! Follows a node that watches the store, instead of watching the store itself.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,76 +16,76 @@
 
 use crate::{advice::Candidate, journal::StoreUpdate, relay, replica::Replica, router::Router};
 
-/// Where nodes are followed.
+/// Path at which nodes answer their followers.
 pub const FOLLOW_PATH: &str = "/v1/follow";
 
-/// How many nodes of each data centre watch the store.
+/// Number of nodes in each data centre that watch the store.
 ///
-/// Two, so that one may end or be turned away by the store.
+/// Two, so that one may end or be rejected by the store.
 pub const READERS_PER_CENTRE: usize = 2;
 
-/// Up to how many nodes of a data centre all watch the store, in a small fleet.
+/// Maximum number of nodes of a data centre that all watch the store, in a small fleet.
 ///
-/// With so few, following saves less than it may cost in time.
+/// With so few nodes, following saves fewer calls than its extra latency is worth.
 const SMALL_CENTRE_NODES: usize = 4;
 
-/// The most nodes of a small fleet.
+/// Maximum number of nodes of a small fleet.
 ///
-/// In a larger one, nodes that nobody needs to know follow as well.
+/// In a larger fleet, the nodes that are not announced (those on standby) follow as well.
 const SMALL_FLEET_NODES: usize = 12;
 
-/// For how long a node counts as followed after another one has asked.
+/// How long a node counts as followed after a request of a follower.
 const FOLLOWED_FOR: Duration = Duration::from_secs(5);
 
-/// The longest wait of a follower, which bounds how long a lost connection is unseen.
+/// Maximum wait of a follower's request, which bounds how long a lost connection goes unnoticed.
 pub const FOLLOW_WAIT: Duration = Duration::from_millis(1_500);
 
-/// What a follower's call for changes may take beyond its wait.
+/// Timeout of a request for changes, beyond its wait.
 const CHANGES_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a call for everything may take.
+/// Timeout of a request for the full state.
 ///
 /// At 250 bytes each, ten thousand entries take a second over a link of 20 Mbit/s.
 const FULL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How old what a node knows may be for others to follow it.
+/// Maximum age of a node's state for others to follow it.
 ///
-/// Longer than a watch of the store that brings no change, shorter than the time
-/// in which a change must be in force.
+/// Longer than a watch of the store that returns no changes, and shorter than the time within
+/// which a change must be in force.
 pub const MAX_AGE: Duration = Duration::from_millis(2_600);
 
-/// A change as it goes between nodes.
+/// Encoding of a change between nodes.
 #[derive(Debug, Serialize, Deserialize)]
 struct Change {
     key: String,
     revision: u64,
-    /// Absent if the key was deleted.
+    /// `None` if the key was deleted.
     value: Option<Bytes>,
 }
 
-/// What a node tells those that follow it.
+/// Reply to a follower.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FollowReply {
     whole: bool,
     changes: Vec<Change>,
     revision: u64,
-    /// How long ago the store confirmed this, in microseconds.
+    /// Time since the store confirmed this state, in microseconds.
     age_us: u64,
-    /// For how much longer vanished entries are to be kept, in microseconds.
+    /// Remaining time for which vanished entries are to be retained, in microseconds.
     lenient_us: u64,
 }
 
-/// What a node that was followed has told.
+/// What a followed node has replied.
 pub struct PeerUpdate {
-    /// The changes, or everything.
+    /// The changes, or the full state.
     pub update: StoreUpdate,
-    /// How long ago the store confirmed this.
+    /// Time since the store confirmed this state.
     pub age: Duration,
-    /// For how much longer vanished entries are to be kept.
+    /// Remaining time for which vanished entries are to be retained.
     pub grace: Duration,
 }
 
-/// Answers a node that follows this one.
+/// Answers a request of a follower.
 pub async fn serve(router: &Router, request: &Request) -> Result<Vec<u8>> {
     let journal = &router.journal;
     let field = |name| request.field(name).and_then(|text| text.parse::<u64>().ok());
@@ -95,11 +95,12 @@
         return Err(Error::NotReady);
     }
     journal.note_follower_request();
-    // A node that is out of touch says so at once, also if that comes to be while another
-    // one waits here: behind it a confirmed change is seen by nobody, and its followers
-    // would pass that on to their callers for as long as they wait.
+    // A node with stale state replies at once, also if its state becomes stale while a follower
+    // waits. Otherwise its followers would miss confirmed changes, and answer their callers by
+    // the old state, for as long as they wait here.
     let wait = wait.min(MAX_AGE.saturating_sub(journal.age()));
-    // One that knows nothing asks others as well; one that fell behind asks only here.
+    // A node without any state can ask other nodes as well, so it may be refused; a follower
+    // that has fallen behind asks only here.
     if after == 0 && !journal.admit_full_transfer() {
         return Err(Error::NotReady);
     }
@@ -119,12 +120,13 @@
         ),
     };
     let age_us = journal.age().as_micros() as u64;
-    // As of now: the wait may have been longer than the rest of that time.
+    // Computed after the wait, which may have been longer than the remaining grace period.
     let lenient_us = router.remaining_grace().as_micros() as u64;
     codec::encode(&FollowReply { whole, changes, revision, age_us, lenient_us })
 }
 
-/// Asks a node for what there is after a revision, once there is something or `wait` is over.
+/// Requests the updates after a revision from a node, which replies once there are some or
+/// `wait` is over.
 pub async fn fetch(
     router: &Rc<Router>,
     peer: &Replica,
@@ -175,10 +177,10 @@
     }
 }
 
-/// The nodes of `centre` that watch the store.
+/// Returns the nodes of `centre` that watch the store.
 ///
-/// Every node works this out by itself, from names and sizes only. Where views
-/// differ for a moment, a few nodes more or less watch the store.
+/// Every node computes this by itself, from names and capacities only. While their views
+/// differ, a few nodes more or less watch the store.
 pub fn readers(centre: &DataCentre, nodes: &[Candidate]) -> Vec<Candidate> {
     let mut there: Vec<Candidate> =
         nodes.iter().filter(|(_, node)| node.centre == *centre).cloned().collect();
@@ -190,7 +192,7 @@
     there
 }
 
-/// Sorts nodes in the order in which they are to read the store: the largest first.
+/// Sorts nodes in the order in which they are to read the store: by descending capacity.
 pub fn sort_by_capacity(nodes: &mut [Candidate]) {
     nodes.sort_by(|(one, node), (other, next)| {
         next.capacity.total_cmp(&node.capacity).then_with(|| one.cmp(other))
@@ -203,18 +205,19 @@
     last_request.is_some_and(|at| router.clock.now().saturating_duration_since(at) < FOLLOWED_FOR)
 }
 
-/// Whether this node hears of the store from others.
+/// Whether this node follows others instead of watching the store.
 pub fn is_follower(router: &Router) -> bool {
     let place = &router.place;
-    // Others count on one that is about to announce itself as on those that are known.
-    let is_announced = router.fleet.knows(&place.name) || router.is_standby();
+    // A node that is about to announce itself watches the store until its entry is known: the
+    // others will rely on it like on the known readers.
+    let is_role_settled = router.fleet.knows(&place.name) || router.is_standby();
     let own = readers(&place.centre, &router.fleet.candidates());
     let is_reader = own.iter().any(|(name, _)| *name == place.name);
-    !is_reader && is_announced && router.uses(Mechanism::Followers)
+    !is_reader && is_role_settled && router.uses(Mechanism::Followers)
 }
 
-/// The other nodes that watch the store, in the order in which this one tries them: those
-/// of its own data centre first, as the way to others is longer.
+/// Returns the other nodes that watch the store, in the order in which this one tries them:
+/// those of its own data centre first, because the round trip to others is longer.
 pub fn other_readers(router: &Router) -> Vec<Rc<Replica>> {
     if !router.uses(Mechanism::Followers) {
         return Vec::new();
--- a/crates/kumquatnotch-route/src/freshness.rs
+++ b/crates/kumquatnotch-route/src/freshness.rs
@@ -1,8 +1,8 @@
-//! Tells how old this node's knowledge of the store is.
+//! Reports the age of the state that this node has of the store.
 //!
-//! A node that hears nothing goes on serving by what was in force once, and nothing that it
-//! answers shows it. So the age is a metric, and a node that gets out of touch says so once,
-//! with the revision by which it serves meanwhile.
+//! A node without contact to the store continues to serve by its last known state, and its
+//! answers do not show that. So the age is exported as a metric, and a node whose state becomes
+//! stale logs that once, with the revision by which it serves.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,15 +10,15 @@
 
 use crate::router::Router;
 
-/// From which age on what is known counts as old.
+/// Age from which the state counts as stale.
 ///
-/// Longer than any calm pause: a watch of the store, and the wait of one that follows.
+/// Longer than any pause in normal operation: a watch of the store, and the wait of a follower.
 const STALE_AGE: Duration = Duration::from_secs(4);
 
-/// How often the age is looked at.
+/// How often the age is checked.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// Tells of the age, from now on.
+/// Reports the age periodically.
 pub(crate) async fn report(router: Rc<Router>) {
     let mut is_stale = false;
     loop {
@@ -35,9 +35,9 @@
         is_stale = !is_stale;
         let age_ms = age.as_millis() as u64;
         if is_stale {
-            tracing::warn!(age_ms, revision, "mirror: what is known is old");
+            tracing::warn!(age_ms, revision, "mirror: the state of the store is stale");
         } else {
-            tracing::info!(age_ms, revision, "mirror: what is known is new again");
+            tracing::info!(age_ms, revision, "mirror: the state of the store is current again");
         }
     }
 }
--- a/crates/kumquatnotch-route/src/initial_sync.rs
+++ b/crates/kumquatnotch-route/src/initial_sync.rs
@@ -1,14 +1,14 @@
-//! How a node that knows nothing learns what the store holds.
+//! How a node without any state loads what the store holds.
 //!
-//! Many nodes start at the same moment after a loss of power, often while the store is
-//! away, and each one refuses its callers until it knows everything. If all read it from
-//! the store at once, they would share the store's link: with a thousand entries and
-//! hundreds of nodes that takes seconds. So a node first asks who the others are, which is
-//! little, and asks again soon while the store does not answer. The few first ones of each
-//! data centre then read everything from the store, and the others from these.
+//! After a power failure, many nodes start at the same moment, often while the store is
+//! unavailable, and each one refuses its callers until it has loaded everything. If all of them
+//! read the full state from the store at once, they would share the bandwidth of its link: with a
+//! thousand entries and hundreds of nodes that takes seconds. So a node first reads just the list
+//! of nodes, which is small, and retries quickly while the store does not answer. The first few
+//! nodes of each data centre then read the full state from the store, and the others from these.
 //!
-//! The store is read by a lagging snapshot and a watch of what has changed since. Both
-//! together cost it a fraction of a scan.
+//! The store is read by a stale snapshot followed by a watch of the changes since. Both
+//! together cost the store a fraction of a full scan.
 
 use std::{
     rc::Rc,
@@ -27,51 +27,51 @@
     router::Router,
 };
 
-/// The pause before the store is asked a second time; it doubles.
+/// Pause before the store is called a second time; it doubles.
 ///
-/// Many times what the store takes for an answer, so that a calm start asks once.
+/// Many times the usual response time of the store, so that a start without an outage
+/// takes one call.
 const INITIAL_PAUSE: Duration = Duration::from_millis(100);
 
-/// The longest pause between two calls, before jitter.
+/// Maximum pause between two calls, before jitter.
 ///
-/// It bounds how long the return of the store is unseen, and what a node asks of a store
-/// that is away: two to three of the cheapest calls a second.
+/// It bounds how long the recovery of the store goes unnoticed, and the load on a store that is
+/// unavailable: two to three of the cheapest calls a second from each node.
 const MAX_PAUSE: Duration = Duration::from_millis(400);
 
-/// How many nodes of a data centre read everything from the store.
+/// Number of nodes of a data centre that read the full state from the store.
 ///
-/// As many as watch it, and twice as many again, as some of them may be gone.
+/// As many as watch it, and twice as many again, because some of them may be gone.
 const DIRECT_READERS: usize = 3 * follow::READERS_PER_CENTRE;
 
-/// For how long a node that callers use asks others before it reads the store itself.
+/// How long a node that serves callers asks other nodes before it reads the store itself.
 ///
-/// Those that read it directly take a few round trips to the store.
+/// The nodes that read the store directly need a few round trips to it.
 const SERVING_PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The same for a node on standby, for which no caller waits.
+/// How long a node on standby asks other nodes; no caller waits for it.
 const STANDBY_PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The pause between two questions to other nodes, before jitter.
+/// Pause between two requests to other nodes, before jitter.
 const PEER_PAUSE: Duration = Duration::from_millis(80);
 
-/// How often each of the others may be out of reach before the store is read.
+/// How often each of the other nodes may fail to answer before the store is read.
 ///
-/// Those that lost power together are back within half a second of each other.
+/// Nodes that lost power together are back within half a second of each other.
 const MAX_FAILED_ROUNDS: usize = 3;
 
-/// Everything that the store holds.
+/// The full state of the store.
 pub struct InitialState {
-    /// The items.
     pub scan: StoreScan,
-    /// When the store said that this is all there is.
+    /// When the store confirmed that this state is complete.
     pub confirmed: Instant,
-    /// For how much longer vanished entries are to be kept.
+    /// Remaining time for which vanished entries are to be retained.
     pub grace: Duration,
 }
 
-/// Reads everything, however long the store is away.
+/// Loads the full state, however long the store is unavailable.
 ///
-/// The nodes that are known come into `entries` as soon as the store has named them.
+/// Adds the nodes to `entries` as soon as the store has listed them.
 pub async fn load(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> InitialState {
     let mut failures = 0;
     loop {
@@ -86,7 +86,11 @@
             Ok(state) => return state,
             Err(error) => {
                 failures += 1;
-                tracing::info!(failures, code = error.code(), "mirror: not read: {error}");
+                tracing::info!(
+                    failures,
+                    code = error.code(),
+                    "mirror: initial read failed: {error}"
+                );
                 let pause = router.random.jitter(INITIAL_PAUSE);
                 clock::sleep(&*router.clock, pause).await;
             }
@@ -94,12 +98,12 @@
     }
 }
 
-/// Asks the store for the nodes of the tier until it answers.
+/// Reads the nodes of the tier from the store, and retries until it answers.
 async fn find_nodes(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> StoreScan {
     let pauses = Pauses { first: INITIAL_PAUSE, most: MAX_PAUSE };
     loop {
         let call = || store.snapshot(entries.node_prefix());
-        // A snapshot never lacks history.
+        // A snapshot needs no history, so it can't fail for lack of it.
         if let Ok(Answer { value, .. }) = insist(router, pauses, 0, call).await {
             entries.apply_some(&value.items);
             router.set_nodes_known();
@@ -108,7 +112,7 @@
     }
 }
 
-/// The other nodes of this data centre that are known, the largest first.
+/// Returns the other known nodes of this data centre, by descending capacity.
 fn neighbours(router: &Router, entries: &Entries, nodes: &StoreScan) -> Vec<Candidate> {
     let mut others = entries.nodes_in(nodes);
     others.retain(|(name, node)| node.centre == router.place.centre && *name != router.place.name);
@@ -116,7 +120,7 @@
     others
 }
 
-/// Whether this node is one of those that read everything from the store.
+/// Whether this node is one of those that read the full state from the store.
 fn reads_directly(router: &Router, neighbours: &[Candidate]) -> bool {
     if router.is_standby() {
         return false;
@@ -128,34 +132,37 @@
     before.count() < DIRECT_READERS
 }
 
-/// What one of the nodes that read the store first tells of everything.
+/// Fetches the full state from one of the nodes that read the store first.
 ///
-/// `None` if none does for so long that the store is to be read.
+/// Returns `None` if none supplies it in time, so that the store is to be read.
 async fn fetch_from_peers(router: &Rc<Router>, neighbours: &[Candidate]) -> Option<InitialState> {
     let clock = &*router.clock;
     let timeout = if router.is_standby() { STANDBY_PEER_TIMEOUT } else { SERVING_PEER_TIMEOUT };
     let until = clock.now() + router.random.jitter(timeout);
-    // Each begins with another one of those that read the store first.
+    // Start at a random node, to spread the load over the direct readers.
     let first = router.random.below(DIRECT_READERS);
     let mut candidates = neighbours.iter().take(DIRECT_READERS).cycle().skip(first);
     let mut failures = 0;
     while clock.now() < until && failures < MAX_FAILED_ROUNDS * neighbours.len() {
         let (name, record) = candidates.next()?;
         let peer = router.fleet.peer_at(record.peer, clock.now());
-        // One that hangs must not take more than the time that there is for all of them.
+        // The deadline applies to all nodes together, so one that hangs must not exceed it.
         let reply = follow::fetch(router, &peer, 0, Duration::ZERO);
         match clock::timeout_at(clock, until, reply).await.flatten() {
             Ok(PeerUpdate { update: StoreUpdate::Full(scan), age, grace })
                 if age <= follow::MAX_AGE =>
             {
-                tracing::info!(node = name.as_str(), "mirror: a neighbour tells everything");
+                tracing::info!(
+                    node = name.as_str(),
+                    "mirror: loaded the full state from a neighbour"
+                );
                 return Some(InitialState {
                     scan,
                     confirmed: instant_before(clock.now(), age),
                     grace,
                 });
             }
-            // It knows nothing yet, or is busy telling others.
+            // The node has no state yet, or is busy sending it to others.
             Ok(_) | Err(Error::Protocol { .. }) => {}
             Err(_) => failures += 1,
         }
@@ -164,7 +171,7 @@
     None
 }
 
-/// Reads everything from the store.
+/// Reads the full state from the store.
 async fn read_store(
     router: &Rc<Router>,
     store: &dyn Store,
@@ -176,14 +183,14 @@
     let grace = Duration::ZERO;
     match store.watch(entries.prefix(), snapshot.revision, NO_WAIT).await {
         Ok(changes) => snapshot.apply(changes),
-        // The store has dropped what lies between, so only a full scan tells.
+        // The store has dropped the history since the snapshot, so a full scan is needed.
         Err(Error::VersionUnknown { .. }) => snapshot = store.scan(entries.prefix()).await?,
         Err(error) => return Err(error),
     }
     Ok(InitialState { scan: snapshot, confirmed: start, grace })
 }
 
-/// The moment that was `age` ago.
+/// Returns the instant that lies `age` before `now`.
 fn instant_before(now: Instant, age: Duration) -> Instant {
     now.checked_sub(age).unwrap_or(now)
 }
--- a/crates/kumquatnotch-route/src/journal.rs
+++ b/crates/kumquatnotch-route/src/journal.rs
@@ -1,8 +1,8 @@
-//! What this node knows of the store, for other nodes to follow.
+//! The state of the store that this node knows, kept for its followers.
 //!
-//! Each call to the store counts, a waiting watch too, and its rates grow more
-//! slowly than the fleet. So a few nodes watch the store, and the others watch
-//! one of these by the same revisions ([`follow`](crate::follow)).
+//! The store limits the rate of calls, waiting watches included, and its limits grow more
+//! slowly than the fleet. So a few nodes watch the store, and the others watch one of these by
+//! the same revisions ([`follow`](crate::follow)).
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,56 +18,55 @@
     store::{StoreChanges, StoreEvent, StoreItem, StoreScan},
 };
 
-/// How many changes are kept for those that follow.
+/// Number of changes that are kept for followers.
 ///
-/// A follower is a few seconds behind at most; one that is further behind gets
-/// everything anew.
+/// A follower is a few seconds behind at most; one that is further behind gets the full state.
 const MAX_EVENTS: usize = 2_000;
 
-/// How long telling everything occupies this node, for each item.
+/// Time reserved for sending the full state, for each item.
 ///
-/// An item is some 250 bytes, so this is a quarter of a link of 200 Mbit/s: after a loss of
-/// power dozens of nodes ask for everything, while callers wait for this one's answers.
+/// An item has some 250 bytes, so this is a quarter of a link of 200 Mbit/s. After a power failure
+/// dozens of nodes request the full state, while callers wait for the answers of this one.
 const FULL_TRANSFER_TIME_PER_ITEM: Duration = Duration::from_micros(40);
 
-/// What this node knows of the store.
+/// The state of the store that this node knows.
 pub struct Journal {
     clock: Rc<dyn Clock>,
     items: RefCell<BTreeMap<String, StoreItem>>,
     events: RefCell<VecDeque<StoreEvent>>,
-    /// The revision up to which everything is known; zero before the first scan.
+    /// Revision up to which all changes are known; zero before the first scan.
     revision: Cell<u64>,
-    /// The revision after which all changes are kept.
+    /// Revision after which all changes are kept.
     compacted: Cell<u64>,
-    /// When the store last said that this is all there is.
+    /// When the store last confirmed that this state is complete.
     confirmed: Cell<Instant>,
-    /// Whether neither the store nor another node tells this one what there is.
+    /// Whether this node gets updates neither from the store nor from another node.
     source_lost: Cell<bool>,
-    /// When another node last asked for it.
+    /// When another node last followed this one.
     last_follower_request: Cell<Option<Instant>>,
-    /// Until when it is telling everything.
+    /// When the transfer of the full state that is in progress is expected to end.
     full_transfer_until: Cell<Instant>,
     waiters: RefCell<Vec<oneshot::Sender<()>>>,
 }
 
-/// What a follower gets.
+/// An update for a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreUpdate {
     /// The changes since its revision.
     Changes(StoreChanges),
-    /// Everything, as the changes are not kept any more.
+    /// The full state, because some of the changes are no longer kept.
     Full(StoreScan),
 }
 
 impl StoreUpdate {
-    /// Whether there is nothing new in it.
+    /// Whether the update brings nothing new.
     pub fn is_empty(&self) -> bool {
         matches!(self, StoreUpdate::Changes(changes) if changes.events.is_empty())
     }
 }
 
 impl Journal {
-    /// A journal of nothing.
+    /// Creates an empty journal.
     pub fn new(clock: Rc<dyn Clock>) -> Journal {
         let confirmed = Cell::new(clock.now());
         Journal {
@@ -84,32 +83,32 @@
         }
     }
 
-    /// Whether there is anything to follow.
+    /// Whether the journal has any state to follow.
     pub fn is_filled(&self) -> bool {
         self.revision.get() > 0
     }
 
-    /// The revision up to which everything is known.
+    /// Returns the revision up to which all changes are known.
     pub fn revision(&self) -> u64 {
         self.revision.get()
     }
 
-    /// How many items, and how many changes, it keeps.
+    /// Returns the number of items and the number of changes that are kept.
     pub fn sizes(&self) -> (usize, usize) {
         (self.items.borrow().len(), self.events.borrow().len())
     }
 
-    /// When another node last asked for it.
+    /// Returns when another node last followed this one.
     pub fn last_follower_request(&self) -> Option<Instant> {
         self.last_follower_request.get()
     }
 
-    /// Notes that another node asks for it.
+    /// Notes a request of a follower.
     pub fn note_follower_request(&self) {
         self.last_follower_request.set(Some(self.clock.now()));
     }
 
-    /// Whether this node may tell everything now; if so, it is taken to do so.
+    /// Whether the full state may be sent now. If so, reserves the time for it.
     pub fn admit_full_transfer(&self) -> bool {
         let now = self.clock.now();
         if now < self.full_transfer_until.get() {
@@ -120,44 +119,44 @@
         true
     }
 
-    /// How long ago the store last said that this is all there is.
+    /// Returns the time since the store last confirmed this state.
     pub fn age(&self) -> Duration {
         self.clock.now().saturating_duration_since(self.confirmed.get())
     }
 
-    /// Notes that this node has no source any more, until there is news.
+    /// Notes that this node has no source of updates, until it gets the next one.
     ///
-    /// Those that wait here are sent elsewhere at once: behind a node that the store turns
-    /// away they would hear of a confirmed change only when its knowledge has got old.
+    /// Waiting followers are sent elsewhere at once. Behind a node that the store rejects, they
+    /// would learn of a confirmed change only after the state here has become stale.
     pub fn note_source_lost(&self) {
         self.source_lost.set(true);
         self.wake_waiters();
     }
 
-    /// Whether this node has no source.
+    /// Whether this node has no source of updates.
     pub fn is_source_lost(&self) -> bool {
         self.source_lost.get()
     }
 
-    /// Whether this node knows more than all that another one offers in its place.
+    /// Whether a full state offered by another node is older than the state of this one.
     pub fn is_ahead_of(&self, update: &StoreUpdate) -> bool {
         matches!(update, StoreUpdate::Full(scan) if scan.revision < self.revision.get())
     }
 
-    /// Starts anew with everything that the store holds, as of `confirmed`.
+    /// Replaces all state by a scan of the store, confirmed at `confirmed`.
     pub fn reset(&self, scan: &StoreScan, confirmed: Instant) {
         let items = scan.items.iter().map(|item| (item.key.clone(), item.clone()));
         *self.items.borrow_mut() = items.collect();
         self.events.borrow_mut().clear();
         self.compacted.set(scan.revision);
-        // Also if it was greater: a follower that was told of that revision without the
-        // changes up to it would never hear of them.
+        // The revision is set even if it was higher: a follower that got the higher revision
+        // without the changes up to it would never receive them.
         self.revision.set(scan.revision);
         self.advance(scan.revision, confirmed);
         self.wake_waiters();
     }
 
-    /// Adds changes, which may be none, as of `confirmed`.
+    /// Adds changes, possibly none, confirmed at `confirmed`.
     pub fn extend(&self, changes: &StoreChanges, confirmed: Instant) {
         {
             let mut items = self.items.borrow_mut();
@@ -190,13 +189,13 @@
     }
 
     fn wake_waiters(&self) {
-        // Those that have gone away don't hear it.
+        // A waiter that has gone away has dropped its receiver.
         for waiter in self.waiters.borrow_mut().drain(..) {
             let _ = waiter.send(());
         }
     }
 
-    /// What there is after a revision, once there is something or `wait` is over.
+    /// Returns the updates after a revision, once there are some or `wait` is over.
     pub async fn updates_after(&self, revision: u64, wait: Duration) -> StoreUpdate {
         if self.revision.get() <= revision {
             let (sender, receiver) = oneshot::channel();
--- a/crates/kumquatnotch-route/src/mirror.rs
+++ b/crates/kumquatnotch-route/src/mirror.rs
@@ -1,8 +1,9 @@
-//! Following the platform's store: what it holds is mirrored by every node.
+//! Mirrors the platform's store on every node.
 //!
-//! One scan, then one watch after another; of many nodes, most follow one that
-//! watches the store instead ([`follow`](crate::follow)). When the store is away, what was
-//! known last goes on being used; a node that knows nothing yet asks others.
+//! A mirror loads the full state once and then runs one watch after another. In a large fleet
+//! most nodes do not watch the store but follow a node that does ([`follow`](crate::follow)).
+//! While the store is unavailable, the last known state stays in use; a node without any state
+//! asks other nodes for theirs.
 
 use std::{
     cell::Cell,
@@ -33,24 +34,25 @@
 pub struct MirrorOptions {
     /// How long a watch waits for changes.
     ///
-    /// A watch whose connection has gone silent is noticed only when it is over,
-    /// so it must stay below the time in which changes have to be seen.
+    /// A dead connection is detected only at the end of a watch, so this must be shorter than
+    /// the time within which changes have to be seen.
     pub wait: Duration,
-    /// The same if other nodes follow this one, which must hear soon that it has
-    /// lost the store.
+    /// How long a watch waits while other nodes follow this one.
+    ///
+    /// Shorter than `wait`, because followers must learn soon that this node has lost the store.
     pub followed_wait: Duration,
-    /// The pause after changes came, in which more of them collect.
+    /// Pause after a watch has returned changes, to batch those that follow.
     ///
-    /// Each return of a watch is a call that counts, and changes come in series.
+    /// Each return of a watch counts as a call to the store, and changes come in bursts.
     pub batch_delay: Duration,
-    /// How long an entry that vanished around an outage is kept.
+    /// How long an entry that vanished around an outage is retained.
     pub retention: Duration,
-    /// The first pause between calls while the store is away, before jitter; it doubles.
+    /// Initial backoff between calls while the store is unavailable, before jitter; it doubles.
     pub backoff: Duration,
-    /// The longest pause between calls while the store is away, before jitter.
+    /// Maximum backoff between calls while the store is unavailable, before jitter.
     ///
-    /// It bounds how long the return of the store is unseen: by then callers must be
-    /// served by what it confirms.
+    /// It bounds how long the recovery of the store goes unnoticed, and so how soon callers are
+    /// served by the state that it confirms.
     pub max_backoff: Duration,
 }
 
@@ -67,28 +69,28 @@
     }
 }
 
-/// How late the answer to a watch may be before the store counts as having been away.
+/// How late the answer to a watch may be before the store is taken to have been unavailable.
 const LATE_ANSWER_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long the store waits for changes if this node is to know now: not at all.
+/// Wait of a watch that is to return at once, with the changes that there are.
 pub(crate) const NO_WAIT: Duration = Duration::from_millis(1);
 
-/// Follows the store.
+/// Keeps a local copy of the store's entries up to date.
 pub struct Mirror {
     pub(crate) options: MirrorOptions,
     pub(crate) router: Rc<Router>,
     pub(crate) store: Rc<dyn Store>,
-    /// What it holds, as far as is known.
+    /// The entries that the store is known to hold.
     pub entries: Rc<Entries>,
     pub(crate) sources: Sources,
-    /// The revision up to which everything is known.
+    /// Revision up to which all changes are known; `None` before the first load.
     pub(crate) revision: Cell<Option<u64>>,
-    /// Whether the store was in trouble since its last answer.
+    /// Whether the store may have been unavailable since its last answer.
     store_failed: Cell<bool>,
 }
 
 impl Mirror {
-    /// A mirror that has read nothing yet.
+    /// Creates a mirror that has read nothing yet.
     pub fn new(
         options: MirrorOptions,
         router: Rc<Router>,
@@ -108,7 +110,7 @@
         })
     }
 
-    /// Starts to follow the store.
+    /// Starts to mirror the store.
     pub fn start(self: &Rc<Mirror>) {
         monoio::spawn(self.clone().run());
         monoio::spawn(self.entries.clone().sweep());
@@ -132,18 +134,18 @@
                 result = self.recover().await;
             }
             if result.is_err() {
-                tracing::info!("mirror: the history is gone, reading everything anew");
+                tracing::info!("mirror: the store has dropped the history, starting a full scan");
                 self.revision.set(None);
             }
         }
     }
 
-    /// The revision up to which everything is known; zero if nothing is.
+    /// Returns the revision up to which all changes are known, or zero before the first load.
     pub(crate) fn known_revision(&self) -> u64 {
         self.revision.get().unwrap_or(0)
     }
 
-    /// Learns all that there is to know, from the store or from nodes that ask for this one.
+    /// Loads the full state from the store, or from a node that has contacted this one.
     async fn sync_initially(&self) {
         let store_sync =
             std::pin::pin!(initial_sync::load(&self.router, &*self.store, &self.entries));
@@ -159,24 +161,26 @@
         }
     }
 
-    /// Completes once a node that asked for this one has told what it knows.
+    /// Completes once a node that has contacted this one has supplied its state.
     async fn sync_from_inbound_peers(&self) {
         let clock = &*self.router.clock;
         loop {
             clock::sleep(clock, self.router.random.jitter(self.options.backoff)).await;
-            // What another node knows may be old, so this is for a store that is away.
+            // The state of another node may be old, so this is only for a store
+            // that is unavailable.
             if self.router.uses(Mechanism::Visitors) && self.query_inbound_peers().await {
                 return;
             }
         }
     }
 
-    /// Learns what another node knows, however old that is; false if none tells.
+    /// Loads the state of a node that has contacted this one, however old that state is.
+    /// Returns `false` if none supplies it.
     ///
-    /// A node that starts while the store is away knows nothing, not even where other
-    /// nodes are, and would refuse all requests until the store is back. But those that
-    /// knew its earlier life ask it whether it is back, and what they serve by is as
-    /// good for it.
+    /// A node that restarts while the store is unavailable knows no state and no other nodes,
+    /// and would refuse all requests until the store is back. Nodes that knew its previous
+    /// incarnation probe it, however, and the state by which they serve is good enough for this
+    /// one as well.
     async fn query_inbound_peers(&self) -> bool {
         let mut inbound_peers = self.router.inbound_peers();
         self.router.random.shuffle(&mut inbound_peers);
@@ -187,13 +191,17 @@
                     tracing::info!(
                         node = %peer_address,
                         age_ms = peer_update.age.as_millis() as u64,
-                        "mirror: learned from a node while the store is away"
+                        "mirror: loaded the state of a node while the store is unavailable"
                     );
                     self.apply_peer_update(peer_update);
                     return true;
                 }
                 Err(error) => {
-                    tracing::info!(node = %peer_address, code = error.code(), "mirror: no news: {error}");
+                    tracing::info!(
+                        node = %peer_address,
+                        code = error.code(),
+                        "mirror: a node did not supply its state: {error}"
+                    );
                 }
             }
         }
@@ -215,12 +223,12 @@
 
     /// Notes that the store did not answer, or answered late.
     ///
-    /// What is seen to vanish in its next answers may have lapsed meanwhile.
+    /// Entries missing from its next answers may have expired in the meantime.
     pub fn note_store_failure(&self) {
         self.store_failed.set(true);
     }
 
-    /// Notes that the store answers, before what it tells is taken over.
+    /// Notes that the store has answered; called before the answer is applied.
     pub fn note_store_answer(&self) {
         self.entries.resume_node_removal();
         if self.store_failed.replace(false) {
@@ -228,7 +236,7 @@
         }
     }
 
-    /// Asks the store for everything, or for what has changed.
+    /// Reads the full state, or the changes since the last revision.
     async fn read(&self) -> Result<()> {
         match self.revision.get() {
             None => self.scan().await,
@@ -253,7 +261,7 @@
         let changes = match select(watch, late).await {
             Either::Left((changes, _)) => changes?,
             Either::Right(((), watch)) => {
-                // The store may have swallowed the call, and be well.
+                // The call may have been lost although the store is available.
                 self.note_store_failure();
                 let retrying = std::pin::pin!(self.retry_until_answered(0));
                 match select(watch, retrying).await {
@@ -274,9 +282,9 @@
         Ok(())
     }
 
-    /// Takes over everything that the store holds.
+    /// Replaces the mirrored state by everything that the store holds.
     pub(crate) fn apply_scan(&self, scan: &StoreScan, confirmed: Instant) {
-        // Without the history, whether an entry left or lapsed can't be told.
+        // Without the history, a removed entry can't be told from an expired one.
         self.note_store_failure();
         self.note_store_answer();
         self.entries.replace_all(&scan.items);
@@ -288,11 +296,11 @@
             items = scan.items.len(),
             replicas = self.router.directory.len(),
             nodes = self.router.fleet.len(),
-            "mirror: read everything"
+            "mirror: loaded the full state"
         );
     }
 
-    /// Takes over changes, of which some may be known.
+    /// Applies changes, of which some may be known already.
     pub(crate) fn apply_changes(&self, changes: &StoreChanges, confirmed: Instant) {
         let after = self.known_revision();
         let new: Vec<&StoreEvent> =
--- a/crates/kumquatnotch-route/src/outage.rs
+++ b/crates/kumquatnotch-route/src/outage.rs
@@ -1,8 +1,8 @@
-//! What a node does while the store does not answer it.
+//! What a node does while the store does not answer its calls.
 //!
-//! The store may be away for all, or turn this node away and serve others for as long as it
-//! likes. Both look the same from here. So the store is asked again and again, and other
-//! nodes are asked what they have heard.
+//! The store may be unavailable to all nodes, or reject this one indefinitely and serve
+//! others. Both look the same from here, so the node retries the store and polls other nodes
+//! at the same time.
 
 use std::time::Duration;
 
@@ -15,15 +15,15 @@
     mirror::{Mirror, MirrorOptions, NO_WAIT},
 };
 
-/// The pause of a node that follows others before it asks the store again, before jitter.
+/// Backoff of a follower before it calls the store again, before jitter.
 ///
-/// There are hundreds of them, for which a few nodes watch the store.
+/// There are hundreds of followers, and a few other nodes watch the store for them.
 const FOLLOWER_BACKOFF: Duration = Duration::from_secs(3);
 
-/// By how much the news of another node must be newer.
+/// By how much the state of another node must be newer to be taken over.
 ///
-/// The way of its answer makes it seem newer. Nodes that are all turned away would pass the
-/// same knowledge round and take it for news.
+/// The latency of its reply makes the state look newer than it is. Without a margin, nodes that
+/// are all rejected by the store would pass the same state around and take it for new.
 const AGE_MARGIN: Duration = Duration::from_millis(200);
 
 impl Mirror {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Asks the store what has changed until it answers, with calls that do not wait.
+    /// Reads the changes with calls that do not wait, and retries until one is answered.
     pub(crate) async fn retry_until_answered(&self, failures: u32) -> Result<()> {
         let MirrorOptions { backoff, max_backoff, .. } = self.options;
         let pauses = match follow::is_follower(&self.router) {
@@ -59,7 +59,7 @@
         Ok(())
     }
 
-    /// Hears from other nodes what there is; completes once there is one to follow.
+    /// Polls other nodes for newer state. Completes once this node can follow one of them.
     async fn poll_peers(&self) {
         let clock = &*self.router.clock;
         let mut rounds = 0;
@@ -75,7 +75,7 @@
                         return;
                     }
                 }
-                // One failure may be a connection that was cut.
+                // A single failure may be a connection that was cut.
                 _ if rounds > 0 => self.router.journal.note_source_lost(),
                 _ => {}
             }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether another node has heard from the store since this one did.
+    /// Whether another node has heard from the store more recently than this one.
     fn is_newer(&self, peer_update: &PeerUpdate) -> bool {
         peer_update.age + AGE_MARGIN < self.router.journal.age()
     }
--- a/crates/kumquatnotch-route/src/sources.rs
+++ b/crates/kumquatnotch-route/src/sources.rs
@@ -1,9 +1,9 @@
-//! Other nodes as sources of what the store holds.
+//! Other nodes as sources of the store's state.
 //!
-//! Most nodes hear of changes from one that watches the store, and one that the store turns
-//! away can hear of them from any that it serves. A node that is out of touch itself is
-//! passed over for a while: the store may turn many away at once, and waiting at each of
-//! them in turn kept a confirmed change from the callers of a node for seconds.
+//! Most nodes receive changes from a node that watches the store, and a node that the store
+//! rejects can receive them from any node that the store accepts. Nodes whose own state is
+//! stale are skipped for a while: the store may reject many nodes at once, and waiting at each
+//! of them in turn kept a confirmed change from the callers of a node for seconds.
 
 use std::{
     cell::RefCell,
@@ -22,31 +22,31 @@
     router::Router,
 };
 
-/// How many nodes are asked at once, when the first one has no news.
+/// Number of nodes that are queried at once, when the first one has no updates.
 ///
-/// Some may be turned away by the store as well; all are asked anew a little later.
+/// Some of them may be rejected by the store as well; all are queried again a little later.
 const MAX_PARALLEL_PEERS: usize = 3;
 
-/// For how long a node that was out of touch is not asked again.
+/// How long a node with stale state is not queried again.
 const AVOID_TIME: Duration = Duration::from_millis(1_500);
 
-/// Other nodes as sources of what the store holds.
+/// Other nodes as sources of the store's state.
 pub(crate) struct Sources {
     router: Rc<Router>,
-    /// The nodes that were out of touch, and until when they are not asked.
+    /// Nodes with stale state, and until when each is not queried.
     avoided: RefCell<HashMap<ReplicaId, Instant>>,
 }
 
 impl Sources {
-    /// Sources that have not been asked yet.
+    /// Creates sources of which none has been queried yet.
     pub(crate) fn new(router: Rc<Router>) -> Sources {
         Sources { router, avoided: RefCell::default() }
     }
 
-    /// What there is after a revision, once there is something or a wait is over.
+    /// Returns the updates after a revision, once there are some or the wait is over.
     ///
-    /// `None` if the store is to be asked. The wait is at one node only. If that one is
-    /// out of touch or silent, others tell at once what they know.
+    /// Returns `None` if the store is to be called instead. Only one node is waited for. If it
+    /// does not answer, or its state is stale, others reply at once with what they have.
     pub(crate) async fn follow(&self, after: u64) -> Option<PeerUpdate> {
         if !follow::is_follower(&self.router) {
             return None;
@@ -59,12 +59,12 @@
         }
     }
 
-    /// What other nodes know, for one that the store does not answer.
+    /// Returns the updates that other nodes have, while the store does not answer this one.
     pub(crate) async fn catch_up(&self, after: u64) -> Option<PeerUpdate> {
         self.query_some(&self.peers(), after).await
     }
 
-    /// The nodes to ask, in their order.
+    /// Returns the nodes to query, in order.
     fn peers(&self) -> Vec<Rc<Replica>> {
         let mut peers = follow::other_readers(&self.router);
         let (avoided, now) = (self.avoided.borrow(), self.router.clock.now());
@@ -72,7 +72,7 @@
         peers
     }
 
-    /// Asks a few nodes at once, and takes the first that is in touch.
+    /// Queries a few nodes at once, and returns the first update that is not stale.
     async fn query_some(&self, peers: &[Rc<Replica>], after: u64) -> Option<PeerUpdate> {
         let asked = peers.iter().take(MAX_PARALLEL_PEERS);
         let mut running: FuturesUnordered<_> =
@@ -85,14 +85,17 @@
         None
     }
 
-    /// What a node tells; `None` if it is silent or out of touch.
+    /// Queries a node. Returns `None` if it does not answer or its state is stale.
     async fn query(&self, peer: &Rc<Replica>, after: u64, wait: Duration) -> Option<PeerUpdate> {
         match follow::fetch(&self.router, peer, after, wait).await {
-            // What is older would undo changes that are known.
+            // An older state would undo known changes.
             Ok(PeerUpdate { update, .. }) if self.router.journal.is_ahead_of(&update) => None,
             Ok(peer_update) if peer_update.age <= follow::MAX_AGE => {
                 if self.avoided.borrow_mut().remove(&peer.id).is_some() {
-                    tracing::info!(node = peer.id.as_str(), "mirror: a node is in touch again");
+                    tracing::info!(
+                        node = peer.id.as_str(),
+                        "mirror: the state of a node is current again"
+                    );
                 }
                 Some(peer_update)
             }
@@ -100,7 +103,7 @@
                 self.avoid(peer, Some(peer_update.age));
                 None
             }
-            // It answers, and has lost the store or knows nothing yet.
+            // The node is alive, but has lost the store or has no state yet.
             Err(Error::Protocol { .. }) => {
                 self.avoid(peer, None);
                 None
@@ -117,11 +120,11 @@
     fn avoid(&self, peer: &Replica, age: Option<Duration>) {
         let now = self.router.clock.now();
         let mut avoided = self.avoided.borrow_mut();
-        // Those that left meanwhile are not asked again.
+        // Forgets nodes that have left.
         avoided.retain(|id, _| self.router.fleet.knows(&NodeName::from(id.as_str())));
         if avoided.insert(peer.id.clone(), now + AVOID_TIME).is_none() {
             let (node, age_ms) = (peer.id.as_str(), age.map(|age| age.as_millis() as u64));
-            tracing::info!(node, age_ms, "mirror: a node is out of touch");
+            tracing::info!(node, age_ms, "mirror: a node has no current state");
         }
     }
 }
