--- a/crates/kumquatnotch-route/src/advice.rs
+++ b/crates/kumquatnotch-route/src/advice.rs
@@ -1,4 +1,4 @@
-//! Which nodes the callers of each host are advised to use, kept until something changes.
+//! Nodes that the callers of each host are advised to use, cached until an input changes.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -15,13 +15,13 @@
     route::{Destination, RouteTable},
 };
 
-/// The most nodes that are advised.
+/// Maximum number of addresses in the advice.
 const MAX_NODES: usize = 64;
 
-/// A node that may be advised.
+/// A node that callers may be advised to use.
 pub type Candidate = (NodeName, NodeRecord);
 
-/// What callers of one host are advised.
+/// Advice for the callers of one host.
 #[derive(Debug, Default)]
 pub struct HostAdvice {
     regions: HashMap<Region, Vec<Candidate>>,
@@ -29,7 +29,7 @@
 }
 
 impl HostAdvice {
-    /// Works out the advice for one host.
+    /// Computes the advice for one host.
     pub fn new(
         host: &str,
         table: &RouteTable,
@@ -47,17 +47,17 @@
         HostAdvice { regions: advised.collect(), fallback: nodes.to_vec() }
     }
 
-    /// All nodes for all callers.
+    /// Advises all callers to use any node.
     pub fn all_nodes(nodes: &[Candidate]) -> HostAdvice {
         HostAdvice { regions: HashMap::default(), fallback: nodes.to_vec() }
     }
 
-    /// The nodes for callers of `region`.
+    /// Returns the nodes for callers of `region`.
     pub fn nodes_for(&self, region: &Region) -> &[Candidate] {
         self.regions.get(region).unwrap_or(&self.fallback)
     }
 
-    /// Where the nodes for callers of `region` take them.
+    /// Returns the addresses at which the nodes for callers of `region` accept them.
     pub fn addresses_for(&self, region: &Region) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> =
             self.nodes_for(region).iter().map(|(_, node)| node.entry).collect();
@@ -72,13 +72,13 @@
         others.any(|(_, nodes)| nodes.iter().any(|(_, node)| node.region == *region))
     }
 
-    /// The nodes that callers of some region are advised to use.
+    /// Returns the nodes that callers of any region are advised to use.
     pub fn advised_nodes(&self) -> impl Iterator<Item = &NodeName> {
         self.regions.values().flatten().map(|(name, _)| name)
     }
 }
 
-/// The share of the shards of a host that each place holds.
+/// Computes the share of a host's shards that each data centre and region holds.
 fn shards_held(
     host: &str,
     table: &RouteTable,
@@ -108,7 +108,7 @@
     held
 }
 
-/// The advice for the hosts that were asked for, and for what it holds.
+/// Cache of the advice for each requested host, valid for one set of input versions.
 #[derive(Debug, Default)]
 pub struct AdviceCache {
     input_versions: (u64, u64, u64),
@@ -116,7 +116,7 @@
 }
 
 impl AdviceCache {
-    /// The advice for `host`, worked out anew if `input_versions` has changed.
+    /// Returns the advice for `host`, computed again if `input_versions` has changed.
     pub fn get(
         &mut self,
         host: &str,
--- a/crates/kumquatnotch-route/src/announce.rs
+++ b/crates/kumquatnotch-route/src/announce.rs
@@ -1,9 +1,9 @@
-//! Announcing this node to the others, by an entry in the store under a lease.
+//! Announces this node to the others, by an entry in the store under a lease.
 //!
-//! The entry ends with the node: by a deletion when it leaves, by the end of the
-//! lease when it is killed or cut off. A lease may also end while the node lives,
-//! as the store may be away; and the store may take the entry away although the
-//! renewals go on. Then the node announces itself anew.
+//! A node that leaves deletes its entry; if it is killed or cut off, the entry expires with the
+//! lease. The lease may also expire while the node is alive, because the store was unavailable,
+//! and the store may lose the entry although the lease is being renewed. In both cases the node
+//! announces itself again.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -19,30 +19,31 @@
 
 /// How long the entry of a node outlives it.
 ///
-/// Callers that are advised to use a node that has ended lose an attempt, so it
-/// is short; renewals are cheap.
+/// Callers that are advised to use a node that has ended lose an attempt, so the time is short;
+/// renewals are cheap.
 const LEASE_TIME: Duration = Duration::from_millis(3_000);
 
 /// How often the lease is renewed: two renewals may be lost.
 const RENEW_PERIOD: Duration = Duration::from_millis(900);
 
-/// The pause after a failure, before jitter.
+/// Pause after a failure, before jitter.
 const FAILURE_PAUSE: Duration = Duration::from_millis(500);
 
-/// How often a node that has just started looks whether it knows the others.
+/// How often a node that has just started checks whether it knows the other nodes.
 const START_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// How often a node on standby looks whether it is needed, before jitter.
+/// How often a node on standby checks whether it is needed, before jitter.
 ///
-/// When larger nodes end, their entries go within the time of a lease; this adds little.
+/// When larger nodes end, their entries expire within the time of a lease; this adds
+/// little to that.
 const STANDBY_POLL_PERIOD: Duration = Duration::from_millis(400);
 
-/// How many renewals in a row a node must not be needed for its entry to lapse.
+/// Number of successive renewals without need after which a node lets its entry expire.
 ///
-/// Long enough for a larger node to restart, with which this one would come and go.
+/// Long enough for a larger node to restart; otherwise this node would come and go with it.
 const STANDBY_RENEWALS: u32 = 10;
 
-/// How long the own entry may be missing in the mirror before it is written anew.
+/// Number of renewals for which the own entry may be missing in the mirror before it is rewritten.
 const MISSING_RENEWALS: u32 = 2;
 
 /// Announces this node.
@@ -56,17 +57,17 @@
     lease: RefCell<Option<StoreLease>>,
 }
 
-/// Where the entries of a node lie.
+/// Keys of the entries of a node.
 #[derive(Clone, Debug)]
 pub struct NodeKeys {
-    /// What it tells of itself.
+    /// Key of its record.
     pub record: String,
-    /// The crashes that it has seen.
+    /// Key of the crashes that it has observed.
     pub crashes: String,
 }
 
 impl Announcer {
-    /// An announcer that writes `value` as the record of the node.
+    /// Creates an announcer that writes `value` as the record of the node.
     pub fn new(
         router: Rc<Router>,
         store: Rc<dyn Store>,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Waits until the others need to know this node.
+    /// Waits until the other nodes need to know this one.
     async fn wait_until_needed(&self) {
         let clock = &*self.router.clock;
         while !self.router.are_nodes_known() {
@@ -108,14 +109,14 @@
         let mut waited = false;
         while !self.is_needed() && self.router.lifecycle.stage() < Stage::Leaving {
             if !waited {
-                tracing::info!("announce: on standby, as larger nodes serve");
+                tracing::info!("announce: on standby, because larger nodes serve callers");
             }
             waited = true;
             clock::sleep(clock, self.router.random.jitter(STANDBY_POLL_PERIOD)).await;
         }
     }
 
-    /// Whether others need the entry: to use this node, or to know of crashes.
+    /// Whether other nodes need the entry: to use this node, or to learn of crashes.
     fn is_needed(&self) -> bool {
         !self.router.is_standby() || !self.router.crashes.told().is_empty()
     }
@@ -134,7 +135,7 @@
         Ok(lease)
     }
 
-    /// Renews the lease until it or the entry is lost.
+    /// Renews the lease until the lease or the entry is lost.
     async fn maintain_lease(&self, lease: StoreLease) {
         let clock = &*self.router.clock;
         let removals = self.mirror.entries.removals_of(&self.name);
@@ -145,35 +146,38 @@
             clock::sleep(clock, RENEW_PERIOD).await;
             match self.store.renew(lease.id).await {
                 Err(Error::LeaseGone) => {
-                    tracing::warn!(lease = lease.id, "announce: the lease has ended");
+                    tracing::warn!(lease = lease.id, "announce: the lease has expired");
                     return;
                 }
                 Err(error) => {
                     self.mirror.note_store_failure();
-                    tracing::info!(code = error.code(), "announce: not renewed: {error}");
+                    tracing::info!(code = error.code(), "announce: lease renewal failed: {error}");
                 }
-                // A watch may return only seconds later, and would count as the end of an
-                // outage then: what leaves until some time after that would be used on.
+                // A watch may return only seconds later. If the outage ended only then,
+                // replicas that leave until some time after that would still be used.
                 Ok(()) => self.mirror.note_store_answer(),
             }
             self.publish_crashes(lease, &mut published).await;
             unneeded = if self.is_needed() { 0 } else { unneeded + 1 };
             if unneeded >= STANDBY_RENEWALS {
-                tracing::info!(lease = lease.id, "announce: the lease is left to end");
+                tracing::info!(
+                    lease = lease.id,
+                    "announce: node not needed, letting the lease expire"
+                );
                 *self.lease.borrow_mut() = None;
                 return;
             }
-            // The write may not have reached the mirror yet, so it has some time.
+            // The mirror may not have received the write yet, so allow some time.
             let removed = self.mirror.entries.removals_of(&self.name) != removals;
             missing = if self.mirror.entries.has_node(&self.name) { 0 } else { missing + 1 };
             if removed && missing >= MISSING_RENEWALS {
-                tracing::warn!(lease = lease.id, "announce: the entry was taken away");
+                tracing::warn!(lease = lease.id, "announce: the entry was removed from the store");
                 return;
             }
         }
     }
 
-    /// Tells the other nodes of crashes, if there are others than those `told`.
+    /// Publishes the observed crashes to the other nodes, if they differ from those `published`.
     async fn publish_crashes(&self, lease: StoreLease, published: &mut Vec<Crash>) {
         let crashes = self.router.crashes.told();
         if crashes == *published {
@@ -181,9 +185,9 @@
         }
         match self.write_crashes(lease, &crashes).await {
             Ok(()) => *published = crashes,
-            // They are told with the next renewal.
+            // Retried after the next renewal.
             Err(error) => {
-                tracing::info!(code = error.code(), "announce: crashes not told: {error}");
+                tracing::info!(code = error.code(), "announce: crashes not published: {error}");
             }
         }
     }
@@ -195,14 +199,14 @@
         self.store.write(&write).await.map(|_| ())
     }
 
-    /// Takes the entry away, so that callers are advised to use other nodes.
+    /// Deletes the entry, so that callers are advised to use other nodes.
     pub async fn leave(&self) {
         if self.lease.borrow().is_none() {
             return;
         }
         let write = StoreWrite { deletes: vec![self.keys.record.clone()], ..Default::default() };
         if let Err(error) = self.store.write(&write).await {
-            // It ends with its lease then.
+            // The entry then expires with its lease.
             tracing::warn!(
                 code = error.code(),
                 "announce: the entry could not be deleted: {error}"
--- a/crates/kumquatnotch-route/src/change_summary.rs
+++ b/crates/kumquatnotch-route/src/change_summary.rs
@@ -1,35 +1,35 @@
-//! Entries that come many at once, told by their number.
+//! Summarises log lines when many entries change at once.
 //!
-//! A start reads over a thousand entries, and when an index is cut anew as many change
-//! within seconds, on each of hundreds of nodes. A line for each would be most of all that
-//! is logged, so there is one line for all of them. What changes a few at a time, and what
-//! moves or starts again under its name, has a line of its own. So have the first replicas
-//! that leave: from when on a node knew that is what a request that reached one asks.
+//! On start a node reads over a thousand entries, and when an index is resharded as many change
+//! within seconds, on each of hundreds of nodes. A line for each entry would make up most of
+//! the log, so all of them are logged in one line. Changes that come a few at a time, and
+//! replicas that move or restart, get lines of their own. So do the first replicas that leave:
+//! when a request has reached a leaving replica, the log must show since when this node knew.
 
 use std::cell::Cell;
 
-/// From how many entries at once they are told by their number.
+/// Minimum number of entries that are logged as a summary.
 const MIN_ENTRIES: usize = 8;
 
-/// How many replicas that leave are named among entries that are told by their number.
+/// Number of leaving replicas that are logged individually beside a summary, for each kind.
 const MAX_NAMED_REPLICAS: u64 = 16;
 
-/// What is known of an entry that came or went.
+/// Kind of change to an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A replica that takes requests.
     Replica,
-    /// A replica that drains.
+    /// A replica that is draining.
     Draining,
-    /// A replica that is gone.
+    /// A replica that was removed.
     ReplicaGone,
     /// A node of the tier.
     Node,
-    /// A node of the tier that is gone.
+    /// A node of the tier that was removed.
     NodeGone,
 }
 
-/// How many entries came or went.
+/// Number of changes of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Counts {
     replicas: u64,
@@ -39,21 +39,21 @@
     nodes_gone: u64,
 }
 
-/// Counts entries while many come at once.
+/// Counts changes while many come at once.
 #[derive(Debug, Default)]
 pub struct ChangeSummary {
     counts: Cell<Option<Counts>>,
 }
 
 impl ChangeSummary {
-    /// Begins to count if `entries` are many.
+    /// Starts a summary if there are many `entries`.
     pub fn begin(&self, entries: usize) {
         if entries >= MIN_ENTRIES {
             self.counts.set(Some(Counts::default()));
         }
     }
 
-    /// Counts a change; whether that is enough, so that it needs no line of its own.
+    /// Counts a change. Returns whether the summary covers it, so that it needs no line of its own.
     pub fn coalesce(&self, change: Change) -> bool {
         let Some(mut counts) = self.counts.get() else {
             return false;
@@ -72,7 +72,7 @@
         !is_named
     }
 
-    /// Writes the line that tells what was counted.
+    /// Logs the summary, if one was started.
     pub fn end(&self) {
         let Some(counts) = self.counts.take() else {
             return;
--- a/crates/kumquatnotch-route/src/directory.rs
+++ b/crates/kumquatnotch-route/src/directory.rs
@@ -1,4 +1,4 @@
-//! The replicas that are known, by their service.
+//! The known replicas, by service.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,16 +14,16 @@
     replica::{Replica, ReplicaSpec},
 };
 
-/// What an entry of a replica is beside what was known of it.
+/// How the entry of a replica relates to what was known of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// The same replica, or a new one.
+    /// The same incarnation, or a replica that was unknown.
     Known,
-    /// It has started again under its name.
+    /// A later incarnation under the same name.
     Restarted,
-    /// It has another service or address.
+    /// The service or address has changed.
     Moved,
-    /// It is of an earlier life.
+    /// An earlier incarnation than the known one.
     Stale,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// The replicas that are known.
+/// The known replicas.
 #[derive(Default)]
 pub struct Directory {
     replicas: RefCell<HashMap<ReplicaId, Rc<Replica>>>,
@@ -48,23 +48,23 @@
 }
 
 impl Directory {
-    /// A directory without replicas, for a node with these ways to data centres.
+    /// Creates an empty directory, for a node with these distances to data centres.
     pub fn new(distances: Rc<Distances>) -> Directory {
         Directory { distances, ..Default::default() }
     }
 
-    /// Adds a replica, or takes over what it says of itself now.
+    /// Adds a replica, or updates its specification.
     ///
-    /// One that has started again under its name holds nothing of before: connections to
-    /// its earlier life are dead, and what was learned of it says nothing. If it went on
-    /// being used, the first requests would be lost on those connections.
+    /// A replica that has restarted under its name is replaced: connections to its earlier
+    /// incarnation are dead, and the statistics of that one do not apply. If they were kept,
+    /// the first requests would be lost on those connections.
     pub fn put(&self, id: &ReplicaId, spec: ReplicaSpec, now: Instant) -> PutOutcome {
         let known = self.replicas.borrow().get(id).cloned();
         let mut put = PutOutcome::Known;
         if let Some(replica) = known {
             put = PutOutcome::compare(&replica.spec(), &spec);
             match put {
-                // A write that was on its way while it started again.
+                // A write of the earlier incarnation that arrived after the restart.
                 PutOutcome::Stale => return put,
                 PutOutcome::Known => {
                     replica.update(spec);
@@ -82,7 +82,7 @@
         put
     }
 
-    /// Removes a replica, to which nothing is sent any more.
+    /// Removes a replica. Nothing is sent to it any more.
     pub fn remove(&self, id: &ReplicaId) {
         let Some(replica) = self.replicas.borrow_mut().remove(id) else {
             return;
@@ -92,32 +92,32 @@
         self.update_service(&service, id, None);
     }
 
-    /// A replica.
+    /// Returns a replica by its name.
     pub fn find(&self, id: &ReplicaId) -> Option<Rc<Replica>> {
         self.replicas.borrow().get(id).cloned()
     }
 
-    /// The replicas of a service, in no order.
+    /// Returns the replicas of a service, in no particular order.
     pub fn of(&self, service: &ServiceName) -> Rc<[Rc<Replica>]> {
         self.services.borrow().get(service).cloned().unwrap_or_else(|| Rc::new([]))
     }
 
-    /// All replicas.
+    /// Returns all replicas.
     pub fn all(&self) -> Vec<Rc<Replica>> {
         self.replicas.borrow().values().cloned().collect()
     }
 
-    /// How many replicas there are.
+    /// Number of known replicas.
     pub fn len(&self) -> usize {
         self.replicas.borrow().len()
     }
 
-    /// Whether there are none.
+    /// Whether no replica is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// A number that grows with each change of the directory.
+    /// Counter that grows with each change of the directory.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
@@ -126,11 +126,11 @@
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// Puts a replica into the list of its service, or takes it out.
+    /// Adds a replica to the list of its service, or removes it.
     ///
-    /// Only this list is gone through: a node refuses its callers until it has put all
-    /// replicas. Going through all of them for each took 10 s for 10,000 replicas in a
-    /// debug build, and takes less than half a second this way.
+    /// Only this list is rebuilt, because a node refuses its callers until it has added all
+    /// replicas. Rebuilding all lists for each of 10,000 replicas took 10 s in a debug build;
+    /// this takes less than half a second.
     fn update_service(&self, service: &ServiceName, id: &ReplicaId, replica: Option<Rc<Replica>>) {
         self.note_change();
         let mut services = self.services.borrow_mut();
--- a/crates/kumquatnotch-route/src/fleet.rs
+++ b/crates/kumquatnotch-route/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The nodes of the tier that are known.
+//! The known nodes of the tier.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,42 +25,43 @@
     router::Place,
 };
 
-/// The service that the nodes of this tier are to each other.
+/// Service name under which the nodes of this tier are replicas of each other.
 pub const PEER_SERVICE: &str = "kumquatnotch";
 
-/// How many requests of one node another one is taken to run at once.
+/// Number of requests from one node that another one is assumed to run at once.
 const PEER_SLOTS: u32 = 16;
 
-/// What a node tells the others of itself.
+/// Record by which a node announces itself to the others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Where it takes callers.
+    /// Address at which it accepts callers.
     pub entry: SocketAddr,
-    /// Where it takes other nodes.
+    /// Address at which it accepts other nodes.
     pub peer: SocketAddr,
     /// Its data centre.
     pub centre: DataCentre,
     /// Its region.
     pub region: Region,
-    /// The processor time that it has in a second, in cores.
+    /// Processor time available to it, in cores.
     pub capacity: f64,
 }
 
 impl NodeRecord {
-    /// The node, as far as advice depends on it.
+    /// Returns the properties of the node that advice depends on.
     pub fn place(&self) -> NodePlace<'_> {
         NodePlace { centre: &self.centre, region: &self.region, capacity: self.capacity }
     }
 }
 
-/// What is known of a node.
+/// A known node.
 struct Node {
     record: NodeRecord,
-    /// The way to it: for this node, a node is a replica like those of a service.
+    /// The node as a replica: requests to another node are sent like requests to a replica
+    /// of a service.
     peer: Rc<Replica>,
 }
 
-/// The nodes that are known.
+/// The known nodes.
 #[derive(Default)]
 pub struct Fleet {
     nodes: RefCell<HashMap<NodeName, Node>>,
@@ -69,18 +70,18 @@
 }
 
 impl Fleet {
-    /// A fleet without nodes, for a node with these ways to data centres.
+    /// Creates an empty fleet, for a node with these distances to data centres.
     pub fn new(distances: Rc<Distances>) -> Fleet {
         Fleet { distances, ..Default::default() }
     }
 
-    /// Sets in which region each data centre lies.
+    /// Sets the region of each data centre.
     pub fn set_regions(&self, regions: HashMap<DataCentre, Region>) {
         self.distances.set_regions(regions);
         self.note_change();
     }
 
-    /// Adds a node, or takes over what it tells now.
+    /// Adds a node, or updates its record.
     pub fn put(&self, name: NodeName, record: NodeRecord, now: Instant) {
         let mut nodes = self.nodes.borrow_mut();
         if nodes.get(&name).is_some_and(|node| node.record == record) {
@@ -103,29 +104,29 @@
         }
     }
 
-    /// Where a node takes other nodes, if it is known.
+    /// Returns the address at which a node accepts other nodes, if it is known.
     pub fn peer_address(&self, name: &NodeName) -> Option<SocketAddr> {
         self.nodes.borrow().get(name).map(|node| node.record.peer)
     }
 
-    /// The way to a node of which nothing but the address is known.
+    /// Returns a replica for a node of which only the address is known.
     pub fn peer_at(&self, peer: SocketAddr, now: Instant) -> Replica {
         let centre = DataCentre::from("");
         let distance = self.distances.to(&centre);
         Replica::new(ReplicaId::from(&*peer.to_string()), peer_spec(peer, &centre), distance, now)
     }
 
-    /// The way to a node.
+    /// Returns a node as a replica.
     pub fn peer(&self, name: &NodeName) -> Option<Rc<Replica>> {
         self.nodes.borrow().get(name).map(|node| node.peer.clone())
     }
 
-    /// The region of a data centre.
+    /// Returns the region of a data centre.
     pub fn region_of(&self, centre: &DataCentre) -> Option<Region> {
         self.distances.regions().get(centre).cloned()
     }
 
-    /// Of the nodes named, the one that has fewest requests of this one.
+    /// Of the named nodes, returns the one with the fewest unanswered requests of this node.
     pub fn least_loaded_peer(&self, names: &[Candidate]) -> Option<Rc<Replica>> {
         let nodes = self.nodes.borrow();
         let named = names.iter().filter_map(|(name, _)| nodes.get(name));
@@ -138,8 +139,7 @@
         self.nodes.borrow().contains_key(name)
     }
 
-    /// Whether callers are advised to use other nodes of the data centre of `place`, as
-    /// these are larger.
+    /// Whether callers are advised to use other, larger nodes of the data centre of `place`.
     pub fn is_standby(&self, place: &Place) -> bool {
         let nodes = self.nodes.borrow();
         let others = nodes.iter().filter(|(name, _)| **name != place.name);
@@ -147,28 +147,28 @@
         placement::is_standby(place.capacity, beside.map(|(_, node)| node.record.capacity))
     }
 
-    /// How many nodes are known.
+    /// Number of known nodes.
     pub fn len(&self) -> usize {
         self.nodes.borrow().len()
     }
 
-    /// Whether none is known.
+    /// Whether no node is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The nodes and what they tell.
+    /// Returns all known nodes with their records.
     pub fn candidates(&self) -> Vec<Candidate> {
         let nodes = self.nodes.borrow();
         nodes.iter().map(|(name, node)| (name.clone(), node.record.clone())).collect()
     }
 
-    /// In which region each data centre lies.
+    /// Returns the region of each data centre.
     pub fn regions(&self) -> std::cell::Ref<'_, HashMap<DataCentre, Region>> {
         self.distances.regions()
     }
 
-    /// A number that grows with each change of the fleet.
+    /// Counter that grows with each change of the fleet.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
--- a/crates/kumquatnotch-route/src/router.rs
+++ b/crates/kumquatnotch-route/src/router.rs
@@ -1,5 +1,5 @@
-//! What the parts of a node share: the configuration in force, the replicas, and
-//! what was learned of them.
+//! State that the parts of a node share: the configuration in force, the known replicas and
+//! nodes, and what was learned of them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -42,7 +42,7 @@
     route::{Route, RouteTable},
 };
 
-/// The most visitors that are remembered.
+/// Maximum number of inbound peers that are remembered.
 const MAX_INBOUND_PEERS: usize = 3;
 
 /// Options of a [`Router`].
@@ -50,15 +50,15 @@
 pub struct RouterOptions {
     /// The names of headers.
     pub names: HeaderNames,
-    /// The budget for repeats.
+    /// The budget for repeats (retries and hedges).
     pub budget: BudgetOptions,
-    /// Where this node is.
+    /// Name and location of this node.
     pub place: Place,
-    /// Which mechanisms are in use; all of them but in experiments.
+    /// The mechanisms in use: all of them, except in experiments.
     pub mechanisms: Mechanisms,
 }
 
-/// Who and where a node is.
+/// Name and location of a node.
 #[derive(Clone, Debug)]
 pub struct Place {
     /// Its name.
@@ -67,60 +67,60 @@
     pub centre: DataCentre,
     /// Its region.
     pub region: Region,
-    /// The processor time that it has in a second, in cores.
+    /// Processor time available to it, in cores.
     pub capacity: f64,
 }
 
-/// What the parts of a node share.
+/// State that the parts of a node share.
 pub struct Router {
     /// The names of headers.
     pub names: HeaderNames,
-    /// Where this node is.
+    /// Name and location of this node.
     pub place: Place,
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// The generator of random numbers.
     pub random: Random,
-    /// The stage of the node's life.
+    /// The stage of the node's lifecycle.
     pub lifecycle: Lifecycle,
-    /// The replicas that are known.
+    /// The known replicas.
     pub directory: Directory,
-    /// What is known of the store, for other nodes to follow.
+    /// The known state of the store, for followers.
     pub journal: Journal,
-    /// Until when entries that vanish are kept for a while.
+    /// Until when vanished entries are retained for a while.
     pub grace_until: Cell<Option<Instant>>,
-    /// The nodes that are known.
+    /// The known nodes.
     pub fleet: Fleet,
-    /// The ways to the data centres.
+    /// The distances to the data centres.
     pub distances: Rc<Distances>,
-    /// How much later than due answers leave.
+    /// How late the answers of this node leave, after they are due.
     pub lags: Lags,
-    /// How far away callers are.
+    /// Round trip times of callers.
     pub callers: CallerTrips,
-    /// How long requests usually take.
+    /// Usual durations of requests.
     pub paces: Paces,
-    /// The requests that were with replicas when these crashed.
+    /// Requests that were running on replicas when these crashed.
     pub crashes: Crashes,
-    /// How hard pressed replicas are.
+    /// How overloaded replicas are.
     pub strains: Strains,
-    /// The budget for repeats.
+    /// The budget for repeats (retries and hedges).
     pub budget: Budget,
     mechanisms: Mechanisms,
     table: RefCell<Option<Rc<RouteTable>>>,
-    /// Nodes that asked this one something before it knew any, by their addresses.
+    /// Addresses of the nodes that contacted this one before it knew any.
     inbound_peers: RefCell<Vec<SocketAddr>>,
     /// When the node started.
     started: Instant,
-    /// Whether the other nodes are known, as far as the store has named them.
+    /// Whether the other nodes are known, as listed by the store.
     nodes_known: Cell<bool>,
-    /// When the directory was read in full first.
+    /// When the directory was first loaded completely.
     pub(crate) synced_at: Cell<Option<Instant>>,
     advice: RefCell<AdviceCache>,
     pub(crate) cached_share: Cell<((u64, u64, u64), f64)>,
 }
 
 impl Router {
-    /// A router without configuration and replicas.
+    /// Creates a router without a configuration and without replicas.
     pub fn try_new(options: RouterOptions, registry: &Registry) -> Result<Rc<Router>> {
         let clock = registry.find::<Rc<dyn Clock>>(services::CLOCK)?;
         let Place { centre, region, .. } = options.place.clone();
@@ -158,12 +158,12 @@
         self.mechanisms.uses(mechanism)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is.
+    /// Puts a configuration in force if it is newer than the current one. Returns whether it did.
     pub fn install_table(&self, table: RouteTable) -> bool {
         let known = self.table().map(|table| table.version());
         if known.is_some_and(|known| known >= table.version()) {
@@ -173,13 +173,13 @@
         true
     }
 
-    /// For how much longer entries that vanish are kept for a while.
+    /// Returns the remaining time for which vanished entries are retained for a while.
     pub fn remaining_grace(&self) -> Duration {
         let until = self.grace_until.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(self.clock.now()))
     }
 
-    /// Keeps entries that vanish for a while, from now on for `span` at least.
+    /// Retains vanished entries for a while, for at least `span` from now on.
     pub fn extend_grace(&self, span: Duration) {
         if !self.uses(Mechanism::LapseCaution) {
             return;
@@ -188,19 +188,19 @@
         self.grace_until.set(Some(self.grace_until.get().map_or(until, |known| known.max(until))));
     }
 
-    /// Notes that the directory was read in full once.
+    /// Notes that the directory has been loaded completely.
     pub fn set_synced(&self) {
         if self.synced_at.get().is_none() {
             self.synced_at.set(Some(self.clock.now()));
         }
     }
 
-    /// Whether the directory was read in full once.
+    /// Whether the directory has been loaded completely once.
     pub fn is_synced(&self) -> bool {
         self.synced_at.get().is_some()
     }
 
-    /// Whether the node knows enough to serve.
+    /// Whether the node has the state that it needs to serve.
     pub fn is_ready(&self) -> bool {
         self.is_synced() && self.table.borrow().is_some()
     }
@@ -215,17 +215,17 @@
         self.nodes_known.get() || self.is_synced()
     }
 
-    /// Whether other nodes need not know this one, as callers are advised to use larger ones.
+    /// Whether other nodes need not know this one, because callers are advised to use larger ones.
     ///
-    /// Of hundreds of nodes only some carry requests. An entry of each of them costs the
-    /// store two writes a start and a renewal each second, for nobody.
+    /// Of hundreds of nodes only some carry requests. Without standby, the entry of each other
+    /// one would cost the store two writes on start and a renewal every second, to no benefit.
     pub fn is_standby(&self) -> bool {
         self.uses(Mechanism::Standby)
             && self.are_nodes_known()
             && self.fleet.is_standby(&self.place)
     }
 
-    /// Notes that the node at `address` asked something; only as long as none is known.
+    /// Remembers the address of a node that contacted this one, while no other node is known.
     pub(crate) fn note_inbound_peer(&self, address: SocketAddr) {
         let mut inbound_peers = self.inbound_peers.borrow_mut();
         if !self.is_synced()
@@ -236,28 +236,29 @@
         }
     }
 
-    /// The nodes that asked this one something before it knew any.
+    /// Returns the addresses of the nodes that contacted this one before it knew any.
     pub(crate) fn inbound_peers(&self) -> Vec<SocketAddr> {
         self.inbound_peers.borrow().clone()
     }
 
-    /// When a caller with `left` is to come again while the node isn't ready.
+    /// Returns after what time a caller is to retry while the node isn't ready, if its request
+    /// has `left` until its deadline.
     pub(crate) fn not_ready_retry(&self, left: Duration) -> Duration {
         startup::retry(self.clock.now().saturating_duration_since(self.started), left)
     }
 
-    /// What is known of a request of `route` for the choice of a replica of `service`.
+    /// Returns the requirements of a request of `route` for the choice of a replica of `service`.
     pub fn need_at(&self, route: &Route, service: &ServiceName) -> Need {
         Need { spent: self.budget.spent(service, self.clock.now()), ..self.need(route) }
     }
 
-    /// What is known of a request of `route`.
+    /// Returns the requirements of a request of `route`.
     pub fn need(&self, route: &Route) -> Need {
         let need = self.paces.need(&route.name, route.objective);
         Need { mechanisms: self.mechanisms, ..need }
     }
 
-    /// Where replicas of a service, or the nodes of this tier, answer probes.
+    /// Returns the path at which replicas of a service, or nodes of this tier, answer probes.
     pub(crate) fn probe_path(&self, service: &ServiceName) -> Option<String> {
         if service.as_str() == PEER_SERVICE {
             return Some(PROBE_PATH.to_owned());
@@ -265,7 +266,7 @@
         Some(self.table()?.service(service)?.probe_path.clone())
     }
 
-    /// What callers of `host` are advised; `None` without configuration.
+    /// Returns the advice for callers of `host`, or `None` without a configuration.
     pub fn advice(&self, host: &str) -> Option<Rc<HostAdvice>> {
         let table = self.table()?;
         let valid_for = self.input_versions(&table);
@@ -279,9 +280,9 @@
         Some(advice)
     }
 
-    /// The node of `centre` that is to gather for others, for requests to `host`.
+    /// Returns the node of `centre` that gathers on behalf of other nodes, for requests to `host`.
     ///
-    /// It is one that callers are advised to use: the others have few connections.
+    /// It is one that callers are advised to use; the other nodes have few connections to replicas.
     pub fn peer_in(&self, host: &str, centre: &DataCentre) -> Option<Rc<Replica>> {
         let advice = self.advice(host)?;
         let region = self.fleet.region_of(centre)?;
@@ -290,12 +291,12 @@
         self.fleet.least_loaded_peer(&there)
     }
 
-    /// What advice and shares are worked out from: they hold as long as it is the same.
+    /// Returns the versions of all inputs of advice and shares, which are valid until one changes.
     pub(crate) fn input_versions(&self, table: &RouteTable) -> (u64, u64, u64) {
         (table.version(), self.directory.generation(), self.fleet.generation())
     }
 
-    /// For how long after its arrival the answer to a request is worth most.
+    /// Returns how long after its arrival a request may be answered to be in time for its caller.
     pub fn waiting_time(&self, route: &Route, is_first: bool) -> Duration {
         let serves_others = self
             .advice(&route.host)
