--- a/crates/kumquatnotch-route/tests/advice.rs
+++ b/crates/kumquatnotch-route/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Which nodes callers are advised to use.
+//! Advice on which nodes callers are to use.
 
 use std::{
     net::SocketAddr,
@@ -126,8 +126,8 @@
     assert_eq!(advice.addresses_for(&region("b")), [address(0), address(1)]);
 }
 
-/// The last but one of the large nodes beside the replicas has ended. Callers are
-/// given the smaller ones there as well: a single address would be a single loss.
+/// Only one large node beside the replicas is left. Callers also get the smaller nodes there:
+/// with a single address, the loss of one node would leave them without any.
 #[test]
 fn a_single_suitable_node_is_supplemented_by_smaller_ones() {
     let nodes = [node(0, "a1", 0.5), node(1, "a1", 0.1), node(2, "a2", 0.5)];
--- a/crates/kumquatnotch-route/tests/common/store.rs
+++ b/crates/kumquatnotch-route/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with the faults that tests set.
+//! In-memory store, with faults that tests can inject.
 
 #![allow(dead_code)]
 
@@ -22,17 +22,16 @@
     pub unavailable: Cell<bool>,
     /// Watches after an older revision find no history.
     pub compacted: Cell<u64>,
-    /// Leases that have ended.
     pub ended_leases: RefCell<Vec<u64>>,
     pub granted_leases: Cell<u64>,
     pub calls: Cell<u64>,
-    /// Calls that come while this is set are never answered.
+    /// Calls made while this is set are never answered.
     pub unresponsive: Cell<bool>,
-    /// Leases are not renewed, as the calls are lost.
+    /// Calls that renew leases are lost.
     pub loses_renewals: Cell<bool>,
     /// Watches see no changes.
     pub hides_changes: Cell<bool>,
-    /// What snapshots tell, if they lag behind.
+    /// State that snapshots return if they lag behind the store.
     pub stale_snapshot: RefCell<Option<StoreScan>>,
     pub scans: Cell<u64>,
 }
@@ -71,7 +70,7 @@
         self.revision.get()
     }
 
-    /// Everything as it is now.
+    /// Returns everything that the store holds now.
     pub fn current_state(&self) -> StoreScan {
         let items = self.items.borrow().values().cloned().collect();
         StoreScan { items, revision: self.revision.get() }
--- a/crates/kumquatnotch-route/tests/follow.rs
+++ b/crates/kumquatnotch-route/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following a node that watches the store, in place of the store.
+//! Following a node that watches the store, instead of watching the store itself.
 
 mod common;
 #[path = "common/store.rs"]
@@ -18,14 +18,14 @@
 use kumquatnotch_route::{journal::StoreUpdate, mirror::Mirror, probe};
 use schema::{TestSchema, options};
 
-/// A node with a mirror and a store of its own view.
+/// A node with a mirror, and a store of its own.
 struct Node {
     tier: Tier,
     store: Rc<FakeStore>,
 }
 
-/// Six nodes of one data centre, of which `r1` and `r2`, the largest, watch the
-/// store, and `z` follows them. Each has its own way to the store.
+/// Six nodes of one data centre. `r1` and `r2`, the largest, watch the store, and `z` follows
+/// them. Each has a store of its own, so that they can see different states of it.
 fn nodes() -> (Node, Node, Node) {
     let node = |name| {
         let (tier, store) = (Tier::named(name, 100.0, "home"), Rc::new(FakeStore::default()));
@@ -59,7 +59,7 @@
 fn a_follower_receives_changes_without_calling_the_store() {
     run(async {
         let (r1, r2, z) = nodes();
-        // The time in which vanished entries are kept after the start must be over.
+        // Wait until vanished entries are no longer retained after the start.
         pause(800).await;
         let calls = z.store.calls.get();
 
@@ -75,8 +75,8 @@
     });
 }
 
-/// One of the two nodes that watch is turned away by the store. The follower must notice
-/// and go elsewhere, and the one that is turned away hears of the change from the other.
+/// The store rejects one of the two nodes that watch it. The follower must notice that and
+/// switch to the other node, and the rejected one receives the change from there as well.
 #[test]
 fn followers_leave_a_node_that_lost_the_store() {
     run(async {
@@ -92,7 +92,7 @@
     });
 }
 
-/// Both nodes that watch are gone. The follower asks the store itself.
+/// Both nodes that watch the store are gone. The follower must call the store itself.
 #[test]
 fn a_follower_without_readers_falls_back_to_the_store() {
     run(async {
@@ -109,9 +109,9 @@
     });
 }
 
-/// A node starts anew while the store is away, and knows no other. One that knew its
-/// earlier life asks whether it is back. It learns from that one, serves by what it
-/// knows, and goes on following it.
+/// A node restarts while the store is unavailable, and knows no other node. A node that knew
+/// its previous incarnation probes it. The restarted node must load the state of that one,
+/// serve by it, and continue to follow it.
 #[test]
 fn a_node_that_starts_during_an_outage_syncs_from_an_inbound_peer() {
     run(async {
@@ -138,7 +138,7 @@
     });
 }
 
-/// What a node knows of the store, up to a revision.
+/// The state of the store up to a revision.
 fn scan(revision: u64) -> StoreScan {
     let items = (1..=revision).map(item);
     StoreScan { items: items.collect(), revision }
@@ -148,9 +148,10 @@
     StoreItem { key: format!("k{revision}"), value: Vec::new(), revision }
 }
 
-/// A node reads everything anew from another one, which knows less than it did itself. Those
-/// that follow it would be told that there is nothing between, and never hear of the changes
-/// that it learns again then: a configuration would be in force nowhere behind it.
+/// A node reloads the full state from another node that is behind its own previous state. If it
+/// kept the higher revision, its followers would be told that there are no changes in between,
+/// and would never receive those that the node learns again: a new configuration would not come
+/// into force on them.
 #[test]
 fn followers_miss_no_changes_after_a_reset_to_an_older_revision() {
     run(async {
@@ -172,8 +173,8 @@
     });
 }
 
-/// The store has dropped its history, and another node offers everything that it knows, which
-/// is older than what this one has heard. A replica that drains would be used again.
+/// The store has dropped its history, and another node offers a full state that is older than
+/// the known one. If it were applied, a draining replica would be used again.
 #[test]
 fn an_older_full_state_does_not_replace_a_newer_one() {
     run(async {
--- a/crates/kumquatnotch-route/tests/initial_sync.rs
+++ b/crates/kumquatnotch-route/tests/initial_sync.rs
@@ -1,4 +1,4 @@
-//! How a node that knows nothing learns what the store holds.
+//! How a node without any state loads what the store holds.
 
 mod common;
 #[path = "common/store.rs"]
@@ -36,9 +36,9 @@
     }
 }
 
-/// Callers are refused by a node that starts while the store takes calls and answers
-/// none. The first call is lost for good. When the store is back, the node must not
-/// wait for the end of that call: it asks again every few hundred milliseconds.
+/// A node starts while the store accepts calls and answers none, and refuses its callers. Its
+/// first call is never answered. Once the store is back, the node must not wait for that call
+/// to time out: it calls again every few hundred milliseconds.
 #[test]
 fn a_node_whose_first_call_was_lost_serves_soon_after_the_store_is_back() {
     run(async {
@@ -57,8 +57,8 @@
     });
 }
 
-/// A snapshot may be some seconds old. A replica that has left since must not be used,
-/// one that came must be, and a configuration that was replaced never comes into force.
+/// A snapshot may be some seconds old. A replica that has left since must not be used, a new
+/// one must be, and a configuration that was replaced must never come into force.
 #[test]
 fn changes_since_a_stale_snapshot_are_applied_before_the_first_request() {
     run(async {
@@ -80,7 +80,8 @@
     });
 }
 
-/// Pages of a snapshot differ in age: what is newer in it than a change must stay.
+/// The pages of a snapshot differ in age: an item newer than a change must not be
+/// overwritten by it.
 #[test]
 fn a_change_older_than_the_snapshot_item_is_ignored() {
     run(async {
@@ -116,8 +117,8 @@
     });
 }
 
-/// The nodes that the store names have lost power together with this one, and hang. Callers
-/// are sent to this one, so it waits for none of them and reads the store.
+/// The nodes that the store lists lost power together with this one, and hang. Callers are sent
+/// to this node, so it does not wait for any of them and reads the store.
 #[test]
 fn a_serving_node_does_not_wait_for_unresponsive_peers() {
     run(async {
@@ -133,9 +134,9 @@
     });
 }
 
-/// The same where six nodes come before this one in reading the store: it asks them first,
-/// for a part of a second. All of them hang, and one of them alone took two seconds of it:
-/// the time was looked at only between two questions.
+/// Six nodes precede this one in reading the store, so it asks them first, for a fraction of a
+/// second. All of them hang. The node must not wait for one of them until its request times
+/// out: that took two seconds when the deadline was only checked between two requests.
 #[test]
 fn unresponsive_peers_delay_the_initial_sync_only_briefly() {
     run(async {
@@ -149,14 +150,14 @@
         start(&tier, &store);
         until_ready(&tier).await;
 
-        // It asks others for 0.6 s at most.
+        // Other nodes are asked for 0.6 s at most.
         assert!(began.elapsed().as_millis() < 1_000, "after {:?}", began.elapsed());
     });
 }
 
-/// Hundreds of nodes lose power at once. If all of them read a thousand entries from the
-/// store, they would share its link and be ready after seconds. A small node asks a larger
-/// one, which may not have read anything yet itself, and leaves the store alone.
+/// Hundreds of nodes lose power at once. If all of them read a thousand entries from the store,
+/// they would share its link and be ready only after seconds. A small node loads the state from
+/// a larger one instead, even if that one has not loaded it yet itself.
 #[test]
 fn a_small_node_syncs_from_a_larger_one_instead_of_the_store() {
     run(async {
@@ -178,8 +179,8 @@
     });
 }
 
-/// Many ask one node for everything while callers wait for its answers. It tells one after
-/// the other, and those that it turns away ask again.
+/// Many nodes request the full state from one node while callers wait for its answers. It
+/// serves one request after the other, and the refused nodes try again.
 #[test]
 fn full_transfers_are_served_one_at_a_time() {
     run(async {
--- a/crates/kumquatnotch-route/tests/scale.rs
+++ b/crates/kumquatnotch-route/tests/scale.rs
@@ -1,7 +1,7 @@
-//! What a node holds and writes at the size to come: 2,000 nodes and 10,000 replicas.
+//! State and logs of a node in a fleet of 2,000 nodes and 10,000 replicas.
 //!
-//! The fleet is that of the users' plan for two years from now: 1,900 nodes over 9,400
-//! replicas, rounded up; a few nodes of each data centre carry the requests.
+//! The sizes are the planned growth to 1,900 nodes over 9,400 replicas, rounded up; a few nodes
+//! of each data centre carry the requests.
 
 mod common;
 #[path = "common/store.rs"]
@@ -42,7 +42,7 @@
     codec::encode(&record).unwrap()
 }
 
-/// The key of a replica, of which each service has six.
+/// Returns the key of a replica; each service has six.
 fn replica_key(number: usize) -> String {
     format!("r/s{}.{number:05}", number / 6)
 }
@@ -61,9 +61,9 @@
     store
 }
 
-/// A node starts in the whole fleet. What it keeps is one entry for each replica and node,
-/// and the changes for followers are bounded however many there are. It is ready within a
-/// fraction of the time after which its callers would have come again.
+/// A node starts in the full fleet. It must keep one entry for each replica and node, and a
+/// bounded number of changes for followers. It must be ready within a fraction of the time
+/// after which its callers retry.
 #[test]
 fn a_large_fleet_loads_quickly_and_keeps_each_entry_once() {
     run(async {
@@ -86,14 +86,14 @@
 
         assert_eq!((tier.router.directory.len(), tier.router.fleet.len()), (REPLICAS, NODES));
         assert_eq!(tier.router.journal.sizes(), (1 + NODES + REPLICAS, 2_000));
-        // A debug build; the release build takes a tenth of it.
+        // Limit of a debug build; a release build takes a tenth of the time.
         assert!(took.as_millis() < 4_000, "took {took:?}");
     });
 }
 
-/// The configuration grows by 1,400 routes, twice. A request must not wait while it is taken
-/// in, and finds its route as soon as before: 40,000 requests take 0.08 s of a debug build, and
-/// took 0.76 s when all routes of their host were gone through for each.
+/// The configuration grows by 1,400 routes, twice. Loading it must not delay requests, and the
+/// lookup of a route must not slow down: 40,000 lookups take 0.08 s in a debug build, and took
+/// 0.76 s when all routes of the host were searched for each.
 #[test]
 fn a_request_finds_its_route_among_thousands() {
     let route = |number: usize| Route {
@@ -117,7 +117,7 @@
     assert!(looked_up.as_millis() < 500, "found after {looked_up:?}");
 }
 
-/// Each data centre has two nodes that watch the store, however many there are.
+/// Each data centre has two nodes that watch the store, whatever its size.
 #[test]
 fn the_number_of_readers_is_independent_of_the_fleet_size() {
     let candidates: Vec<(NodeName, NodeRecord)> = (0..NODES)
@@ -135,7 +135,7 @@
     assert_eq!(watching, CENTRES * follow::READERS_PER_CENTRE);
 }
 
-/// Ten thousand replicas that come at once are one line of the log, a few are a line each.
+/// Ten thousand new replicas are logged in one line, a few in a line each.
 #[test]
 fn many_changes_at_once_are_logged_as_a_summary() {
     let summary = ChangeSummary::default();
@@ -150,8 +150,8 @@
     assert!(many && !few);
 }
 
-/// A request reached a replica that was leaving, and many entries changed at that moment.
-/// When this node knew that is in the log all the same, for a bounded number of replicas.
+/// A request reached a leaving replica while many entries changed. The log must still show
+/// since when this node knew that the replica was leaving, for a bounded number of replicas.
 #[test]
 fn leaving_replicas_are_logged_individually_up_to_a_limit() {
     let summary = ChangeSummary::default();
--- a/crates/kumquatnotch-route/tests/stale_readers.rs
+++ b/crates/kumquatnotch-route/tests/stale_readers.rs
@@ -1,4 +1,4 @@
-//! Nodes that follow others, while the store turns away those that they follow.
+//! Followers, while the store rejects the nodes that they follow.
 
 mod common;
 #[path = "common/store.rs"]
@@ -17,11 +17,11 @@
 use kumquatnotch_route::mirror::Mirror;
 use schema::{TestSchema, options};
 
-/// Within what time a change that the store has confirmed must be in force on a node that
-/// can be served by the store: the shortest that operators ask for.
+/// Time within which a change that the store has confirmed must be in force on a node that the
+/// store accepts: the shortest that operators ask for.
 const IN_FORCE: Duration = Duration::from_secs(3);
 
-/// A node with a mirror and a store of its own view.
+/// A node with a mirror, and a store of its own.
 struct Node {
     tier: Tier,
     store: Rc<FakeStore>,
@@ -36,7 +36,7 @@
         self.tier.router.table().map_or(0, |table| table.version())
     }
 
-    /// How long it takes until `version` is in force, at most `limit`.
+    /// Returns the time until `version` is in force, at most `limit`.
     async fn time_to(&self, version: u64, limit: Duration) -> Duration {
         let start = Instant::now();
         while self.version() < version && start.elapsed() < limit {
@@ -46,8 +46,8 @@
     }
 }
 
-/// Two readers in each of two data centres, and a small node in the first one that
-/// follows them. Each has its own way to the store.
+/// Two readers in each of two data centres, and a small node in the first one that follows
+/// them. Each has a store of its own.
 struct Fleet {
     readers: Vec<Node>,
     small: Node,
@@ -80,11 +80,10 @@
     }
 }
 
-/// Callers of a small node are answered by a configuration that was replaced seven seconds
-/// ago. The store turns the readers away that it follows, and serves all others. A change
-/// is confirmed. Each reader goes on answering with what it knew, and tells only at the end
-/// of a long wait how old that is, so the waits at four of them add up: the logs show the
-/// four, 1.5 s apart, and the change in force as soon as any other source is asked.
+/// Callers of a small node got answers by a configuration that had been replaced seven seconds
+/// before. The store rejects all readers, and accepts the other nodes. Each reader still answered
+/// with its old state, and reported the age of that state only at the end of a long wait. The waits
+/// at the four readers, 1.5 s each, added up before the node asked any other source.
 #[test]
 fn a_change_takes_effect_in_time_while_the_store_rejects_all_readers() {
     run(async {
@@ -98,8 +97,8 @@
     });
 }
 
-/// The readers of the data centre hang: they take connections and answer nothing. The small
-/// node waits at the first, and not as long again at the second: others tell at once.
+/// The readers of the data centre hang: they accept connections and answer nothing. The small node
+/// may wait at the first one, but must not wait as long again at the second: others answer at once.
 #[test]
 fn a_change_takes_effect_in_time_while_the_nearest_readers_hang() {
     run(async {
@@ -118,8 +117,8 @@
     });
 }
 
-/// The store turns one reader away for long, and serves another. Callers of the first see a
-/// change in time all the same: it hears of it from the second.
+/// The store rejects one reader for long, and accepts another. The first must receive a change
+/// from the second, and put it in force in time for its callers.
 #[test]
 fn a_rejected_reader_receives_changes_from_other_readers() {
     run(async {
@@ -135,10 +134,10 @@
     });
 }
 
-/// The store turns two nodes away, and their leases end. All others are told that they are
-/// gone, and so is the first by way of the second reader. If it believed that of the other
-/// one and of itself, all nodes that serve would share among fewer what replicas bear: more
-/// repeats than are allowed, more connections than a replica takes.
+/// The store rejects two nodes, so their leases end and all other nodes see them removed. The
+/// first one sees that too, by way of the second reader. If it removed the other node and
+/// itself, all nodes that serve would divide the capacity of replicas among fewer: they would
+/// send more repeats than are allowed, and open more connections than a replica takes.
 #[test]
 fn a_rejected_node_keeps_counting_other_rejected_nodes() {
     run(async {
--- a/crates/kumquatnotch-route/tests/standby.rs
+++ b/crates/kumquatnotch-route/tests/standby.rs
@@ -1,4 +1,4 @@
-//! Nodes that the others need not know, as larger ones serve in their place.
+//! Nodes on standby, which are not announced because larger nodes serve in their place.
 
 mod common;
 #[path = "common/store.rs"]
@@ -26,7 +26,7 @@
     store: Rc<FakeStore>,
 }
 
-/// A node with a capacity of 1.0 beside two of 4.0, which have just started.
+/// A node with a capacity of 1.0 beside two of 4.0, all of which have just started.
 fn fixture() -> Fixture {
     let (tier, store) = (Tier::new(), Rc::new(FakeStore::default()));
     store.put("c", b"3");
@@ -49,8 +49,8 @@
     }
 }
 
-/// Callers are sent to the larger nodes, so an entry would only cost the store. The node
-/// takes nothing of what the nodes share, as the others don't count it.
+/// Callers are sent to the larger nodes, so an entry would only load the store. The node takes
+/// no share of what the nodes share, because the others don't count it.
 #[test]
 fn a_small_node_beside_larger_ones_announces_nothing() {
     run(async {
@@ -62,8 +62,8 @@
     });
 }
 
-/// A large node is lost. Its entry goes with its lease, and the small one is needed at
-/// once: callers would be sent to a single node otherwise, and fail with it.
+/// A large node is lost, and its entry expires with its lease. The small node must announce
+/// itself at once: otherwise callers would be sent to a single node, and fail with it.
 #[test]
 fn a_small_node_announces_itself_when_a_larger_one_is_lost() {
     run(async {
@@ -75,12 +75,12 @@
             pause(10).await;
         }
 
-        // Its entry is kept for half a second, as it may have lapsed with an outage.
+        // The entry is retained for half a second, because it may have expired in an outage.
         assert!(lost.elapsed().as_millis() < 1_500, "after {:?}", lost.elapsed());
     });
 }
 
-/// A replica was crashed by a request through a node on standby: all nodes must hear it.
+/// A request through a node on standby has crashed a replica: all nodes must learn of it.
 #[test]
 fn a_small_node_announces_itself_to_publish_crashes() {
     run(async {
--- a/crates/kumquatnotch-route/tests/store.rs
+++ b/crates/kumquatnotch-route/tests/store.rs
@@ -1,4 +1,4 @@
-//! Following the store, and what is believed while it is away.
+//! Mirroring the store, and the state that is used while the store is unavailable.
 
 mod common;
 #[path = "common/store.rs"]
@@ -76,7 +76,7 @@
 fn a_replica_that_leaves_the_store_is_dropped_at_once() {
     run(async {
         let fixture = fixture().await;
-        // The time in which vanished entries are kept after the start must be over.
+        // Wait until vanished entries are no longer retained after the start.
         pause(600).await;
 
         fixture.store.delete("r/one");
@@ -86,8 +86,8 @@
     });
 }
 
-/// The store swallows the watch of a node, and is well a moment later. Callers must not be
-/// answered by an old configuration until that call has failed: another is made beside it.
+/// The store loses the watch of a node, and is available again a moment later. Callers must not
+/// be answered by an old configuration until that watch fails: another call is made beside it.
 #[test]
 fn a_lost_watch_is_retried_before_it_fails() {
     run(async {
@@ -103,8 +103,8 @@
     });
 }
 
-/// The store is away, and the entries of replicas lapse meanwhile. When it is back
-/// they are missing at first, and return when their replicas have renewed them.
+/// The entries of replicas expire while the store is unavailable. When it is back, they are
+/// missing at first, and return once their replicas have renewed them.
 #[test]
 fn entries_that_expire_during_an_outage_are_retained_until_they_return() {
     run(async {
@@ -126,8 +126,8 @@
     });
 }
 
-/// The store was away only between two answers of a watch, so that no call failed.
-/// That so many replicas vanish together tells that their entries lapsed.
+/// The store was unavailable only between two answers to watches, so that no call failed. The
+/// number of replicas that vanish together shows that their entries have expired.
 #[test]
 fn entries_that_vanish_together_are_retained_for_a_while() {
     run(async {
@@ -148,7 +148,7 @@
     });
 }
 
-/// The history is gone, so that the deletions in the gap were never seen.
+/// The store has dropped its history, so the deletions in the gap were never seen.
 #[test]
 fn a_full_scan_follows_when_the_history_is_gone() {
     run(async {
@@ -227,8 +227,8 @@
     });
 }
 
-/// The store takes the entry away although the lease goes on being renewed, so
-/// that no call of the node shows it. Callers would never be advised to use it.
+/// The store removes the entry although the lease is still renewed, so that no call of the node
+/// fails. If the node did not notice, callers would never be advised to use it.
 #[test]
 fn a_node_whose_entry_was_deleted_announces_itself_again() {
     run(async {
@@ -243,8 +243,8 @@
     });
 }
 
-/// A node sees a replica crash with a request. It tells the others through the store,
-/// and what they tell counts here like what it has seen itself.
+/// A node observes that a request crashes a replica. It must publish that to the other nodes
+/// through the store, and count the crashes that they publish like its own.
 #[test]
 fn crashes_are_shared_between_nodes_through_the_store() {
     run(async {
@@ -266,16 +266,16 @@
     });
 }
 
-/// What a replica that was known under this name was learned to be, by the requests that
-/// were sent to it.
+/// Returns how many requests this node has sent to the replica known under a name, which shows
+/// whether its statistics were kept.
 fn sent_requests(fixture: &Fixture, id: &str) -> Option<u64> {
     let replica = fixture.tier.router.directory.find(&ReplicaId::from(id))?;
     Some(replica.observed.asked())
 }
 
-/// A replica starts again under its name and address. What was learned of its earlier life
-/// says nothing of it, and the connections to that are dead: the next caller's request would
-/// be lost on one of them. A write of the earlier life that comes late changes nothing.
+/// A replica restarts under its name and address. The statistics of its earlier incarnation do
+/// not apply, and the connections to it are dead: the next request would be lost on one of
+/// them. A late write of the earlier incarnation must change nothing.
 #[test]
 fn a_replica_restarted_under_the_same_name_is_a_new_incarnation() {
     run(async {
@@ -299,8 +299,9 @@
     });
 }
 
-/// Another writer takes the entry of a replica, with bytes that are none. Callers are not
-/// sent there any more; the other replicas hold, and this one is back when it has written.
+/// Another writer overwrites the entry of a replica with unreadable bytes. Callers must no
+/// longer be sent to it. The other replicas stay in use, and this one is back once it has
+/// written its entry again.
 #[test]
 fn an_entry_overwritten_by_another_writer_removes_its_replica() {
     run(async {
@@ -322,9 +323,9 @@
     });
 }
 
-/// The store is away. Meanwhile a replica starts again under its name, and another writer
-/// takes the entry of a second one. When the store is back, entries that lapsed are kept
-/// for a while; these two are known by what stands there now.
+/// While the store is unavailable, a replica restarts under its name, and another writer
+/// overwrites the entry of a second one. When the store is back, expired entries are retained
+/// for a while, but these two replicas must be known by their new entries.
 #[test]
 fn restarts_and_foreign_writes_during_an_outage_are_detected_after_it() {
     run(async {
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -1,4 +1,4 @@
-//! Replicas whose entry has vanished from the store: some have left, some are there.
+//! Replicas whose entries have vanished from the store: some have left, others are still running.
 
 mod common;
 #[path = "common/store.rs"]
@@ -21,11 +21,11 @@
 };
 use schema::TestSchema;
 
-/// From when on no request may be sent to a replica that has left, after its entry was
-/// removed: the shortest that operators ask for.
+/// Time after the removal of its entry from which no request may be sent to a replica that has
+/// left: the shortest that operators ask for.
 const DRAINED: Duration = Duration::from_secs(3);
 
-/// A node, as it runs in production, and a store with some replicas of two services.
+/// A node with production options, and a store with some replicas of two services.
 struct Fixture {
     tier: Tier,
     store: Rc<FakeStore>,
@@ -47,7 +47,7 @@
 }
 
 impl Fixture {
-    /// The replica of a service that the next request is sent to.
+    /// Returns the replica of a service that the next request would be sent to.
     fn next(&self, name: &str) -> Option<String> {
         let router = &self.tier.router;
         let replicas = router.directory.of(&service(name));
@@ -56,7 +56,7 @@
         Some(pick.replica.id.as_str().to_owned())
     }
 
-    /// To which replicas of a service requests are sent until `end`.
+    /// Returns the replicas of a service that requests would be sent to until `end`.
     async fn used(&self, name: &str, end: Instant) -> Vec<String> {
         let mut used = Vec::new();
         while Instant::now() < end {
@@ -69,11 +69,10 @@
     }
 }
 
-/// A replica leaves without a word: its entry is removed. The store tells its watches nothing
-/// for a second, and drops the history, so that the node reads everything anew and finds the
-/// entry missing. It was kept from then on like one that lapsed, and the sum was too long:
-/// requests reached the replica four seconds after it had left, as a start or a rescan is no
-/// outage, and one entry that is missing no lapse.
+/// A replica leaves without draining. The store reports no changes for a second and then drops its
+/// history, so the node reloads everything and finds the entry missing. A start or a rescan is no
+/// outage, and a single missing entry no mass expiry, but the replica was retained from then on
+/// like one whose entry had expired: requests reached it four seconds after it had left.
 #[test]
 fn a_replica_that_left_while_the_history_was_dropped_gets_no_requests() {
     run(async {
@@ -93,8 +92,8 @@
     });
 }
 
-/// The store is away for a moment, and a replica leaves without a word. Another one of its
-/// service is there, so requests go to that, while the first may still come back.
+/// The store is unavailable for a moment, and a replica leaves without draining. Requests must
+/// go to another replica of its service, while the first may still come back.
 #[test]
 fn a_replica_that_vanished_in_an_outage_is_used_last() {
     run(async {
@@ -116,8 +115,8 @@
     });
 }
 
-/// The store was away, and the entries of most replicas lapsed. They are back one by one. If
-/// only those were used that are back, the first one of each service would be crowded.
+/// The store was unavailable, the entries of most replicas expired, and they return one by one. If
+/// only the replicas that are back were used, the first one of each service would be overloaded.
 #[test]
 fn replicas_whose_entries_expired_together_keep_their_priority() {
     run(async {
@@ -142,9 +141,10 @@
     });
 }
 
-/// One renewal of a lease is lost, and the next one answered. Seconds later the only replica
-/// of a service leaves without a word, and requests go on being sent to it: the node took the
-/// next return of its watch for the end of an outage, though it had heard of it long before.
+/// One renewal of a lease is lost, and the next one is answered. Seconds later the only
+/// replica of a service leaves without draining. Requests were still sent to it, because the
+/// node took the next return of its watch for the end of the outage, though the renewal had
+/// shown that long before.
 #[test]
 fn an_outage_ends_with_the_first_answered_call() {
     run(async {
@@ -158,7 +158,7 @@
             node_entry(nowhere(), 1.0),
         );
         announcer.start();
-        // A watch has just begun, and returns in two seconds; a renewal comes before that.
+        // A watch has just begun and returns in two seconds; a renewal comes before that.
         pause(3_100).await;
         fixture.store.loses_renewals.set(true);
         pause(800).await;
