--- a/crates/kumquatnotch-route/tests/follow.rs
+++ b/crates/kumquatnotch-route/tests/follow.rs
@@ -165,11 +165,11 @@
         journal.extend(&StoreChanges { events: events.collect(), revision: 9 }, now);
         let second = journal.updates_after(7, Duration::ZERO).await;
 
-        let StoreUpdate::Changes(first) = first else { panic!("everything is told") };
-        assert!(first.revision <= 7, "nothing is known of what follows 7: {first:?}");
-        let StoreUpdate::Changes(second) = second else { panic!("everything is told") };
-        let told: Vec<u64> = second.events.iter().map(StoreEvent::revision).collect();
-        assert_eq!((told, second.revision), (vec![8, 9], 9));
+        let StoreUpdate::Changes(first) = first else { panic!("unexpected full state") };
+        assert!(first.revision <= 7, "no change after revision 7 is known yet: {first:?}");
+        let StoreUpdate::Changes(second) = second else { panic!("unexpected full state") };
+        let revisions: Vec<u64> = second.events.iter().map(StoreEvent::revision).collect();
+        assert_eq!((revisions, second.revision), (vec![8, 9], 9));
     });
 }
 
@@ -187,6 +187,9 @@
         let changes = StoreChanges { events: Vec::new(), revision: 5 };
 
         assert_eq!((unknown, offered(8), offered(9), offered(12)), (false, true, false, false));
-        assert!(!journal.is_ahead_of(&StoreUpdate::Changes(changes)), "they take nothing away");
+        assert!(
+            !journal.is_ahead_of(&StoreUpdate::Changes(changes)),
+            "changes remove no known state"
+        );
     });
 }
--- a/crates/kumquatnotch-route/tests/initial_sync.rs
+++ b/crates/kumquatnotch-route/tests/initial_sync.rs
@@ -175,7 +175,7 @@
         until_ready(&tier).await;
 
         assert_eq!(tier.router.directory.len(), 2);
-        assert_eq!(store.calls.get(), 1, "it asked who the nodes are, and no more");
+        assert_eq!(store.calls.get(), 1, "only the list of nodes is read from the store");
     });
 }
 
--- a/crates/kumquatnotch-route/tests/scale.rs
+++ b/crates/kumquatnotch-route/tests/scale.rs
@@ -103,18 +103,18 @@
     };
     let began = Instant::now();
     let table = RouteTable::new(config(1, (0..2_800).map(route).collect()));
-    let taken_in = began.elapsed();
+    let load_time = began.elapsed();
 
     let began = Instant::now();
     for number in (0..2_800).cycle().step_by(7).take(40_000) {
         let found = table.find(HOST, &format!("/a{number}/x/y")).unwrap();
         assert_eq!(found.prefix, format!("/a{number}/"));
     }
-    let looked_up = began.elapsed();
+    let lookup_time = began.elapsed();
 
     assert!(table.find(HOST, "/b/x").is_none());
-    assert!(taken_in.as_millis() < 500, "taken in after {taken_in:?}");
-    assert!(looked_up.as_millis() < 500, "found after {looked_up:?}");
+    assert!(load_time.as_millis() < 500, "loaded after {load_time:?}");
+    assert!(lookup_time.as_millis() < 500, "looked up in {lookup_time:?}");
 }
 
 /// Each data centre has two nodes that watch the store, whatever its size.
--- a/crates/kumquatnotch-route/tests/stale_readers.rs
+++ b/crates/kumquatnotch-route/tests/stale_readers.rs
@@ -19,7 +19,7 @@
 
 /// Time within which a change that the store has confirmed must be in force on a node that the
 /// store accepts: the shortest that operators ask for.
-const IN_FORCE: Duration = Duration::from_secs(3);
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(3);
 
 /// A node with a mirror, and a store of its own.
 struct Node {
@@ -37,7 +37,7 @@
     }
 
     /// Returns the time until `version` is in force, at most `limit`.
-    async fn time_to(&self, version: u64, limit: Duration) -> Duration {
+    async fn time_until(&self, version: u64, limit: Duration) -> Duration {
         let start = Instant::now();
         while self.version() < version && start.elapsed() < limit {
             pause(10).await;
@@ -91,9 +91,9 @@
         fleet.readers.iter().for_each(|reader| reader.store.unavailable.set(true));
         fleet.small.store.put("c", b"9");
 
-        let took = fleet.small.time_to(9, 3 * IN_FORCE).await;
+        let took = fleet.small.time_until(9, 3 * IN_FORCE_LIMIT).await;
 
-        assert!(took <= IN_FORCE, "in force after {took:?}");
+        assert!(took <= IN_FORCE_LIMIT, "in force after {took:?}");
     });
 }
 
@@ -111,9 +111,9 @@
         pause(300).await;
         fleet.readers[2..].iter().for_each(|reader| reader.store.put("c", b"9"));
 
-        let took = fleet.small.time_to(9, 3 * IN_FORCE).await;
+        let took = fleet.small.time_until(9, 3 * IN_FORCE_LIMIT).await;
 
-        assert!(took <= IN_FORCE, "in force after {took:?}");
+        assert!(took <= IN_FORCE_LIMIT, "in force after {took:?}");
     });
 }
 
@@ -128,9 +128,9 @@
         pause(300).await;
         second.store.put("c", b"9");
 
-        let took = first.time_to(9, 3 * IN_FORCE).await;
+        let took = first.time_until(9, 3 * IN_FORCE_LIMIT).await;
 
-        assert!(took <= IN_FORCE, "in force after {took:?}");
+        assert!(took <= IN_FORCE_LIMIT, "in force after {took:?}");
     });
 }
 
@@ -148,7 +148,7 @@
         pause(300).await;
         ["n/r1", "n/r3"].into_iter().for_each(|key| second.store.delete(key));
         second.store.put("c", b"9");
-        let took = first.time_to(9, IN_FORCE).await;
+        let took = first.time_until(9, IN_FORCE_LIMIT).await;
         pause(1_500).await;
         let during = (knows("r1"), knows("r3"));
 
@@ -156,8 +156,8 @@
         first.store.unavailable.set(false);
         pause(1_500).await;
 
-        assert!(took < IN_FORCE);
+        assert!(took < IN_FORCE_LIMIT);
         assert_eq!(during, (true, true));
-        assert_eq!((knows("r1"), knows("r3")), (false, false), "they did not come back");
+        assert_eq!((knows("r1"), knows("r3")), (false, false), "neither entry has returned");
     });
 }
--- a/crates/kumquatnotch-route/tests/store.rs
+++ b/crates/kumquatnotch-route/tests/store.rs
@@ -256,12 +256,12 @@
 
         fixture.tier.router.crashes.note(crash(1), now);
         pause(1_100).await;
-        let told = fixture.store.items.borrow()["x/me"].value.clone();
+        let published = fixture.store.items.borrow()["x/me"].value.clone();
         pause(1_700).await;
         fixture.store.put("x/other", &codec::encode(&vec![crash(2), crash(3)]).unwrap());
         pause(300).await;
 
-        assert_eq!(codec::decode::<Vec<Crash>>(&told).unwrap(), [crash(1)]);
+        assert_eq!(codec::decode::<Vec<Crash>>(&published).unwrap(), [crash(1)]);
         assert_eq!(fixture.tier.router.crashes.strikes_of(Fingerprint(7)), 2);
     });
 }
@@ -348,6 +348,6 @@
         assert!(first.is_gone());
         assert_eq!(sent_requests(&fixture, "one"), Some(0));
         assert_eq!(sent_requests(&fixture, "two"), None);
-        assert_eq!(sent_requests(&fixture, "three"), Some(0), "it may be back in a moment");
+        assert_eq!(sent_requests(&fixture, "three"), Some(0), "its entry may return");
     });
 }
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -23,7 +23,7 @@
 
 /// Time after the removal of its entry from which no request may be sent to a replica that has
 /// left: the shortest that operators ask for.
-const DRAINED: Duration = Duration::from_secs(3);
+const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
 /// A node with production options, and a store with some replicas of two services.
 struct Fixture {
@@ -48,7 +48,7 @@
 
 impl Fixture {
     /// Returns the replica of a service that the next request would be sent to.
-    fn next(&self, name: &str) -> Option<String> {
+    fn next_replica(&self, name: &str) -> Option<String> {
         let router = &self.tier.router;
         let replicas = router.directory.of(&service(name));
         let need = router.need(&single());
@@ -57,15 +57,15 @@
     }
 
     /// Returns the replicas of a service that requests would be sent to until `end`.
-    async fn used(&self, name: &str, end: Instant) -> Vec<String> {
-        let mut used = Vec::new();
+    async fn used_replicas(&self, name: &str, end: Instant) -> Vec<String> {
+        let mut used_replicas = Vec::new();
         while Instant::now() < end {
-            used.extend(self.next(name));
+            used_replicas.extend(self.next_replica(name));
             pause(20).await;
         }
-        used.sort();
-        used.dedup();
-        used
+        used_replicas.sort();
+        used_replicas.dedup();
+        used_replicas
     }
 }
 
@@ -86,9 +86,10 @@
         fixture.store.compact();
         fixture.store.hides_changes.set(false);
         pause(2_000).await;
-        let used = fixture.used("s0", removed + DRAINED + Duration::from_secs(1)).await;
+        let used_replicas =
+            fixture.used_replicas("s0", removed + DRAIN_LIMIT + Duration::from_secs(1)).await;
 
-        assert_eq!(used, ["s0.stays"]);
+        assert_eq!(used_replicas, ["s0.stays"]);
     });
 }
 
@@ -107,11 +108,16 @@
         fixture.store.unavailable.set(false);
         pause(1_200).await;
         let known = fixture.tier.router.directory.len();
-        let used = fixture.used("s0", Instant::now() + Duration::from_millis(300)).await;
-
-        assert_eq!(known, 3, "each may be back in a moment");
-        assert_eq!(used, ["s0.stays"]);
-        assert_eq!(fixture.next("s1").as_deref(), Some("s1.only"), "its service has no other");
+        let used_replicas =
+            fixture.used_replicas("s0", Instant::now() + Duration::from_millis(300)).await;
+
+        assert_eq!(known, 3, "each entry may return");
+        assert_eq!(used_replicas, ["s0.stays"]);
+        assert_eq!(
+            fixture.next_replica("s1").as_deref(),
+            Some("s1.only"),
+            "its service has no other replica"
+        );
     });
 }
 
@@ -168,6 +174,6 @@
         fixture.store.delete("r/s0.left");
         pause(500).await;
 
-        assert_eq!(fixture.next("s0"), None);
+        assert_eq!(fixture.next_replica("s0"), None);
     });
 }
