--- a/crates/kumquatnotch-route/src/entries.rs
+++ b/crates/kumquatnotch-route/src/entries.rs
@@ -110,7 +110,7 @@
     }
 
     /// Applies items that are only a part of what the store holds.
-    pub fn apply_some(&self, items: &[StoreItem]) {
+    pub fn apply_items(&self, items: &[StoreItem]) {
         self.summary.begin(items.len());
         items.iter().for_each(|item| drop(self.apply_item(item)));
         self.classify_vanished();
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -35,7 +35,7 @@
 const SMALL_FLEET_NODES: usize = 12;
 
 /// How long a node counts as followed after a request of a follower.
-const FOLLOWED_FOR: Duration = Duration::from_secs(5);
+const FOLLOWED_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Maximum wait of a follower's request, which bounds how long a lost connection goes unnoticed.
 pub const FOLLOW_WAIT: Duration = Duration::from_millis(1_500);
@@ -202,7 +202,8 @@
 /// Whether other nodes follow this one.
 pub fn is_followed(router: &Router) -> bool {
     let last_request = router.journal.last_follower_request();
-    last_request.is_some_and(|at| router.clock.now().saturating_duration_since(at) < FOLLOWED_FOR)
+    last_request
+        .is_some_and(|at| router.clock.now().saturating_duration_since(at) < FOLLOWED_TIMEOUT)
 }
 
 /// Whether this node follows others instead of watching the store.
--- a/crates/kumquatnotch-route/src/initial_sync.rs
+++ b/crates/kumquatnotch-route/src/initial_sync.rs
@@ -105,7 +105,7 @@
         let call = || store.snapshot(entries.node_prefix());
         // A snapshot needs no history, so it can't fail for lack of it.
         if let Ok(Answer { value, .. }) = insist(router, pauses, 0, call).await {
-            entries.apply_some(&value.items);
+            entries.apply_items(&value.items);
             router.set_nodes_known();
             return value;
         }
--- a/crates/kumquatnotch-route/src/sources.rs
+++ b/crates/kumquatnotch-route/src/sources.rs
@@ -55,13 +55,13 @@
         let (first, others) = peers.split_first()?;
         match self.query(first, after, follow::FOLLOW_WAIT).await {
             Some(peer_update) => Some(peer_update),
-            None => self.query_some(others, after).await,
+            None => self.query_any(others, after).await,
         }
     }
 
     /// Returns the updates that other nodes have, while the store does not answer this one.
     pub(crate) async fn catch_up(&self, after: u64) -> Option<PeerUpdate> {
-        self.query_some(&self.peers(), after).await
+        self.query_any(&self.peers(), after).await
     }
 
     /// Returns the nodes to query, in order.
@@ -73,7 +73,7 @@
     }
 
     /// Queries a few nodes at once, and returns the first update that is not stale.
-    async fn query_some(&self, peers: &[Rc<Replica>], after: u64) -> Option<PeerUpdate> {
+    async fn query_any(&self, peers: &[Rc<Replica>], after: u64) -> Option<PeerUpdate> {
         let asked = peers.iter().take(MAX_PARALLEL_PEERS);
         let mut running: FuturesUnordered<_> =
             asked.map(|peer| self.query(peer, after, Duration::ZERO)).collect();
