--- a/crates/kumquatnotch-route/src/entries.rs
+++ b/crates/kumquatnotch-route/src/entries.rs
@@ -163,7 +163,7 @@
         reaches_mass_expiry(deleted.count(), self.known.borrow().len())
     }
 
-    /// Tells replicas that have probably left from replicas whose entries have expired.
+    /// Distinguishes replicas that have probably left from those whose entries have expired.
     ///
     /// A replica that leaves without draining ends some seconds after its entry is removed, and
     /// around an outage the time of the removal is unknown. If it were retained like one whose
--- a/crates/kumquatnotch-route/src/journal.rs
+++ b/crates/kumquatnotch-route/src/journal.rs
@@ -189,7 +189,7 @@
     }
 
     fn wake_waiters(&self) {
-        // A waiter that has gone away has dropped its receiver.
+        // Sending fails if the waiter has gone away.
         for waiter in self.waiters.borrow_mut().drain(..) {
             let _ = waiter.send(());
         }
--- a/crates/kumquatnotch-route/src/mirror.rs
+++ b/crates/kumquatnotch-route/src/mirror.rs
@@ -284,7 +284,7 @@
 
     /// Replaces the mirrored state by everything that the store holds.
     pub(crate) fn apply_scan(&self, scan: &StoreScan, confirmed: Instant) {
-        // Without the history, a removed entry can't be told from an expired one.
+        // Without the history, a removed entry can't be distinguished from an expired one.
         self.note_store_failure();
         self.note_store_answer();
         self.entries.replace_all(&scan.items);
--- a/crates/kumquatnotch-route/src/router.rs
+++ b/crates/kumquatnotch-route/src/router.rs
@@ -87,7 +87,7 @@
     pub directory: Directory,
     /// The known state of the store, for followers.
     pub journal: Journal,
-    /// Until when vanished entries are retained for a while.
+    /// Until when entries that vanish are retained for a while.
     pub grace_until: Cell<Option<Instant>>,
     /// The known nodes.
     pub fleet: Fleet,
@@ -173,13 +173,13 @@
         true
     }
 
-    /// Returns the remaining time for which vanished entries are retained for a while.
+    /// Returns the remaining time in which vanished entries are retained.
     pub fn remaining_grace(&self) -> Duration {
         let until = self.grace_until.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(self.clock.now()))
     }
 
-    /// Retains vanished entries for a while, for at least `span` from now on.
+    /// Retains entries that vanish within at least `span` from now.
     pub fn extend_grace(&self, span: Duration) {
         if !self.uses(Mechanism::LapseCaution) {
             return;
@@ -269,8 +269,8 @@
     /// Returns the advice for callers of `host`, or `None` without a configuration.
     pub fn advice(&self, host: &str) -> Option<Rc<HostAdvice>> {
         let table = self.table()?;
-        let valid_for = self.input_versions(&table);
-        let advice = self.advice.borrow_mut().get(host, valid_for, || {
+        let versions = self.input_versions(&table);
+        let advice = self.advice.borrow_mut().get(host, versions, || {
             let nodes = self.fleet.candidates();
             if !self.uses(Mechanism::Placement) {
                 return HostAdvice::all_nodes(&nodes);
