--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -71,7 +71,7 @@
     revision: u64,
     /// Time since the store confirmed this state, in microseconds.
     age_us: u64,
-    /// Remaining time for which vanished entries are to be retained, in microseconds.
+    /// Remaining time in which entries that vanish are retained, in microseconds.
     lenient_us: u64,
 }
 
@@ -81,7 +81,7 @@
     pub update: StoreUpdate,
     /// Time since the store confirmed this state.
     pub age: Duration,
-    /// Remaining time for which vanished entries are to be retained.
+    /// Remaining time in which entries that vanish are retained.
     pub grace: Duration,
 }
 
--- a/crates/kumquatnotch-route/src/initial_sync.rs
+++ b/crates/kumquatnotch-route/src/initial_sync.rs
@@ -65,7 +65,7 @@
     pub scan: StoreScan,
     /// When the store confirmed that this state is complete.
     pub confirmed: Instant,
-    /// Remaining time for which vanished entries are to be retained.
+    /// Remaining time in which entries that vanish are retained.
     pub grace: Duration,
 }
 
--- a/crates/kumquatnotch-route/src/router.rs
+++ b/crates/kumquatnotch-route/src/router.rs
@@ -173,7 +173,7 @@
         true
     }
 
-    /// Returns the remaining time in which vanished entries are retained.
+    /// Returns the remaining time in which entries that vanish are retained.
     pub fn remaining_grace(&self) -> Duration {
         let until = self.grace_until.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(self.clock.now()))
