--- a/crates/kumquatnotch-route/src/announce.rs
+++ b/crates/kumquatnotch-route/src/announce.rs
@@ -1,9 +1,9 @@
-//! Announcing this node to the others, by an entry in the store under a lease.
+//! Announces this node to the others, by an entry in the store under a lease.
 //!
-//! The entry ends with the node: by a deletion when it leaves, by the end of the
-//! lease when it is killed or cut off. A lease may also end while the node lives,
-//! as the store may be away; and the store may take the entry away although the
-//! renewals go on. Then the node announces itself anew.
+//! A node that leaves deletes its entry; if it is killed or cut off, the entry expires with the
+//! lease. The lease may also expire while the node is alive, because the store was unavailable,
+//! and the store may lose the entry although the lease is being renewed. In both cases the node
+//! announces itself again.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -19,31 +19,32 @@
 
 /// How long the entry of a node outlives it.
 ///
-/// Callers that are advised to use a node that has ended lose an attempt, so it
-/// is short; renewals are cheap.
+/// Callers that are advised to use a node that has ended lose an attempt, so the time is short;
+/// renewals are cheap.
 const LEASE_TIME: Duration = Duration::from_millis(3_000);
 
 /// How often the lease is renewed: two renewals may be lost.
 const RENEW_PERIOD: Duration = Duration::from_millis(900);
 
-/// The pause after a failure, before jitter.
+/// Pause after a failure, before jitter.
 const FAILURE_PAUSE: Duration = Duration::from_millis(500);
 
-/// How often a node that has just started looks whether it knows the others.
-const START_PERIOD: Duration = Duration::from_millis(20);
+/// How often a node that has just started checks whether it knows the other nodes.
+const START_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// How often a node on standby looks whether it is needed, before jitter.
+/// How often a node on standby checks whether it is needed, before jitter.
 ///
-/// When larger nodes end, their entries go within the time of a lease; this adds little.
-const STANDBY_PERIOD: Duration = Duration::from_millis(400);
+/// When larger nodes end, their entries expire within the time of a lease; this adds
+/// little to that.
+const STANDBY_POLL_PERIOD: Duration = Duration::from_millis(400);
 
-/// How many renewals in a row a node must not be needed for its entry to lapse.
+/// Number of successive renewals without need after which a node lets its entry expire.
 ///
-/// Long enough for a larger node to restart, with which this one would come and go.
+/// Long enough for a larger node to restart; otherwise this node would come and go with it.
 const STANDBY_RENEWALS: u32 = 10;
 
-/// How long the own entry may be missing in the mirror before it is written anew.
-const MISSING_PERIODS: u32 = 2;
+/// Number of renewals for which the own entry may be missing in the mirror before it is rewritten.
+const MISSING_RENEWALS: u32 = 2;
 
 /// Announces this node.
 pub struct Announcer {
@@ -56,17 +57,17 @@
     lease: RefCell<Option<StoreLease>>,
 }
 
-/// Where the entries of a node lie.
+/// Keys of the entries of a node.
 #[derive(Clone, Debug)]
 pub struct NodeKeys {
-    /// What it tells of itself.
+    /// Key of its record.
     pub record: String,
-    /// The crashes that it has seen.
+    /// Key of the crashes that it has observed.
     pub crashes: String,
 }
 
 impl Announcer {
-    /// An announcer that writes `value` as the record of the node.
+    /// Creates an announcer that writes `value` as the record of the node.
     pub fn new(
         router: Rc<Router>,
         store: Rc<dyn Store>,
@@ -87,9 +88,9 @@
     async fn run(self: Rc<Announcer>) {
         let clock = self.router.clock.clone();
         while self.router.lifecycle.stage() < Stage::Leaving {
-            self.await_need().await;
+            self.wait_until_needed().await;
             match self.announce().await {
-                Ok(lease) => self.hold(lease).await,
+                Ok(lease) => self.maintain_lease(lease).await,
                 Err(error) => {
                     tracing::warn!(code = error.code(), "announce: failed: {error}");
                     let pause = self.router.random.jitter(FAILURE_PAUSE);
@@ -99,23 +100,23 @@
         }
     }
 
-    /// Waits until the others need to know this node.
-    async fn await_need(&self) {
+    /// Waits until the other nodes need to know this one.
+    async fn wait_until_needed(&self) {
         let clock = &*self.router.clock;
-        while !self.router.is_placed() {
-            clock::sleep(clock, START_PERIOD).await;
+        while !self.router.are_nodes_known() {
+            clock::sleep(clock, START_POLL_PERIOD).await;
         }
         let mut waited = false;
         while !self.is_needed() && self.router.lifecycle.stage() < Stage::Leaving {
             if !waited {
-                tracing::info!("announce: on standby, as larger nodes serve");
+                tracing::info!("announce: on standby, because larger nodes serve callers");
             }
             waited = true;
-            clock::sleep(clock, self.router.random.jitter(STANDBY_PERIOD)).await;
+            clock::sleep(clock, self.router.random.jitter(STANDBY_POLL_PERIOD)).await;
         }
     }
 
-    /// Whether others need the entry: to use this node, or to know of crashes.
+    /// Whether other nodes need the entry: to use this node, or to learn of crashes.
     fn is_needed(&self) -> bool {
         !self.router.is_standby() || !self.router.crashes.told().is_empty()
     }
@@ -134,56 +135,59 @@
         Ok(lease)
     }
 
-    /// Renews the lease until it or the entry is lost.
-    async fn hold(&self, lease: StoreLease) {
+    /// Renews the lease until the lease or the entry is lost.
+    async fn maintain_lease(&self, lease: StoreLease) {
         let clock = &*self.router.clock;
-        let losses = self.mirror.entries.losses_of(&self.name);
+        let removals = self.mirror.entries.removals_of(&self.name);
         let mut missing = 0;
         let mut unneeded = 0;
-        let mut told = Vec::new();
+        let mut published = Vec::new();
         while self.router.lifecycle.stage() < Stage::Leaving {
             clock::sleep(clock, RENEW_PERIOD).await;
             match self.store.renew(lease.id).await {
                 Err(Error::LeaseGone) => {
-                    tracing::warn!(lease = lease.id, "announce: the lease has ended");
+                    tracing::warn!(lease = lease.id, "announce: the lease has expired");
                     return;
                 }
                 Err(error) => {
-                    self.mirror.note_trouble();
-                    tracing::info!(code = error.code(), "announce: not renewed: {error}");
+                    self.mirror.note_store_failure();
+                    tracing::info!(code = error.code(), "announce: lease renewal failed: {error}");
                 }
-                // A watch may return only seconds later, and would count as the end of an
-                // outage then: what leaves until some time after that would be used on.
-                Ok(()) => self.mirror.note_answer(),
+                // A watch may return only seconds later. If the outage ended only then,
+                // replicas that leave until some time after that would still be used.
+                Ok(()) => self.mirror.note_store_answer(),
             }
-            self.tell_crashes(lease, &mut told).await;
+            self.publish_crashes(lease, &mut published).await;
             unneeded = if self.is_needed() { 0 } else { unneeded + 1 };
             if unneeded >= STANDBY_RENEWALS {
-                tracing::info!(lease = lease.id, "announce: the lease is left to end");
+                tracing::info!(
+                    lease = lease.id,
+                    "announce: node not needed, letting the lease expire"
+                );
                 *self.lease.borrow_mut() = None;
                 return;
             }
-            // The write may not have reached the mirror yet, so it has some time.
-            let lost = self.mirror.entries.losses_of(&self.name) != losses;
+            // The mirror may not have received the write yet, so allow some time.
+            let removed = self.mirror.entries.removals_of(&self.name) != removals;
             missing = if self.mirror.entries.has_node(&self.name) { 0 } else { missing + 1 };
-            if lost && missing >= MISSING_PERIODS {
-                tracing::warn!(lease = lease.id, "announce: the entry was taken away");
+            if removed && missing >= MISSING_RENEWALS {
+                tracing::warn!(lease = lease.id, "announce: the entry was removed from the store");
                 return;
             }
         }
     }
 
-    /// Tells the other nodes of crashes, if there are others than those `told`.
-    async fn tell_crashes(&self, lease: StoreLease, told: &mut Vec<Crash>) {
+    /// Publishes the observed crashes to the other nodes, if they differ from those `published`.
+    async fn publish_crashes(&self, lease: StoreLease, published: &mut Vec<Crash>) {
         let crashes = self.router.crashes.told();
-        if crashes == *told {
+        if crashes == *published {
             return;
         }
         match self.write_crashes(lease, &crashes).await {
-            Ok(()) => *told = crashes,
-            // They are told with the next renewal.
+            Ok(()) => *published = crashes,
+            // Retried after the next renewal.
             Err(error) => {
-                tracing::info!(code = error.code(), "announce: crashes not told: {error}");
+                tracing::info!(code = error.code(), "announce: crashes not published: {error}");
             }
         }
     }
@@ -195,14 +199,14 @@
         self.store.write(&write).await.map(|_| ())
     }
 
-    /// Takes the entry away, so that callers are advised to use other nodes.
+    /// Deletes the entry, so that callers are advised to use other nodes.
     pub async fn leave(&self) {
         if self.lease.borrow().is_none() {
             return;
         }
         let write = StoreWrite { deletes: vec![self.keys.record.clone()], ..Default::default() };
         if let Err(error) = self.store.write(&write).await {
-            // It ends with its lease then.
+            // The entry then expires with its lease.
             tracing::warn!(
                 code = error.code(),
                 "announce: the entry could not be deleted: {error}"
--- a/crates/kumquatnotch-route/src/mirror.rs
+++ b/crates/kumquatnotch-route/src/mirror.rs
@@ -1,8 +1,9 @@
-//! Following the platform's store: what it holds is mirrored by every node.
+//! Mirrors the platform's store on every node.
 //!
-//! One scan, then one watch after another; of many nodes, most follow one that
-//! watches the store instead ([`follow`](crate::follow)). When the store is away, what was
-//! known last goes on being used; a node that knows nothing yet asks others.
+//! A mirror loads the full state once and then runs one watch after another. In a large fleet
+//! most nodes do not watch the store but follow a node that does ([`follow`](crate::follow)).
+//! While the store is unavailable, the last known state stays in use; a node without any state
+//! asks other nodes for theirs.
 
 use std::{
     cell::Cell,
@@ -19,10 +20,10 @@
 
 use crate::{
     entries::Entries,
-    first_reading::{self, Reading},
-    follow::{self, Followed},
+    follow::{self, PeerUpdate},
     freshness,
-    journal::Passage,
+    initial_sync::{self, InitialState},
+    journal::StoreUpdate,
     router::Router,
     schema::Schema,
     sources::Sources,
@@ -33,25 +34,26 @@
 pub struct MirrorOptions {
     /// How long a watch waits for changes.
     ///
-    /// A watch whose connection has gone silent is noticed only when it is over,
-    /// so it must stay below the time in which changes have to be seen.
+    /// A dead connection is detected only at the end of a watch, so this must be shorter than
+    /// the time within which changes have to be seen.
     pub wait: Duration,
-    /// The same if other nodes follow this one, which must hear soon that it has
-    /// lost the store.
+    /// How long a watch waits while other nodes follow this one.
+    ///
+    /// Shorter than `wait`, because followers must learn soon that this node has lost the store.
     pub followed_wait: Duration,
-    /// The pause after changes came, in which more of them collect.
+    /// Pause after a watch has returned changes, to batch those that follow.
     ///
-    /// Each return of a watch is a call that counts, and changes come in series.
-    pub collect: Duration,
-    /// How long an entry that vanished around an outage is kept.
-    pub keep: Duration,
-    /// The first pause between calls while the store is away, before jitter; it doubles.
+    /// Each return of a watch counts as a call to the store, and changes come in bursts.
+    pub batch_delay: Duration,
+    /// How long an entry that vanished around an outage is retained.
+    pub retention: Duration,
+    /// Initial backoff between calls while the store is unavailable, before jitter; it doubles.
     pub backoff: Duration,
-    /// The longest pause between calls while the store is away, before jitter.
+    /// Maximum backoff between calls while the store is unavailable, before jitter.
     ///
-    /// It bounds how long the return of the store is unseen: by then callers must be
-    /// served by what it confirms.
-    pub most_backoff: Duration,
+    /// It bounds how long the recovery of the store goes unnoticed, and so how soon callers are
+    /// served by the state that it confirms.
+    pub max_backoff: Duration,
 }
 
 impl Default for MirrorOptions {
@@ -59,43 +61,43 @@
         MirrorOptions {
             wait: Duration::from_millis(2_500),
             followed_wait: Duration::from_millis(1_800),
-            collect: Duration::from_millis(300),
-            keep: Duration::from_millis(2_600),
+            batch_delay: Duration::from_millis(300),
+            retention: Duration::from_millis(2_600),
             backoff: Duration::from_millis(150),
-            most_backoff: Duration::from_millis(600),
+            max_backoff: Duration::from_millis(600),
         }
     }
 }
 
-/// How late the answer to a watch may be before the store counts as having been away.
-const LATE_ANSWER: Duration = Duration::from_millis(300);
+/// How late the answer to a watch may be before the store is taken to have been unavailable.
+const LATE_ANSWER_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long the store waits for changes if this node is to know now: not at all.
+/// Wait of a watch that is to return at once, with the changes that there are.
 pub(crate) const NO_WAIT: Duration = Duration::from_millis(1);
 
-/// Follows the store.
+/// Keeps a local copy of the store's entries up to date.
 pub struct Mirror {
     pub(crate) options: MirrorOptions,
     pub(crate) router: Rc<Router>,
     pub(crate) store: Rc<dyn Store>,
-    /// What it holds, as far as is known.
+    /// The entries that the store is known to hold.
     pub entries: Rc<Entries>,
     pub(crate) sources: Sources,
-    /// The revision up to which everything is known.
-    pub(crate) after: Cell<Option<u64>>,
-    /// Whether the store was in trouble since its last answer.
-    trouble: Cell<bool>,
+    /// Revision up to which all changes are known; `None` before the first load.
+    pub(crate) revision: Cell<Option<u64>>,
+    /// Whether the store may have been unavailable since its last answer.
+    store_failed: Cell<bool>,
 }
 
 impl Mirror {
-    /// A mirror that has read nothing yet.
+    /// Creates a mirror that has read nothing yet.
     pub fn new(
         options: MirrorOptions,
         router: Rc<Router>,
         store: Rc<dyn Store>,
         schema: Rc<dyn Schema>,
     ) -> Rc<Mirror> {
-        let entries = Rc::new(Entries::new(router.clone(), schema, options.keep));
+        let entries = Rc::new(Entries::new(router.clone(), schema, options.retention));
         let sources = Sources::new(router.clone());
         Rc::new(Mirror {
             options,
@@ -103,24 +105,24 @@
             store,
             entries,
             sources,
-            after: Cell::new(None),
-            trouble: Cell::new(false),
+            revision: Cell::new(None),
+            store_failed: Cell::new(false),
         })
     }
 
-    /// Starts to follow the store.
+    /// Starts to mirror the store.
     pub fn start(self: &Rc<Mirror>) {
         monoio::spawn(self.clone().run());
         monoio::spawn(self.entries.clone().sweep());
-        monoio::spawn(freshness::tell(self.router.clone()));
+        monoio::spawn(freshness::report(self.router.clone()));
     }
 
     async fn run(self: Rc<Mirror>) {
-        self.begin().await;
+        self.sync_initially().await;
         loop {
-            if let Some(followed) = self.sources.follow(self.known()).await {
-                self.entries.release_nodes();
-                self.take_followed(followed);
+            if let Some(peer_update) = self.sources.follow(self.known_revision()).await {
+                self.entries.resume_node_removal();
+                self.apply_peer_update(peer_update);
                 continue;
             }
             let mut result = self.read().await;
@@ -128,109 +130,115 @@
                 && !matches!(error, Error::VersionUnknown { .. })
             {
                 tracing::warn!(code = error.code(), "mirror: the store is away: {error}");
-                self.note_trouble();
-                result = self.outlast().await;
+                self.note_store_failure();
+                result = self.recover().await;
             }
             if result.is_err() {
-                tracing::info!("mirror: the history is gone, reading everything anew");
-                self.after.set(None);
+                tracing::info!("mirror: the store has dropped the history, starting a full scan");
+                self.revision.set(None);
             }
         }
     }
 
-    /// The revision up to which everything is known; zero if nothing is.
-    pub(crate) fn known(&self) -> u64 {
-        self.after.get().unwrap_or(0)
+    /// Returns the revision up to which all changes are known, or zero before the first load.
+    pub(crate) fn known_revision(&self) -> u64 {
+        self.revision.get().unwrap_or(0)
     }
 
-    /// Learns all that there is to know, from the store or from nodes that ask for this one.
-    async fn begin(&self) {
-        let reading =
-            std::pin::pin!(first_reading::read(&self.router, &*self.store, &self.entries));
-        let learning = std::pin::pin!(self.learn_from_visitors());
-        match select(reading, learning).await {
-            Either::Left((Reading { scan, confirmed, lenient }, _)) => {
-                if lenient > Duration::ZERO {
-                    self.router.be_lenient(lenient);
+    /// Loads the full state from the store, or from a node that has contacted this one.
+    async fn sync_initially(&self) {
+        let store_sync =
+            std::pin::pin!(initial_sync::load(&self.router, &*self.store, &self.entries));
+        let peer_sync = std::pin::pin!(self.sync_from_inbound_peers());
+        match select(store_sync, peer_sync).await {
+            Either::Left((InitialState { scan, confirmed, grace }, _)) => {
+                if grace > Duration::ZERO {
+                    self.router.extend_grace(grace);
                 }
-                self.take_scan(&scan, confirmed);
+                self.apply_scan(&scan, confirmed);
             }
             Either::Right(((), _)) => {}
         }
     }
 
-    /// Completes once a node that asked for this one has told what it knows.
-    async fn learn_from_visitors(&self) {
+    /// Completes once a node that has contacted this one has supplied its state.
+    async fn sync_from_inbound_peers(&self) {
         let clock = &*self.router.clock;
         loop {
             clock::sleep(clock, self.router.random.jitter(self.options.backoff)).await;
-            // What another node knows may be old, so this is for a store that is away.
-            if self.router.uses(Mechanism::Visitors) && self.ask_visitors().await {
+            // The state of another node may be old, so this is only for a store
+            // that is unavailable.
+            if self.router.uses(Mechanism::Visitors) && self.query_inbound_peers().await {
                 return;
             }
         }
     }
 
-    /// Learns what another node knows, however old that is; false if none tells.
+    /// Loads the state of a node that has contacted this one, however old that state is.
+    /// Returns `false` if none supplies it.
     ///
-    /// A node that starts while the store is away knows nothing, not even where other
-    /// nodes are, and would refuse all requests until the store is back. But those that
-    /// knew its earlier life ask it whether it is back, and what they serve by is as
-    /// good for it.
-    async fn ask_visitors(&self) -> bool {
-        let mut visitors = self.router.visitors();
-        self.router.random.shuffle(&mut visitors);
-        for visitor in visitors {
-            let peer = self.router.fleet.stranger(visitor, self.router.clock.now());
-            match follow::follow(&self.router, &peer, 0, Duration::ZERO).await {
-                Ok(followed) => {
+    /// A node that restarts while the store is unavailable knows no state and no other nodes,
+    /// and would refuse all requests until the store is back. Nodes that knew its previous
+    /// incarnation probe it, however, and the state by which they serve is good enough for this
+    /// one as well.
+    async fn query_inbound_peers(&self) -> bool {
+        let mut inbound_peers = self.router.inbound_peers();
+        self.router.random.shuffle(&mut inbound_peers);
+        for peer_address in inbound_peers {
+            let peer = self.router.fleet.peer_at(peer_address, self.router.clock.now());
+            match follow::fetch(&self.router, &peer, 0, Duration::ZERO).await {
+                Ok(peer_update) => {
                     tracing::info!(
-                        node = %visitor,
-                        age_ms = followed.age.as_millis() as u64,
-                        "mirror: learned from a node while the store is away"
+                        node = %peer_address,
+                        age_ms = peer_update.age.as_millis() as u64,
+                        "mirror: loaded the state of a node while the store is unavailable"
                     );
-                    self.take_followed(followed);
+                    self.apply_peer_update(peer_update);
                     return true;
                 }
                 Err(error) => {
-                    tracing::info!(node = %visitor, code = error.code(), "mirror: no news: {error}");
+                    tracing::info!(
+                        node = %peer_address,
+                        code = error.code(),
+                        "mirror: a node did not supply its state: {error}"
+                    );
                 }
             }
         }
         false
     }
 
-    pub(crate) fn take_followed(&self, followed: Followed) {
-        let Followed { passage, age, lenient } = followed;
-        if lenient > Duration::ZERO {
-            self.router.be_lenient(lenient);
+    pub(crate) fn apply_peer_update(&self, peer_update: PeerUpdate) {
+        let PeerUpdate { update, age, grace } = peer_update;
+        if grace > Duration::ZERO {
+            self.router.extend_grace(grace);
         }
         let now = self.router.clock.now();
         let confirmed = now.checked_sub(age).unwrap_or(now);
-        match passage {
-            Passage::Whole(scan) => self.take_scan(&scan, confirmed),
-            Passage::Changes(changes) => self.take_changes(&changes, confirmed),
+        match update {
+            StoreUpdate::Full(scan) => self.apply_scan(&scan, confirmed),
+            StoreUpdate::Changes(changes) => self.apply_changes(&changes, confirmed),
         }
     }
 
     /// Notes that the store did not answer, or answered late.
     ///
-    /// What is seen to vanish in its next answers may have lapsed meanwhile.
-    pub fn note_trouble(&self) {
-        self.trouble.set(true);
+    /// Entries missing from its next answers may have expired in the meantime.
+    pub fn note_store_failure(&self) {
+        self.store_failed.set(true);
     }
 
-    /// Notes that the store answers, before what it tells is taken over.
-    pub fn note_answer(&self) {
-        self.entries.release_nodes();
-        if self.trouble.replace(false) {
-            self.router.be_lenient(self.options.keep);
+    /// Notes that the store has answered; called before the answer is applied.
+    pub fn note_store_answer(&self) {
+        self.entries.resume_node_removal();
+        if self.store_failed.replace(false) {
+            self.router.extend_grace(self.options.retention);
         }
     }
 
-    /// Asks the store for everything, or for what has changed.
+    /// Reads the full state, or the changes since the last revision.
     async fn read(&self) -> Result<()> {
-        match self.after.get() {
+        match self.revision.get() {
             None => self.scan().await,
             Some(revision) => self.watch(revision).await,
         }
@@ -239,7 +247,7 @@
     async fn scan(&self) -> Result<()> {
         let start = self.router.clock.now();
         let scan = self.store.scan(self.entries.prefix()).await?;
-        self.take_scan(&scan, start);
+        self.apply_scan(&scan, start);
         Ok(())
     }
 
@@ -249,58 +257,58 @@
         let is_followed = follow::is_followed(&self.router);
         let wait = if is_followed { self.options.followed_wait } else { self.options.wait };
         let watch = self.store.watch(self.entries.prefix(), after, wait);
-        let late = clock.sleep_until(start + wait + LATE_ANSWER);
+        let late = clock.sleep_until(start + wait + LATE_ANSWER_MARGIN);
         let changes = match select(watch, late).await {
             Either::Left((changes, _)) => changes?,
             Either::Right(((), watch)) => {
-                // The store may have swallowed the call, and be well.
-                self.note_trouble();
-                let asking = std::pin::pin!(self.ask_again(0));
-                match select(watch, asking).await {
+                // The call may have been lost although the store is available.
+                self.note_store_failure();
+                let retrying = std::pin::pin!(self.retry_until_answered(0));
+                match select(watch, retrying).await {
                     Either::Left((changes, _)) => changes?,
                     Either::Right((result, _)) => return result,
                 }
             }
         };
         let now = clock.now();
-        if self.entries.is_lapse(&changes.events) {
-            self.note_trouble();
+        if self.entries.is_mass_expiry(&changes.events) {
+            self.note_store_failure();
         }
-        self.note_answer();
-        self.take_changes(&changes, now);
+        self.note_store_answer();
+        self.apply_changes(&changes, now);
         if !changes.events.is_empty() {
-            clock::sleep(clock, self.options.collect).await;
+            clock::sleep(clock, self.options.batch_delay).await;
         }
         Ok(())
     }
 
-    /// Takes over everything that the store holds.
-    pub(crate) fn take_scan(&self, scan: &StoreScan, confirmed: Instant) {
-        // Without the history, whether an entry left or lapsed can't be told.
-        self.note_trouble();
-        self.note_answer();
-        self.entries.put_all(&scan.items);
+    /// Replaces the mirrored state by everything that the store holds.
+    pub(crate) fn apply_scan(&self, scan: &StoreScan, confirmed: Instant) {
+        // Without the history, a removed entry can't be distinguished from an expired one.
+        self.note_store_failure();
+        self.note_store_answer();
+        self.entries.replace_all(&scan.items);
         self.router.journal.reset(scan, confirmed);
-        self.after.set(Some(scan.revision));
+        self.revision.set(Some(scan.revision));
         self.router.set_synced();
         tracing::info!(
             revision = scan.revision,
             items = scan.items.len(),
             replicas = self.router.directory.len(),
             nodes = self.router.fleet.len(),
-            "mirror: read everything"
+            "mirror: loaded the full state"
         );
     }
 
-    /// Takes over changes, of which some may be known.
-    pub(crate) fn take_changes(&self, changes: &StoreChanges, confirmed: Instant) {
-        let after = self.known();
+    /// Applies changes, of which some may be known already.
+    pub(crate) fn apply_changes(&self, changes: &StoreChanges, confirmed: Instant) {
+        let after = self.known_revision();
         let new: Vec<&StoreEvent> =
             changes.events.iter().filter(|event| event.revision() > after).collect();
-        self.entries.take_all(&new);
+        self.entries.apply_events(&new);
         let events = new.into_iter().cloned().collect();
         let changes = StoreChanges { events, revision: after.max(changes.revision) };
         self.router.journal.extend(&changes, confirmed);
-        self.after.set(Some(changes.revision));
+        self.revision.set(Some(changes.revision));
     }
 }
--- a/crates/kumquatnotch-route/tests/follow.rs
+++ b/crates/kumquatnotch-route/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following a node that watches the store, in place of the store.
+//! Following a node that watches the store, instead of watching the store itself.
 
 mod common;
 #[path = "common/store.rs"]
@@ -15,17 +15,17 @@
     ids::NodeName,
     store::{StoreChanges, StoreEvent, StoreItem, StoreScan},
 };
-use kumquatnotch_route::{journal::Passage, mirror::Mirror, probe};
+use kumquatnotch_route::{journal::StoreUpdate, mirror::Mirror, probe};
 use schema::{TestSchema, options};
 
-/// A node with a mirror and a store of its own view.
+/// A node with a mirror, and a store of its own.
 struct Node {
     tier: Tier,
     store: Rc<FakeStore>,
 }
 
-/// Six nodes of one data centre, of which `r1` and `r2`, the largest, watch the
-/// store, and `z` follows them. Each has its own way to the store.
+/// Six nodes of one data centre. `r1` and `r2`, the largest, watch the store, and `z` follows
+/// them. Each has a store of its own, so that they can see different states of it.
 fn nodes() -> (Node, Node, Node) {
     let node = |name| {
         let (tier, store) = (Tier::named(name, 100.0, "home"), Rc::new(FakeStore::default()));
@@ -56,10 +56,10 @@
 }
 
 #[test]
-fn a_node_follows_one_that_watches_the_store_and_asks_the_store_no_more() {
+fn a_follower_receives_changes_without_calling_the_store() {
     run(async {
         let (r1, r2, z) = nodes();
-        // The time in which vanished entries are kept after the start must be over.
+        // Wait until vanished entries are no longer retained after the start.
         pause(800).await;
         let calls = z.store.calls.get();
 
@@ -75,15 +75,15 @@
     });
 }
 
-/// One of the two nodes that watch is turned away by the store. The follower must notice
-/// and go elsewhere, and the one that is turned away hears of the change from the other.
+/// The store rejects one of the two nodes that watch it. The follower must notice that and
+/// switch to the other node, and the rejected one receives the change from there as well.
 #[test]
-fn a_node_that_lost_the_store_is_not_followed_for_long() {
+fn followers_leave_a_node_that_lost_the_store() {
     run(async {
         let (r1, r2, z) = nodes();
         pause(300).await;
 
-        r1.store.away.set(true);
+        r1.store.unavailable.set(true);
         pause(2_700).await;
         r2.store.put("c", b"9");
         pause(2_500).await;
@@ -92,9 +92,9 @@
     });
 }
 
-/// Both nodes that watch are gone. The follower asks the store itself.
+/// Both nodes that watch the store are gone. The follower must call the store itself.
 #[test]
-fn without_a_node_to_follow_the_store_is_asked() {
+fn a_follower_without_readers_falls_back_to_the_store() {
     run(async {
         let (r1, r2, z) = nodes();
         pause(300).await;
@@ -109,17 +109,17 @@
     });
 }
 
-/// A node starts anew while the store is away, and knows no other. One that knew its
-/// earlier life asks whether it is back. It learns from that one, serves by what it
-/// knows, and goes on following it.
+/// A node restarts while the store is unavailable, and knows no other node. A node that knew
+/// its previous incarnation probes it. The restarted node must load the state of that one,
+/// serve by it, and continue to follow it.
 #[test]
-fn a_node_that_starts_without_the_store_learns_from_one_that_asks() {
+fn a_node_that_starts_during_an_outage_syncs_from_an_inbound_peer() {
     run(async {
         let (r1, _, _) = nodes();
         let (tier, store) = (Tier::named("new", 100.0, "home"), Rc::new(FakeStore::default()));
         r1.store.put("n/new", &node_entry(tier.peer.address(), 1.0));
         pause(300).await;
-        store.away.set(true);
+        store.unavailable.set(true);
         let dyn_store: Rc<dyn Store> = store.clone();
         Mirror::new(options(), tier.router.clone(), dyn_store, Rc::new(TestSchema)).start();
         pause(200).await;
@@ -138,7 +138,7 @@
     });
 }
 
-/// What a node knows of the store, up to a revision.
+/// The state of the store up to a revision.
 fn scan(revision: u64) -> StoreScan {
     let items = (1..=revision).map(item);
     StoreScan { items: items.collect(), revision }
@@ -148,44 +148,48 @@
     StoreItem { key: format!("k{revision}"), value: Vec::new(), revision }
 }
 
-/// A node reads everything anew from another one, which knows less than it did itself. Those
-/// that follow it would be told that there is nothing between, and never hear of the changes
-/// that it learns again then: a configuration would be in force nowhere behind it.
+/// A node reloads the full state from another node that is behind its own previous state. If it
+/// kept the higher revision, its followers would be told that there are no changes in between,
+/// and would never receive those that the node learns again: a new configuration would not come
+/// into force on them.
 #[test]
-fn a_node_that_knows_less_than_before_tells_all_that_comes_after() {
+fn followers_miss_no_changes_after_a_reset_to_an_older_revision() {
     run(async {
         let tier = Tier::new();
         let (journal, now) = (&tier.router.journal, std::time::Instant::now());
         journal.reset(&scan(9), now);
 
         journal.reset(&scan(5), now);
-        let first = journal.after(7, Duration::ZERO).await;
+        let first = journal.updates_after(7, Duration::ZERO).await;
         let events = (6..=9).map(|revision| StoreEvent::Written(item(revision)));
         journal.extend(&StoreChanges { events: events.collect(), revision: 9 }, now);
-        let second = journal.after(7, Duration::ZERO).await;
+        let second = journal.updates_after(7, Duration::ZERO).await;
 
-        let Passage::Changes(first) = first else { panic!("everything is told") };
-        assert!(first.revision <= 7, "nothing is known of what follows 7: {first:?}");
-        let Passage::Changes(second) = second else { panic!("everything is told") };
-        let told: Vec<u64> = second.events.iter().map(StoreEvent::revision).collect();
-        assert_eq!((told, second.revision), (vec![8, 9], 9));
+        let StoreUpdate::Changes(first) = first else { panic!("unexpected full state") };
+        assert!(first.revision <= 7, "no change after revision 7 is known yet: {first:?}");
+        let StoreUpdate::Changes(second) = second else { panic!("unexpected full state") };
+        let revisions: Vec<u64> = second.events.iter().map(StoreEvent::revision).collect();
+        assert_eq!((revisions, second.revision), (vec![8, 9], 9));
     });
 }
 
-/// The store has dropped its history, and another node offers everything that it knows, which
-/// is older than what this one has heard. A replica that drains would be used again.
+/// The store has dropped its history, and another node offers a full state that is older than
+/// the known one. If it were applied, a draining replica would be used again.
 #[test]
-fn what_another_node_knows_does_not_replace_what_is_newer() {
+fn an_older_full_state_does_not_replace_a_newer_one() {
     run(async {
         let tier = Tier::new();
         let journal = &tier.router.journal;
-        let offered = |revision| journal.is_ahead_of(&Passage::Whole(scan(revision)));
+        let offered = |revision| journal.is_ahead_of(&StoreUpdate::Full(scan(revision)));
         let unknown = offered(5);
 
         journal.reset(&scan(9), std::time::Instant::now());
         let changes = StoreChanges { events: Vec::new(), revision: 5 };
 
         assert_eq!((unknown, offered(8), offered(9), offered(12)), (false, true, false, false));
-        assert!(!journal.is_ahead_of(&Passage::Changes(changes)), "they take nothing away");
+        assert!(
+            !journal.is_ahead_of(&StoreUpdate::Changes(changes)),
+            "changes remove no known state"
+        );
     });
 }
--- a/crates/kumquatnotch-route/tests/size.rs
+++ b/crates/kumquatnotch-route/tests/scale.rs
@@ -1,7 +1,7 @@
-//! What a node holds and writes at the size to come: 2,000 nodes and 10,000 replicas.
+//! State and logs of a node in a fleet of 2,000 nodes and 10,000 replicas.
 //!
-//! The fleet is that of the users' plan for two years from now: 1,900 nodes over 9,400
-//! replicas, rounded up; a few nodes of each data centre carry the requests.
+//! The sizes are the planned growth to 1,900 nodes over 9,400 replicas, rounded up; a few nodes
+//! of each data centre carry the requests.
 
 mod common;
 #[path = "common/store.rs"]
@@ -18,7 +18,7 @@
     ids::{DataCentre, NodeName, Region},
 };
 use kumquatnotch_route::{
-    bulk::{Bulk, Change},
+    change_summary::{Change, ChangeSummary},
     fleet::NodeRecord,
     follow,
     mirror::Mirror,
@@ -42,7 +42,7 @@
     codec::encode(&record).unwrap()
 }
 
-/// The key of a replica, of which each service has six.
+/// Returns the key of a replica; each service has six.
 fn replica_key(number: usize) -> String {
     format!("r/s{}.{number:05}", number / 6)
 }
@@ -61,11 +61,11 @@
     store
 }
 
-/// A node starts in the whole fleet. What it keeps is one entry for each replica and node,
-/// and the changes for followers are bounded however many there are. It is ready within a
-/// fraction of the time after which its callers would have come again.
+/// A node starts in the full fleet. It must keep one entry for each replica and node, and a
+/// bounded number of changes for followers. It must be ready within a fraction of the time
+/// after which its callers retry.
 #[test]
-fn a_node_learns_the_whole_fleet_at_once_and_keeps_each_entry_once() {
+fn a_large_fleet_loads_quickly_and_keeps_each_entry_once() {
     run(async {
         let (tier, store) = (Tier::new(), store());
         let dyn_store: Rc<dyn Store> = store.clone();
@@ -86,14 +86,14 @@
 
         assert_eq!((tier.router.directory.len(), tier.router.fleet.len()), (REPLICAS, NODES));
         assert_eq!(tier.router.journal.sizes(), (1 + NODES + REPLICAS, 2_000));
-        // A debug build; the release build takes a tenth of it.
+        // Limit of a debug build; a release build takes a tenth of the time.
         assert!(took.as_millis() < 4_000, "took {took:?}");
     });
 }
 
-/// The configuration grows by 1,400 routes, twice. A request must not wait while it is taken
-/// in, and finds its route as soon as before: 40,000 requests take 0.08 s of a debug build, and
-/// took 0.76 s when all routes of their host were gone through for each.
+/// The configuration grows by 1,400 routes, twice. Loading it must not delay requests, and the
+/// lookup of a route must not slow down: 40,000 lookups take 0.08 s in a debug build, and took
+/// 0.76 s when all routes of the host were searched for each.
 #[test]
 fn a_request_finds_its_route_among_thousands() {
     let route = |number: usize| Route {
@@ -103,23 +103,23 @@
     };
     let began = Instant::now();
     let table = RouteTable::new(config(1, (0..2_800).map(route).collect()));
-    let taken_in = began.elapsed();
+    let load_time = began.elapsed();
 
     let began = Instant::now();
     for number in (0..2_800).cycle().step_by(7).take(40_000) {
         let found = table.find(HOST, &format!("/a{number}/x/y")).unwrap();
         assert_eq!(found.prefix, format!("/a{number}/"));
     }
-    let looked_up = began.elapsed();
+    let lookup_time = began.elapsed();
 
     assert!(table.find(HOST, "/b/x").is_none());
-    assert!(taken_in.as_millis() < 500, "taken in after {taken_in:?}");
-    assert!(looked_up.as_millis() < 500, "found after {looked_up:?}");
+    assert!(load_time.as_millis() < 500, "loaded after {load_time:?}");
+    assert!(lookup_time.as_millis() < 500, "looked up in {lookup_time:?}");
 }
 
-/// Each data centre has two nodes that watch the store, however many there are.
+/// Each data centre has two nodes that watch the store, whatever its size.
 #[test]
-fn those_that_watch_the_store_dont_grow_with_the_fleet() {
+fn the_number_of_readers_is_independent_of_the_fleet_size() {
     let candidates: Vec<(NodeName, NodeRecord)> = (0..NODES)
         .map(|number| {
             let name = NodeName::from(format!("n{number:05}"));
@@ -132,34 +132,34 @@
         .map(|centre| follow::readers(&centre, &candidates).len())
         .sum();
 
-    assert_eq!(watching, CENTRES * follow::READERS);
+    assert_eq!(watching, CENTRES * follow::READERS_PER_CENTRE);
 }
 
-/// Ten thousand replicas that come at once are one line of the log, a few are a line each.
+/// Ten thousand new replicas are logged in one line, a few in a line each.
 #[test]
-fn entries_that_come_together_are_told_by_their_number() {
-    let bulk = Bulk::default();
+fn many_changes_at_once_are_logged_as_a_summary() {
+    let summary = ChangeSummary::default();
 
-    bulk.begin(REPLICAS);
-    let many = (0..REPLICAS).all(|_| bulk.takes(Change::Replica));
-    bulk.end();
-    bulk.begin(3);
-    let few = bulk.takes(Change::Replica);
-    bulk.end();
+    summary.begin(REPLICAS);
+    let many = (0..REPLICAS).all(|_| summary.coalesce(Change::Replica));
+    summary.end();
+    summary.begin(3);
+    let few = summary.coalesce(Change::Replica);
+    summary.end();
 
     assert!(many && !few);
 }
 
-/// A request reached a replica that was leaving, and many entries changed at that moment.
-/// When this node knew that is in the log all the same, for a bounded number of replicas.
+/// A request reached a leaving replica while many entries changed. The log must still show
+/// since when this node knew that the replica was leaving, for a bounded number of replicas.
 #[test]
-fn replicas_that_leave_are_named_also_among_many() {
-    let bulk = Bulk::default();
+fn leaving_replicas_are_logged_individually_up_to_a_limit() {
+    let summary = ChangeSummary::default();
 
-    bulk.begin(REPLICAS);
-    let named = |change| (0..REPLICAS).filter(|_| !bulk.takes(change)).count();
+    summary.begin(REPLICAS);
+    let named = |change| (0..REPLICAS).filter(|_| !summary.coalesce(change)).count();
     let (draining, gone) = (named(Change::Draining), named(Change::ReplicaGone));
-    bulk.end();
+    summary.end();
 
     assert_eq!((draining, gone), (16, 16));
 }
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -1,4 +1,4 @@
-//! Replicas whose entry has vanished from the store: some have left, some are there.
+//! Replicas whose entries have vanished from the store: some have left, others are still running.
 
 mod common;
 #[path = "common/store.rs"]
@@ -21,18 +21,18 @@
 };
 use schema::TestSchema;
 
-/// From when on no request may be sent to a replica that has left, after its entry was
-/// removed: the shortest that operators ask for.
-const DRAINED: Duration = Duration::from_secs(3);
+/// Time after the removal of its entry from which no request may be sent to a replica that has
+/// left: the shortest that operators ask for.
+const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
-/// A node, as it runs in production, and a store with some replicas of two services.
-struct World {
+/// A node with production options, and a store with some replicas of two services.
+struct Fixture {
     tier: Tier,
     store: Rc<FakeStore>,
     mirror: Rc<Mirror>,
 }
 
-async fn world(replicas: &[&str]) -> World {
+async fn fixture(replicas: &[&str]) -> Fixture {
     let (tier, store) = (Tier::new(), Rc::new(FakeStore::default()));
     store.put("c", b"3");
     for name in replicas {
@@ -43,12 +43,12 @@
     let mirror = Mirror::new(options, tier.router.clone(), dyn_store, Rc::new(TestSchema));
     mirror.start();
     pause(100).await;
-    World { tier, store, mirror }
+    Fixture { tier, store, mirror }
 }
 
-impl World {
-    /// The replica of a service that the next request is sent to.
-    fn next(&self, name: &str) -> Option<String> {
+impl Fixture {
+    /// Returns the replica of a service that the next request would be sent to.
+    fn next_replica(&self, name: &str) -> Option<String> {
         let router = &self.tier.router;
         let replicas = router.directory.of(&service(name));
         let need = router.need(&single());
@@ -56,84 +56,89 @@
         Some(pick.replica.id.as_str().to_owned())
     }
 
-    /// To which replicas of a service requests are sent until `end`.
-    async fn used(&self, name: &str, end: Instant) -> Vec<String> {
-        let mut used = Vec::new();
+    /// Returns the replicas of a service that requests would be sent to until `end`.
+    async fn used_replicas(&self, name: &str, end: Instant) -> Vec<String> {
+        let mut used_replicas = Vec::new();
         while Instant::now() < end {
-            used.extend(self.next(name));
+            used_replicas.extend(self.next_replica(name));
             pause(20).await;
         }
-        used.sort();
-        used.dedup();
-        used
+        used_replicas.sort();
+        used_replicas.dedup();
+        used_replicas
     }
 }
 
-/// A replica leaves without a word: its entry is removed. The store tells its watches nothing
-/// for a second, and drops the history, so that the node reads everything anew and finds the
-/// entry missing. It was kept from then on like one that lapsed, and the sum was too long:
-/// requests reached the replica four seconds after it had left, as a start or a rescan is no
-/// outage, and one entry that is missing no lapse.
+/// A replica leaves without draining. The store reports no changes for a second and then drops its
+/// history, so the node reloads everything and finds the entry missing. A start or a rescan is no
+/// outage, and a single missing entry no mass expiry, but the replica was retained from then on
+/// like one whose entry had expired: requests reached it four seconds after it had left.
 #[test]
 fn a_replica_that_left_while_the_history_was_dropped_gets_no_requests() {
     run(async {
-        let world = world(&["s0.left", "s0.stays"]).await;
+        let fixture = fixture(&["s0.left", "s0.stays"]).await;
         pause(3_000).await;
 
-        world.store.deaf.set(true);
-        world.store.delete("r/s0.left");
+        fixture.store.hides_changes.set(true);
+        fixture.store.delete("r/s0.left");
         let removed = Instant::now();
         pause(1_000).await;
-        world.store.forget();
-        world.store.deaf.set(false);
+        fixture.store.compact();
+        fixture.store.hides_changes.set(false);
         pause(2_000).await;
-        let used = world.used("s0", removed + DRAINED + Duration::from_secs(1)).await;
+        let used_replicas =
+            fixture.used_replicas("s0", removed + DRAIN_LIMIT + Duration::from_secs(1)).await;
 
-        assert_eq!(used, ["s0.stays"]);
+        assert_eq!(used_replicas, ["s0.stays"]);
     });
 }
 
-/// The store is away for a moment, and a replica leaves without a word. Another one of its
-/// service is there, so requests go to that, while the first may still come back.
+/// The store is unavailable for a moment, and a replica leaves without draining. Requests must
+/// go to another replica of its service, while the first may still come back.
 #[test]
-fn a_replica_that_vanished_in_an_outage_is_the_last_to_be_used() {
+fn a_replica_that_vanished_in_an_outage_is_used_last() {
     run(async {
-        let world = world(&["s0.left", "s0.stays", "s1.only"]).await;
+        let fixture = fixture(&["s0.left", "s0.stays", "s1.only"]).await;
         pause(3_000).await;
 
-        world.store.away.set(true);
+        fixture.store.unavailable.set(true);
         pause(300).await;
-        world.store.delete("r/s0.left");
-        world.store.delete("r/s1.only");
-        world.store.away.set(false);
+        fixture.store.delete("r/s0.left");
+        fixture.store.delete("r/s1.only");
+        fixture.store.unavailable.set(false);
         pause(1_200).await;
-        let known = world.tier.router.directory.len();
-        let used = world.used("s0", Instant::now() + Duration::from_millis(300)).await;
-
-        assert_eq!(known, 3, "each may be back in a moment");
-        assert_eq!(used, ["s0.stays"]);
-        assert_eq!(world.next("s1").as_deref(), Some("s1.only"), "its service has no other");
+        let known = fixture.tier.router.directory.len();
+        let used_replicas =
+            fixture.used_replicas("s0", Instant::now() + Duration::from_millis(300)).await;
+
+        assert_eq!(known, 3, "each entry may return");
+        assert_eq!(used_replicas, ["s0.stays"]);
+        assert_eq!(
+            fixture.next_replica("s1").as_deref(),
+            Some("s1.only"),
+            "its service has no other replica"
+        );
     });
 }
 
-/// The store was away, and the entries of most replicas lapsed. They are back one by one. If
-/// only those were used that are back, the first one of each service would be crowded.
+/// The store was unavailable, the entries of most replicas expired, and they return one by one. If
+/// only the replicas that are back were used, the first one of each service would be overloaded.
 #[test]
-fn replicas_whose_entries_lapsed_together_are_used_like_others() {
+fn replicas_whose_entries_expired_together_keep_their_priority() {
     run(async {
         let names = ["s0.a", "s0.b", "s1.a", "s1.b", "s2.a", "s2.b"];
-        let world = world(&names).await;
+        let fixture = fixture(&names).await;
         pause(3_000).await;
 
-        world.store.away.set(true);
+        fixture.store.unavailable.set(true);
         pause(300).await;
-        names.iter().for_each(|name| world.store.delete(&format!("r/{name}")));
-        world.store.away.set(false);
+        names.iter().for_each(|name| fixture.store.delete(&format!("r/{name}")));
+        fixture.store.unavailable.set(false);
         pause(1_200).await;
-        world.store.put("r/s0.a", b"127.0.0.1:1");
+        fixture.store.put("r/s0.a", b"127.0.0.1:1");
         pause(500).await;
 
-        let router = &world.tier.router;
+        let router = &fixture.tier.router;
         let need = router.need(&single());
         let replicas = router.directory.of(&service("s0"));
         let now = router.clock.now();
@@ -142,32 +147,33 @@
     });
 }
 
-/// One renewal of a lease is lost, and the next one answered. Seconds later the only replica
-/// of a service leaves without a word, and requests go on being sent to it: the node took the
-/// next return of its watch for the end of an outage, though it had heard of it long before.
+/// One renewal of a lease is lost, and the next one is answered. Seconds later the only
+/// replica of a service leaves without draining. Requests were still sent to it, because the
+/// node took the next return of its watch for the end of the outage, though the renewal had
+/// shown that long before.
 #[test]
-fn an_outage_ends_with_the_first_call_that_is_answered() {
+fn an_outage_ends_with_the_first_answered_call() {
     run(async {
-        let world = world(&["s0.left"]).await;
+        let fixture = fixture(&["s0.left"]).await;
         let announcer = Announcer::new(
-            world.tier.router.clone(),
-            world.store.clone(),
-            world.mirror.clone(),
+            fixture.tier.router.clone(),
+            fixture.store.clone(),
+            fixture.mirror.clone(),
             NodeName::from("me"),
             NodeKeys { record: "n/me".to_owned(), crashes: "x/me".to_owned() },
             node_entry(nowhere(), 1.0),
         );
         announcer.start();
-        // A watch has just begun, and returns in two seconds; a renewal comes before that.
+        // A watch has just begun and returns in two seconds; a renewal comes before that.
         pause(3_100).await;
-        world.store.loses_renewals.set(true);
+        fixture.store.loses_renewals.set(true);
         pause(800).await;
-        world.store.loses_renewals.set(false);
+        fixture.store.loses_renewals.set(false);
         pause(3_600).await;
 
-        world.store.delete("r/s0.left");
+        fixture.store.delete("r/s0.left");
         pause(500).await;
 
-        assert_eq!(world.next("s0"), None);
+        assert_eq!(fixture.next_replica("s0"), None);
     });
 }
