--- a/crates/kumquatnotch-holder/src/decisions.rs
+++ b/crates/kumquatnotch-holder/src/decisions.rs
@@ -7,7 +7,7 @@
     hedge::{Hedge, QuantileHedge},
     limit::{LearnedLimit, Limit},
     queue::WaitQueue,
-    replica::{GentleWarmup, Warmup},
+    replica::{GradualWarmup, Warmup},
     retry::{BudgetRetry, Retry},
 };
 
@@ -38,7 +38,7 @@
             hedge: Box::new(QuantileHedge::default()),
             retry: Box::new(BudgetRetry::default()),
             containment: Box::new(StrikeContainment::default()),
-            warmup: Box::new(GentleWarmup),
+            warmup: Box::new(GradualWarmup),
         }
     }
 }
--- a/crates/kumquatnotch-holder/src/offers.rs
+++ b/crates/kumquatnotch-holder/src/offers.rs
@@ -4,8 +4,8 @@
 
 use kumquatnotch_core::{Error, Result, collections::HashMap, document::Class, ids::TargetName};
 use kumquatnotch_policy::{
-    choice::{Candidate, Need, Pick},
-    queue::Turn,
+    choice::{CallProfile, Candidate, Pick},
+    queue::SlotOffer,
     replica::Fitness,
 };
 
@@ -27,7 +27,7 @@
 }
 
 /// The turn of a call that nobody waits before.
-pub const ALONE_TURN: Turn = Turn { ahead: 0, assured: false };
+pub const ALONE_TURN: SlotOffer = SlotOffer { ahead: 0, guaranteed: false };
 
 pub struct Request<'a> {
     pub work: &'a Work,
@@ -71,7 +71,7 @@
         &self,
         table: &mut Table,
         request: &Request<'_>,
-        turn: Turn,
+        turn: SlotOffer,
         now: Instant,
     ) -> Offer {
         let Work { shard, print, .. } = request.work;
@@ -91,7 +91,7 @@
         }
         let candidates: Vec<Candidate> =
             usable.iter().map(|name| self.candidate(&table.entries[name], now)).collect();
-        let need = Need { ahead: turn.ahead, urgent: request.work.class == Class::Desk };
+        let need = CallProfile { ahead: turn.ahead, urgent: request.work.class == Class::Desk };
         match self.choice.pick(&candidates, need, &self.random) {
             Pick::Take(index) => Offer::Start(usable[index].clone()),
             Pick::Wait => Offer::Wait,
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -223,7 +223,7 @@
                 return true;
             };
             let request = Request::of(entry);
-            if busy && !turn.assured && self.keeps_reserve(table, &request, now) {
+            if busy && !turn.guaranteed && self.keeps_reserve(table, &request, now) {
                 return false;
             }
             match self.offer(table, &request, turn, now) {
--- a/crates/kumquatnotch-holder/src/table.rs
+++ b/crates/kumquatnotch-holder/src/table.rs
@@ -16,7 +16,7 @@
 use kumquatnotch_policy::{
     containment::Running,
     limit::Limit,
-    queue::{Pace, WaitQueue, Waiter},
+    queue::{ServiceRate, WaitQueue, Waiter},
     replica::{Fitness, Replica},
 };
 
@@ -192,13 +192,13 @@
     }
 
     /// How fast the replicas of a shard work.
-    pub fn pace(&self, name: &ShardName, holders: u32, now: Instant) -> Pace {
+    pub fn pace(&self, name: &ShardName, holders: u32, now: Instant) -> ServiceRate {
         let targets = self.index.get(name).map(Vec::as_slice).unwrap_or_default();
         let entries = targets.iter().filter_map(|target| self.entries.get(target));
         let usable = entries.filter(|entry| entry.fitness(now) == Fitness::Ready);
         let slots = usable.map(|entry| entry.allowed(holders)).fold(0, u32::saturating_add);
         let service = self.shards.get(name).map_or(FIRST_SERVICE, |shard| shard.service);
-        Pace { slots, service: Duration::from_secs_f64(service) }
+        ServiceRate { slots, service: Duration::from_secs_f64(service) }
     }
 
     /// Every target belongs to the shard it declares and to those it holds.
@@ -294,7 +294,7 @@
 
     /// A call to it was given up; whether it has to be probed at once.
     pub fn on_given_up(&mut self, elapsed: Duration, now: Instant) -> bool {
-        self.replica.on_given_up(elapsed);
+        self.replica.on_cancelled(elapsed);
         self.given_up += 1;
         // A target that was cut off answers nothing and refuses nothing; a
         // probe at once tells it from one that is slow.
--- a/crates/kumquatnotch-policy/src/admission.rs
+++ b/crates/kumquatnotch-policy/src/admission.rs
@@ -20,7 +20,7 @@
 
 /// A request that asks to be taken in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entrant {
+pub struct AdmissionRequest {
     /// Its tenant.
     pub tenant: TenantName,
     /// The tenant's share against other tenants.
@@ -28,23 +28,23 @@
     /// Its class.
     pub class: Class,
     /// How long it can wait and still be of use.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 /// Decides which requests are taken in.
 pub trait Admission {
     /// Takes the request in, or tells when to come back.
-    fn enter(&self, now: Instant, entrant: &Entrant) -> Result<(), Duration>;
+    fn enter(&self, now: Instant, request: &AdmissionRequest) -> Result<(), Duration>;
 
     /// A request that was taken in has ended.
-    fn leave(&self, entrant: &Entrant);
+    fn leave(&self, request: &AdmissionRequest);
 
     /// A holder says how long requests of `class` wait for a slot.
-    fn learn(&self, now: Instant, class: Class, wait: Duration);
+    fn observe_wait(&self, now: Instant, class: Class, wait: Duration);
 
     /// A request of `class` that was taken in has ended; it was `starved` if it was
     /// given up while it waited for slots.
-    fn ended(&self, now: Instant, class: Class, starved: bool);
+    fn on_end(&self, now: Instant, class: Class, starved: bool);
 
     /// How long requests of `class` wait now, as far as is known.
     fn wait(&self, now: Instant, class: Class) -> Duration;
@@ -56,72 +56,72 @@
 /// Where refusals of a class begin and where everything is refused, as shares of
 /// the time that a request can wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Marks {
+pub struct Thresholds {
     /// Below this nothing is refused.
     pub low: f64,
     /// From here on everything is.
     pub high: f64,
-    /// The share of [`AdmissionOptions::most`] that the class may fill.
-    pub room: f64,
+    /// The share of [`AdmissionOptions::max_running`] that the class may fill.
+    pub capacity_share: f64,
 }
 
 /// Options of [`GradedAdmission`].
 #[derive(Clone, Debug)]
 pub struct AdmissionOptions {
-    /// The marks by class, the most urgent first.
-    pub marks: [Marks; 3],
+    /// The thresholds by class, the most urgent first.
+    pub thresholds: [Thresholds; 3],
     /// How many requests run at once at most.
-    pub most: usize,
+    pub max_running: usize,
     /// In which time an observed wait counts half.
     pub half_life: Duration,
     /// How often a gate moves.
-    pub turn: Duration,
+    pub gate_interval: Duration,
     /// The share of starved requests up to which a gate opens.
-    pub starved: f64,
+    pub max_starved: f64,
     /// The shortest time to come back.
-    pub least_retry: Duration,
+    pub min_retry: Duration,
     /// The longest time to come back.
-    pub most_retry: Duration,
+    pub max_retry: Duration,
 }
 
 impl Default for AdmissionOptions {
     fn default() -> AdmissionOptions {
         AdmissionOptions {
-            marks: [
-                Marks { low: 0.3, high: 0.9, room: 1.0 },
-                Marks { low: 0.2, high: 0.6, room: 0.8 },
-                Marks { low: 0.1, high: 0.4, room: 0.5 },
+            thresholds: [
+                Thresholds { low: 0.3, high: 0.9, capacity_share: 1.0 },
+                Thresholds { low: 0.2, high: 0.6, capacity_share: 0.8 },
+                Thresholds { low: 0.1, high: 0.4, capacity_share: 0.5 },
             ],
-            most: 2_048,
+            max_running: 2_048,
             half_life: Duration::from_millis(200),
-            turn: Duration::from_millis(100),
-            starved: 0.05,
-            least_retry: Duration::from_millis(50),
-            most_retry: Duration::from_secs(5),
+            gate_interval: Duration::from_millis(100),
+            max_starved: 0.05,
+            min_retry: Duration::from_millis(50),
+            max_retry: Duration::from_secs(5),
         }
     }
 }
 
 /// The weight of a wait that is longer, or shorter, than the one known.
-const RISE: f64 = 0.5;
-const FALL: f64 = 0.1;
+const RISE_WEIGHT: f64 = 0.5;
+const FALL_WEIGHT: f64 = 0.1;
 /// By how much a gate opens in a turn at first, and how far it closes at most.
-const OPENING: f64 = 0.01;
-const LEAST_OPEN: f64 = 0.02;
+const OPEN_STEP: f64 = 0.01;
+const MIN_OPEN: f64 = 0.02;
 /// The turns in a row without starving after which it opens twice as fast.
 ///
 /// Where the load stays too high, requests starve again before that, and the gate
 /// stays about where it should be. A shortage that has passed, as of a shard with
 /// one replica draining and a straggler for the other, must not cost refusals for
 /// many seconds more.
-const CALM_TURNS: f64 = 4.0;
+const CALM_INTERVALS: f64 = 4.0;
 /// A turn with fewer requests than this is judged as if it had as many; else the
 /// one request of a quiet turn that starves would close half of the gate.
-const LEAST_ENDED: u32 = 8;
+const MIN_ENDED: u32 = 8;
 /// How much of the starved share a gate closes by in a turn.
-const CLOSING: f64 = 0.5;
+const CLOSE_FACTOR: f64 = 0.5;
 /// With fewer requests than this, shares of tenants mean nothing.
-const LEAST_RUNNING: usize = 4;
+const MIN_RUNNING: usize = 4;
 
 /// Refuses by class, wait and share.
 pub struct GradedAdmission {
@@ -132,14 +132,14 @@
 
 #[derive(Default)]
 struct State {
-    waits: [Wait; 3],
+    waits: [WaitEstimate; 3],
     gates: [Gate; 3],
     running: usize,
     tenants: HashMap<TenantName, Running>,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Wait {
+struct WaitEstimate {
     seconds: f64,
     at: Option<Instant>,
 }
@@ -151,13 +151,13 @@
     ended: u32,
     starved: u32,
     /// The turns without starving since the last one with it.
-    calm: u32,
+    calm_intervals: u32,
     since: Option<Instant>,
 }
 
 impl Default for Gate {
     fn default() -> Gate {
-        Gate { open: 1.0, ended: 0, starved: 0, calm: 0, since: None }
+        Gate { open: 1.0, ended: 0, starved: 0, calm_intervals: 0, since: None }
     }
 }
 
@@ -174,82 +174,83 @@
     }
 
     /// The chance of being refused, from zero to one, before shares.
-    fn pressure(&self, state: &State, now: Instant, entrant: &Entrant) -> f64 {
-        let marks = self.options.marks[entrant.class as usize];
-        let room = self.options.most as f64 * marks.room;
-        if state.running as f64 >= room {
+    fn pressure(&self, state: &State, now: Instant, request: &AdmissionRequest) -> f64 {
+        let thresholds = self.options.thresholds[request.class as usize];
+        let max_running = self.options.max_running as f64 * thresholds.capacity_share;
+        if state.running as f64 >= max_running {
             return 1.0;
         }
-        let wait = self.seconds(state, now, entrant.class);
-        let ratio = wait / entrant.patience.as_secs_f64().max(f64::EPSILON);
-        let foretold = ((ratio - marks.low) / (marks.high - marks.low)).clamp(0.0, 1.0);
-        foretold.max(1.0 - state.gates[entrant.class as usize].open)
+        let wait = self.seconds(state, now, request.class);
+        let ratio = wait / request.max_wait.as_secs_f64().max(f64::EPSILON);
+        let by_wait =
+            ((ratio - thresholds.low) / (thresholds.high - thresholds.low)).clamp(0.0, 1.0);
+        by_wait.max(1.0 - state.gates[request.class as usize].open)
     }
 
     /// The wait of a class; a less urgent one never waits less than a more urgent.
     fn seconds(&self, state: &State, now: Instant, class: Class) -> f64 {
         let waits = state.waits.iter().take(class as usize + 1);
-        waits.map(|wait| wait.faded(now, self.options.half_life)).fold(0.0, f64::max)
+        waits.map(|wait| wait.decayed(now, self.options.half_life)).fold(0.0, f64::max)
     }
 
     fn retry(&self, wait: f64, pressure: f64) -> Duration {
         let span = Duration::from_secs_f64(wait * (1.0 + pressure));
-        let AdmissionOptions { least_retry, most_retry, .. } = self.options;
+        let AdmissionOptions { min_retry, max_retry, .. } = self.options;
         // Callers that were refused together must not come back together.
-        self.random.jitter(span.clamp(least_retry * 2, most_retry)).clamp(least_retry, most_retry)
+        self.random.jitter(span.clamp(min_retry * 2, max_retry)).clamp(min_retry, max_retry)
     }
 }
 
 impl Admission for GradedAdmission {
-    fn enter(&self, now: Instant, entrant: &Entrant) -> Result<(), Duration> {
+    fn enter(&self, now: Instant, request: &AdmissionRequest) -> Result<(), Duration> {
         let mut state = self.state.borrow_mut();
         // Where almost all are refused hardly any ends, and the gate would not move.
-        state.gates[entrant.class as usize].turn_if_due(now, &self.options);
-        let pressure = self.pressure(&state, now, entrant);
+        state.gates[request.class as usize].update_if_due(now, &self.options);
+        let pressure = self.pressure(&state, now, request);
         if pressure > 0.0 {
-            let chance = pressure * state.excess(&entrant.tenant, entrant.weight);
+            let chance = pressure * state.share_ratio(&request.tenant, request.weight);
             // At full pressure nobody enters, whatever its share.
             if pressure >= 1.0 || self.random.chance(chance) {
-                return Err(self.retry(self.seconds(&state, now, entrant.class), pressure));
+                return Err(self.retry(self.seconds(&state, now, request.class), pressure));
             }
         }
         state.running += 1;
         let running = state
             .tenants
-            .entry(entrant.tenant.clone())
-            .or_insert(Running { count: 0, weight: entrant.weight });
+            .entry(request.tenant.clone())
+            .or_insert(Running { count: 0, weight: request.weight });
         running.count += 1;
-        running.weight = entrant.weight;
+        running.weight = request.weight;
         Ok(())
     }
 
-    fn leave(&self, entrant: &Entrant) {
+    fn leave(&self, request: &AdmissionRequest) {
         let mut state = self.state.borrow_mut();
         state.running = state.running.saturating_sub(1);
-        let Some(running) = state.tenants.get_mut(&entrant.tenant) else {
+        let Some(running) = state.tenants.get_mut(&request.tenant) else {
             return;
         };
         running.count = running.count.saturating_sub(1);
         if running.count == 0 {
-            state.tenants.remove(&entrant.tenant);
+            state.tenants.remove(&request.tenant);
         }
     }
 
-    fn learn(&self, now: Instant, class: Class, wait: Duration) {
+    fn observe_wait(&self, now: Instant, class: Class, wait: Duration) {
         let mut state = self.state.borrow_mut();
         let known = &mut state.waits[class as usize];
-        let faded = known.faded(now, self.options.half_life);
+        let decayed = known.decayed(now, self.options.half_life);
         let seen = wait.as_secs_f64();
-        let share = if seen > faded { RISE } else { FALL };
-        *known = Wait { seconds: faded + share * (seen - faded), at: Some(now) };
+        let share = if seen > decayed { RISE_WEIGHT } else { FALL_WEIGHT };
+        *known = WaitEstimate { seconds: decayed + share * (seen - decayed), at: Some(now) };
     }
 
-    fn ended(&self, now: Instant, class: Class, starved: bool) {
+    fn on_end(&self, now: Instant, class: Class, starved: bool) {
         let mut state = self.state.borrow_mut();
         let gate = &mut state.gates[class as usize];
         gate.ended += 1;
         gate.starved += u32::from(starved);
-        gate.turn_if_due(now, &self.options);
+        gate.update_if_due(now, &self.options);
     }
 
     fn wait(&self, now: Instant, class: Class) -> Duration {
@@ -262,29 +263,29 @@
 }
 
 impl Gate {
-    fn turn_if_due(&mut self, now: Instant, options: &AdmissionOptions) {
+    fn update_if_due(&mut self, now: Instant, options: &AdmissionOptions) {
         let since = *self.since.get_or_insert(now);
-        if now.saturating_duration_since(since) >= options.turn {
-            self.turn(now, options.starved);
+        if now.saturating_duration_since(since) >= options.gate_interval {
+            self.update(now, options.max_starved);
         }
     }
 
-    fn turn(&mut self, now: Instant, bearable: f64) {
-        let share = f64::from(self.starved) / f64::from(self.ended.max(LEAST_ENDED));
-        let (open, calm) = if share > bearable {
-            ((self.open * (1.0 - CLOSING * share)).max(LEAST_OPEN), 0)
+    fn update(&mut self, now: Instant, max_starved: f64) {
+        let share = f64::from(self.starved) / f64::from(self.ended.max(MIN_ENDED));
+        let (open, calm_intervals) = if share > max_starved {
+            ((self.open * (1.0 - CLOSE_FACTOR * share)).max(MIN_OPEN), 0)
         } else {
-            let step = OPENING * (1.0 + f64::from(self.calm) / CALM_TURNS);
-            ((self.open + step).min(1.0), self.calm.saturating_add(1))
+            let step = OPEN_STEP * (1.0 + f64::from(self.calm_intervals) / CALM_INTERVALS);
+            ((self.open + step).min(1.0), self.calm_intervals.saturating_add(1))
         };
-        *self = Gate { open, ended: 0, starved: 0, calm, since: Some(now) };
+        *self = Gate { open, ended: 0, starved: 0, calm_intervals, since: Some(now) };
     }
 }
 
-impl Wait {
+impl WaitEstimate {
     /// What was seen, fading with time: if everything is refused nobody brings
     /// news, and the class must open again by itself.
-    fn faded(&self, now: Instant, half_life: Duration) -> f64 {
+    fn decayed(&self, now: Instant, half_life: Duration) -> f64 {
         let Some(at) = self.at else {
             return 0.0;
         };
@@ -295,8 +296,8 @@
 
 impl State {
     /// How far a tenant is above (more than one) or below its share of what runs.
-    fn excess(&self, tenant: &TenantName, weight: u32) -> f64 {
-        if self.running < LEAST_RUNNING {
+    fn share_ratio(&self, tenant: &TenantName, weight: u32) -> f64 {
+        if self.running < MIN_RUNNING {
             return 1.0;
         }
         let own = self.tenants.get(tenant).map_or(0, |running| running.count) as f64;
@@ -315,19 +316,19 @@
 }
 
 impl Admission for AdmitAll {
-    fn enter(&self, _now: Instant, _entrant: &Entrant) -> Result<(), Duration> {
+    fn enter(&self, _now: Instant, _request: &AdmissionRequest) -> Result<(), Duration> {
         *self.running.borrow_mut() += 1;
         Ok(())
     }
 
-    fn leave(&self, _entrant: &Entrant) {
+    fn leave(&self, _request: &AdmissionRequest) {
         let mut running = self.running.borrow_mut();
         *running = running.saturating_sub(1);
     }
 
-    fn learn(&self, _now: Instant, _class: Class, _wait: Duration) {}
+    fn observe_wait(&self, _now: Instant, _class: Class, _wait: Duration) {}
 
-    fn ended(&self, _now: Instant, _class: Class, _starved: bool) {}
+    fn on_end(&self, _now: Instant, _class: Class, _starved: bool) {}
 
     fn wait(&self, _now: Instant, _class: Class) -> Duration {
         Duration::ZERO
--- a/crates/kumquatnotch-policy/src/advice.rs
+++ b/crates/kumquatnotch-policy/src/advice.rs
@@ -32,7 +32,7 @@
 
 /// Where a caller is, as far as it says.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Near<'a> {
+pub struct CallerLocation<'a> {
     /// Its data centre.
     pub centre: Option<&'a DataCentre>,
     /// Its region.
@@ -42,7 +42,7 @@
 /// Orders nodes for a caller.
 pub trait EntryPolicy {
     /// The addresses, the first one to use first.
-    fn order(&self, nodes: &[EntryNode], near: Near<'_>) -> Vec<SocketAddr>;
+    fn order(&self, nodes: &[EntryNode], near: CallerLocation<'_>) -> Vec<SocketAddr>;
 }
 
 /// Near nodes first, in a weighted random order among equals.
@@ -53,32 +53,32 @@
 }
 
 impl SpreadEntry {
-    /// A node where requests wait for `busy` counts as one step farther away.
+    /// A node where requests wait for `busy` counts as one distance_rank farther away.
     pub fn new(random: Random, busy: Duration) -> SpreadEntry {
         SpreadEntry { random, busy }
     }
 
     /// Draws so that a node comes first among equals in proportion to its weight.
-    fn draw(&self, node: &EntryNode) -> f64 {
+    fn sort_key(&self, node: &EntryNode) -> f64 {
         let wait = node.wait.unwrap_or_default().as_secs_f64();
         let weight = 1.0 / (1.0 + wait / self.busy.as_secs_f64().max(f64::EPSILON));
         -(1.0 - self.random.fraction()).ln() / weight
     }
 
-    fn step(&self, node: &EntryNode, near: Near<'_>) -> u8 {
+    fn distance_rank(&self, node: &EntryNode, near: CallerLocation<'_>) -> u8 {
         let is_busy = node.wait.is_some_and(|wait| wait >= self.busy);
         distance(node, near) + u8::from(is_busy)
     }
 }
 
 impl EntryPolicy for SpreadEntry {
-    fn order(&self, nodes: &[EntryNode], near: Near<'_>) -> Vec<SocketAddr> {
-        let mut drawn: Vec<(u8, f64, SocketAddr)> = usable(nodes)
+    fn order(&self, nodes: &[EntryNode], near: CallerLocation<'_>) -> Vec<SocketAddr> {
+        let mut ordered: Vec<(u8, f64, SocketAddr)> = eligible(nodes)
             .into_iter()
-            .map(|node| (self.step(node, near), self.draw(node), node.address))
+            .map(|node| (self.distance_rank(node, near), self.sort_key(node), node.address))
             .collect();
-        drawn.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        drawn.into_iter().map(|(_, _, address)| address).collect()
+        ordered.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        ordered.into_iter().map(|(_, _, address)| address).collect()
     }
 }
 
@@ -87,8 +87,8 @@
 pub struct NearestEntry;
 
 impl EntryPolicy for NearestEntry {
-    fn order(&self, nodes: &[EntryNode], near: Near<'_>) -> Vec<SocketAddr> {
-        let mut ranked = usable(nodes);
+    fn order(&self, nodes: &[EntryNode], near: CallerLocation<'_>) -> Vec<SocketAddr> {
+        let mut ranked = eligible(nodes);
         ranked.sort_by_key(|node| distance(node, near));
         ranked.into_iter().map(|node| node.address).collect()
     }
@@ -100,20 +100,20 @@
 /// advice. A suspect one that serves may only be slow, so it is the better.
 /// A leaving node is never advised: a caller that keeps the advice would meet a
 /// closed port.
-const USABLE: [(bool, NodeState); 4] = [
+const ELIGIBLE_KINDS: [(bool, NodeState); 4] = [
     (true, NodeState::Up),
     (true, NodeState::Suspect),
     (false, NodeState::Up),
     (false, NodeState::Suspect),
 ];
 
-fn usable(nodes: &[EntryNode]) -> Vec<&EntryNode> {
+fn eligible(nodes: &[EntryNode]) -> Vec<&EntryNode> {
     let of = |kind| nodes.iter().filter(move |node| (node.serving, node.state) == kind);
-    let found = USABLE.iter().map(|kind| of(*kind).collect::<Vec<_>>());
+    let found = ELIGIBLE_KINDS.iter().map(|kind| of(*kind).collect::<Vec<_>>());
     found.into_iter().find(|nodes| !nodes.is_empty()).unwrap_or_default()
 }
 
-fn distance(node: &EntryNode, near: Near<'_>) -> u8 {
+fn distance(node: &EntryNode, near: CallerLocation<'_>) -> u8 {
     if near.centre == Some(&node.centre) {
         return 0;
     }
--- a/crates/kumquatnotch-policy/src/answer_time.rs
+++ b/crates/kumquatnotch-policy/src/answer_time.rs
@@ -13,23 +13,23 @@
 /// Callers look up nodes as soon as what they know is older than a second. Measured on a calm
 /// day: 1,461 look-ups for 2,813 requests. Where that is left out, half of the answers that
 /// are given when due are late.
-const REQUEST_TRIPS: u32 = 3;
+const REQUEST_ROUND_TRIPS: u32 = 3;
 
 /// The same before the first request on a connection, which had to be opened.
-const FIRST_TRIPS: u32 = 4;
+const FIRST_REQUEST_ROUND_TRIPS: u32 = 4;
 
 /// How many lags are reserved: one and a half before the request is read, and as much before
 /// its answer leaves.
 const LAGS_RESERVED: u32 = 3;
 
 /// The least part of the objective that is waited.
-const LEAST_WAIT: f64 = 0.4;
+const MIN_WAIT_PART: f64 = 0.4;
 
 /// The part of the time for an answer that must be left for it to be in time.
 ///
 /// A part that is asked for now takes about half of it when replicas are busy. With less,
 /// the answer is late, and the whole time is given to it again.
-const LEAST_REST: f64 = 0.5;
+const MIN_REMAINING_PART: f64 = 0.5;
 
 /// How much later than due an answer may be given and still count as in time.
 const IN_TIME_SLACK: Duration = Duration::from_millis(10);
@@ -38,12 +38,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Origin {
     /// The way there and back of callers nearby.
-    pub trip: Duration,
+    pub round_trip: Duration,
     /// The way there and back of callers from other regions, if some may come from there.
     ///
     /// One that was sent here from another region may be as far away as the farthest
     /// replica is.
-    pub way: Duration,
+    pub remote_round_trip: Duration,
     /// How much later than due answers leave; requests are read as much later than they come.
     pub lag: Duration,
     /// Whether it is the first request on its connection.
@@ -53,11 +53,12 @@
 }
 
 /// How long the answer to a request that came just now may take to be in time.
-pub fn waiting(objective: Duration, origin: Origin) -> Duration {
-    let trips = if origin.is_first { FIRST_TRIPS } else { REQUEST_TRIPS };
-    let wait =
-        objective.saturating_sub(origin.way + origin.trip * trips + origin.lag * LAGS_RESERVED);
-    wait.max(objective.mul_f64(LEAST_WAIT))
+pub fn time_to_answer(objective: Duration, origin: Origin) -> Duration {
+    let trips = if origin.is_first { FIRST_REQUEST_ROUND_TRIPS } else { REQUEST_ROUND_TRIPS };
+    let wait = objective.saturating_sub(
+        origin.remote_round_trip + origin.round_trip * trips + origin.lag * LAGS_RESERVED,
+    );
+    wait.max(objective.mul_f64(MIN_WAIT_PART))
 }
 
 /// When the answer to a request is due after its arrival.
@@ -71,10 +72,10 @@
 
 impl Due {
     /// For a caller that has `waited` before, of the time in which an answer is in time.
-    pub fn new(waiting: Duration, waited: Duration) -> Due {
-        let rest = waiting.saturating_sub(waited);
-        let is_returning = rest < waiting.mul_f64(LEAST_REST);
-        Due { within: if is_returning { waiting } else { rest }, is_returning }
+    pub fn new(time_to_answer: Duration, waited: Duration) -> Due {
+        let remaining = time_to_answer.saturating_sub(waited);
+        let is_returning = remaining < time_to_answer.mul_f64(MIN_REMAINING_PART);
+        Due { within: if is_returning { time_to_answer } else { remaining }, is_returning }
     }
 }
 
--- a/crates/kumquatnotch-policy/src/attempts.rs
+++ b/crates/kumquatnotch-policy/src/attempts.rs
@@ -10,7 +10,7 @@
 ///
 /// Each rejection costs a repeat of the budget, so this bounds what one request
 /// takes from the others.
-const MOST_REJECTIONS: u32 = 3;
+const MAX_REJECTIONS: u32 = 3;
 
 /// What the route of a request allows.
 #[derive(Clone, Copy, Debug)]
@@ -25,7 +25,7 @@
 
 /// How an attempt ended that brought no reply a caller can use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// The replica failed, and says so.
     Failed,
     /// The replica did not run it, by its own word.
@@ -59,15 +59,15 @@
 
 impl Attempts {
     /// Notes how an attempt ended.
-    pub fn note(&mut self, ending: Ending) {
+    pub fn note(&mut self, ending: AttemptOutcome) {
         match ending {
-            Ending::Failed => {
+            AttemptOutcome::Failed => {
                 self.runs += 1;
                 self.failed = true;
             }
-            Ending::Rejected => self.rejections += 1,
-            Ending::NotSent => {}
-            Ending::Lost => {
+            AttemptOutcome::Rejected => self.rejections += 1,
+            AttemptOutcome::NotSent => {}
+            AttemptOutcome::Lost => {
                 self.runs += 1;
                 self.lost = true;
             }
@@ -84,11 +84,11 @@
         if self.runs > 0 && !allowed.is_idempotent {
             return false;
         }
-        self.runs < allowed.attempts && self.rejections < MOST_REJECTIONS && now < allowed.deadline
+        self.runs < allowed.attempts && self.rejections < MAX_REJECTIONS && now < allowed.deadline
     }
 
     /// Whether a copy may be sent while so many are running.
-    pub fn may_copy(&self, allowed: Allowance, running: u32) -> bool {
+    pub fn may_hedge(&self, allowed: Allowance, running: u32) -> bool {
         allowed.is_idempotent && self.runs + running < allowed.attempts
     }
 
--- a/crates/kumquatnotch-policy/src/budget.rs
+++ b/crates/kumquatnotch-policy/src/budget.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 struct Window {
     step: u64,
-    firsts: [u32; STEPS],
+    originals: [u32; STEPS],
     repeats: [u32; STEPS],
 }
 
@@ -53,7 +53,7 @@
         let passed = step.saturating_sub(self.step).min(STEPS as u64);
         for past in 0..passed {
             let index = ((step - past) % STEPS as u64) as usize;
-            self.firsts[index] = 0;
+            self.originals[index] = 0;
             self.repeats[index] = 0;
         }
         self.step = self.step.max(step);
@@ -86,7 +86,7 @@
     pub fn note_first(&self, service: &ServiceName, now: Instant) {
         self.with_window(service, now, |window| {
             let index = window.index();
-            window.firsts[index] += 1;
+            window.originals[index] += 1;
         });
     }
 
@@ -95,9 +95,9 @@
         let BudgetOptions { ratio, slack, .. } = self.options.get();
         let slack = slack * self.part.get();
         self.with_window(service, now, |window| {
-            let firsts: u32 = window.firsts.iter().sum();
+            let originals: u32 = window.originals.iter().sum();
             let repeats: u32 = window.repeats.iter().sum();
-            let allowance = USED_PART * (ratio * f64::from(firsts) + slack);
+            let allowance = USED_PART * (ratio * f64::from(originals) + slack);
             if f64::from(repeats + 1) > allowance {
                 return false;
             }
@@ -112,9 +112,9 @@
         let BudgetOptions { ratio, slack, .. } = self.options.get();
         let slack = slack * self.part.get();
         self.with_window(service, now, |window| {
-            let firsts: u32 = window.firsts.iter().sum();
+            let originals: u32 = window.originals.iter().sum();
             let repeats: u32 = window.repeats.iter().sum();
-            let allowance = USED_PART * (ratio * f64::from(firsts) + slack);
+            let allowance = USED_PART * (ratio * f64::from(originals) + slack);
             (f64::from(repeats) / allowance.max(1.0)).min(1.0)
         })
     }
--- a/crates/kumquatnotch-policy/src/caller_trips.rs
+++ b/crates/kumquatnotch-policy/src/caller_rtt.rs
@@ -12,33 +12,33 @@
 const WINDOW: usize = 64;
 
 /// The fewest ways that count.
-const LEAST: usize = 5;
+const MIN_SAMPLES: usize = 5;
 
 /// The way that is assumed before: a few milliseconds in each direction, as within a region.
 ///
 /// Too long a guess leaves out parts that would have been in time, too short a one makes
 /// answers late that would have been worth most: the second is dearer by far.
-const FIRST_TRIP: Duration = Duration::from_millis(8);
+const INITIAL_RTT: Duration = Duration::from_millis(8);
 
 /// The longest way that is believed.
 ///
 /// A caller that takes longer to close its connection was busy.
-const LONGEST: Duration = Duration::from_millis(250);
+const MAX_RTT: Duration = Duration::from_millis(250);
 
 /// The ways to callers and back, as they were measured last.
 #[derive(Debug, Default)]
-pub struct CallerTrips {
+pub struct CallerRtt {
     last: RefCell<VecDeque<Duration>>,
 }
 
-impl CallerTrips {
+impl CallerRtt {
     /// Notes a way.
-    pub fn note(&self, trip: Duration) {
+    pub fn note(&self, rtt: Duration) {
         let mut last = self.last.borrow_mut();
         if last.len() == WINDOW {
             last.pop_front();
         }
-        last.push_back(trip.min(LONGEST));
+        last.push_back(rtt.min(MAX_RTT));
     }
 
     /// The way of most callers.
@@ -46,8 +46,8 @@
     /// The median: a node that is busy sees some of its callers close late.
     pub fn usual(&self) -> Duration {
         let last = self.last.borrow();
-        if last.len() < LEAST {
-            return FIRST_TRIP;
+        if last.len() < MIN_SAMPLES {
+            return INITIAL_RTT;
         }
         let mut sorted: Vec<Duration> = last.iter().copied().collect();
         let middle = sorted.len() / 2;
--- a/crates/kumquatnotch-policy/src/patience.rs
+++ b/crates/kumquatnotch-policy/src/caller_timeouts.rs
@@ -9,24 +9,24 @@
 use kumquatnotch_core::{collections::HashMap, ids::RouteName};
 
 /// What of the missing time may have been spent on the way.
-const WAY_SLACK: Duration = Duration::from_millis(20);
+const NETWORK_SLACK: Duration = Duration::from_millis(20);
 
 /// How many callers of a route are compared with its timeout, before what was seen counts.
-const FIRST_CALLERS: u32 = 20;
+const WARMUP_CALLERS: u32 = 20;
 
 /// The most time that callers of each route were seen to have.
 #[derive(Debug, Default)]
-pub struct Patience {
-    known: RefCell<HashMap<RouteName, Known>>,
+pub struct CallerTimeouts {
+    known: RefCell<HashMap<RouteName, RouteTimeouts>>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct RouteTimeouts {
     most: Duration,
     callers: u32,
 }
 
-impl Patience {
+impl CallerTimeouts {
     /// How long a caller that has `left` has waited, as far as can be told.
     ///
     /// A node that has just started has seen nobody. After an outage most of its callers come
@@ -37,8 +37,8 @@
         let known = known.entry(route.clone()).or_default();
         known.most = known.most.max(left);
         known.callers = known.callers.saturating_add(1);
-        let is_new = known.callers <= FIRST_CALLERS;
+        let is_new = known.callers <= WARMUP_CALLERS;
         let most = if is_new { known.most.max(timeout) } else { known.most };
-        most.saturating_sub(left + WAY_SLACK)
+        most.saturating_sub(left + NETWORK_SLACK)
     }
 }
--- a/crates/kumquatnotch-policy/src/choice.rs
+++ b/crates/kumquatnotch-policy/src/choice.rs
@@ -38,7 +38,7 @@
 
 /// What is known of the call.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Need {
+pub struct CallProfile {
     /// The calls that wait for the same shard before it.
     pub ahead: usize,
     /// Whether a caller waits at the desk for it.
@@ -57,7 +57,7 @@
 /// The decision which replica runs a call.
 pub trait Choice {
     /// Picks one of `candidates`, of those with a free slot only.
-    fn pick(&self, candidates: &[Candidate], need: Need, random: &Random) -> Pick;
+    fn pick(&self, candidates: &[Candidate], need: CallProfile, random: &Random) -> Pick;
 }
 
 /// Each in turn: the baseline.
@@ -67,7 +67,7 @@
 }
 
 impl Choice for RoundRobin {
-    fn pick(&self, candidates: &[Candidate], _need: Need, _random: &Random) -> Pick {
+    fn pick(&self, candidates: &[Candidate], _need: CallProfile, _random: &Random) -> Pick {
         let start = self.next.get();
         self.next.set(start.wrapping_add(1));
         (0..candidates.len())
@@ -82,7 +82,7 @@
 pub struct ReportedLoad;
 
 impl Choice for ReportedLoad {
-    fn pick(&self, candidates: &[Candidate], _need: Need, random: &Random) -> Pick {
+    fn pick(&self, candidates: &[Candidate], _need: CallProfile, random: &Random) -> Pick {
         let free = candidates.iter().enumerate().filter(|(_, candidate)| candidate.is_free());
         free.min_by_key(|(_, candidate)| (candidate.reported, random.number()))
             .map_or(Pick::Wait, |(index, _)| Pick::Take(index))
@@ -90,23 +90,23 @@
 }
 
 /// The latency assumed of a replica that has not answered yet, without its distance.
-const FIRST_LATENCY: Duration = Duration::from_millis(5);
+const INITIAL_LATENCY: Duration = Duration::from_millis(5);
 /// A replica idle for longer gets one call, so that its recovery is seen.
-const TRIAL_IDLE: Duration = Duration::from_secs(1);
+const PROBE_IDLE: Duration = Duration::from_secs(1);
 /// The same for calls that someone waits for at the desk.
-const URGENT_TRIAL_IDLE: Duration = Duration::from_secs(4);
+const URGENT_PROBE_IDLE: Duration = Duration::from_secs(4);
 /// The share of calls given to a cold replica, so that it gets warm.
 ///
 /// It lies below the hedge budget, so that most of them can be rescued.
-const WARM_SHARE: f64 = 0.02;
+const WARMUP_SHARE: f64 = 0.02;
 
 /// The least expected time to the answer.
 #[derive(Debug, Default)]
 pub struct LeastTime;
 
 impl Choice for LeastTime {
-    fn pick(&self, candidates: &[Candidate], need: Need, random: &Random) -> Pick {
-        if let Some(index) = trial(candidates, need, random) {
+    fn pick(&self, candidates: &[Candidate], need: CallProfile, random: &Random) -> Pick {
+        if let Some(index) = probe(candidates, need, random) {
             return Pick::Take(index);
         }
         let warm = candidates.iter().any(|candidate| !candidate.warming);
@@ -129,21 +129,21 @@
 }
 
 /// The candidate that gets this call for the sake of knowing it.
-fn trial(candidates: &[Candidate], need: Need, random: &Random) -> Option<usize> {
+fn probe(candidates: &[Candidate], need: CallProfile, random: &Random) -> Option<usize> {
     if candidates.len() < 2 {
         return None;
     }
-    let idle = if need.urgent { URGENT_TRIAL_IDLE } else { TRIAL_IDLE };
+    let idle = if need.urgent { URGENT_PROBE_IDLE } else { PROBE_IDLE };
     candidates.iter().position(|candidate| {
         let quiet = candidate.in_flight == 0 && candidate.is_free();
         let due = candidate.idle >= idle;
-        quiet && (due || (candidate.warming && random.chance(WARM_SHARE)))
+        quiet && (due || (candidate.warming && random.chance(WARMUP_SHARE)))
     })
 }
 
 /// The expected time to the answer, in seconds.
 fn expected_time(candidate: &Candidate, ahead: usize) -> f64 {
-    let latency = candidate.latency.unwrap_or(FIRST_LATENCY + 2 * candidate.delay).as_secs_f64();
+    let latency = candidate.latency.unwrap_or(INITIAL_LATENCY + 2 * candidate.delay).as_secs_f64();
     let slots = f64::from(candidate.slots.clamp(1, 1_000_000));
     if candidate.is_free() {
         // Of equal replicas the one with more free slots is taken.
--- a/crates/kumquatnotch-policy/src/completion.rs
+++ b/crates/kumquatnotch-policy/src/completion.rs
@@ -19,7 +19,7 @@
     /// It waits for more parts.
     Wait,
     /// It is late, has enough, and waits for this much longer.
-    Linger(Duration),
+    Grace(Duration),
     /// It is answered.
     Answer,
 }
@@ -30,7 +30,7 @@
     /// How many shards there are.
     total: usize,
     /// How many parts an answer must have at least.
-    least: usize,
+    min_parts: usize,
     stage: Stage,
 }
 
@@ -45,15 +45,15 @@
 }
 
 impl Completion {
-    /// A search over `total` shards whose answer needs `least` parts.
-    pub fn new(total: usize, least: usize) -> Completion {
-        Completion { total, least, stage: Stage::Early }
+    /// A search over `total` shards whose answer needs `min_parts` parts.
+    pub fn new(total: usize, min_parts: usize) -> Completion {
+        Completion { total, min_parts, stage: Stage::Early }
     }
 
     /// Notes that the time is over in which the answer is worth most, or in which it
     /// lingers.
     pub fn note_due(&mut self, parts: usize) {
-        self.stage = if parts < self.least { Stage::Late } else { Stage::Due };
+        self.stage = if parts < self.min_parts { Stage::Late } else { Stage::Due };
     }
 
     /// What comes next with so many parts.
@@ -61,7 +61,7 @@
         if parts >= self.total {
             return Next::Answer;
         }
-        if parts < self.least {
+        if parts < self.min_parts {
             return Next::Wait;
         }
         match self.stage {
@@ -69,7 +69,7 @@
             Stage::Due => Next::Answer,
             Stage::Late => {
                 self.stage = Stage::Early;
-                Next::Linger(LATE_GRACE)
+                Next::Grace(LATE_GRACE)
             }
         }
     }
@@ -79,7 +79,7 @@
     ///
     /// They come too late to make an answer in time fuller, so only if there is none
     /// without them.
-    pub fn needs_more(&self, parts: usize, to_come: usize) -> bool {
-        parts + to_come < self.least
+    pub fn needs_retry(&self, parts: usize, to_come: usize) -> bool {
+        parts + to_come < self.min_parts
     }
 }
--- a/crates/kumquatnotch-policy/src/containment.rs
+++ b/crates/kumquatnotch-policy/src/containment.rs
@@ -76,13 +76,13 @@
 }
 
 /// The crashes after which a request is contained.
-const MOST_STRIKES: u32 = 2;
+const MIN_STRIKES: u32 = 2;
 /// How long a contained request is refused.
-const CONTAINED_SPAN: Duration = Duration::from_secs(600);
+const CONTAINMENT_TIME: Duration = Duration::from_secs(600);
 /// How long a suspicion lasts beyond the last crash.
-const SUSPECT_SPAN: Duration = Duration::from_secs(3600);
+const SUSPICION_TIME: Duration = Duration::from_secs(3600);
 /// The most suspects kept; the oldest go first.
-const MOST_SUSPECTS: usize = 4096;
+const MAX_SUSPECTS: usize = 4096;
 
 /// Suspects run alone, and are contained at their second crash.
 #[derive(Debug, Default)]
@@ -105,7 +105,7 @@
         };
         match suspect.until {
             Some(until) if until > now => Verdict::Refused(until - now),
-            _ if now.saturating_duration_since(suspect.last) > SUSPECT_SPAN => Verdict::Free,
+            _ if now.saturating_duration_since(suspect.last) > SUSPICION_TIME => Verdict::Free,
             _ => Verdict::Alone,
         }
     }
@@ -136,10 +136,10 @@
             return None;
         }
         let suspect = self.suspects.get_mut(&running.print)?;
-        if suspect.strikes < MOST_STRIKES {
+        if suspect.strikes < MIN_STRIKES {
             return None;
         }
-        suspect.until = Some(now + CONTAINED_SPAN);
+        suspect.until = Some(now + CONTAINMENT_TIME);
         Some(running.print)
     }
 
@@ -156,18 +156,18 @@
     }
 
     fn span(&self) -> Duration {
-        CONTAINED_SPAN
+        CONTAINMENT_TIME
     }
 }
 
 impl StrikeContainment {
     fn make_room(&mut self, now: Instant) {
-        if self.suspects.len() < MOST_SUSPECTS {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         let age = |suspect: &Suspect| now.saturating_duration_since(suspect.last);
-        self.suspects.retain(|_, suspect| age(suspect) < CONTAINED_SPAN);
-        if self.suspects.len() < MOST_SUSPECTS {
+        self.suspects.retain(|_, suspect| age(suspect) < CONTAINMENT_TIME);
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         let oldest = self.suspects.iter().max_by_key(|(_, suspect)| age(suspect));
--- a/crates/kumquatnotch-policy/src/crashes.rs
+++ b/crates/kumquatnotch-policy/src/crashes.rs
@@ -24,7 +24,7 @@
 /// How often a request must have been there when replicas crashed to be refused.
 ///
 /// Two may be chance: a caller that comes again after a crash can meet another one.
-const MOST_STRIKES: u32 = 3;
+const MIN_STRIKES: u32 = 3;
 
 /// The time within which all crashes with a request count once.
 ///
@@ -34,27 +34,27 @@
 const STRIKE_GAP: Duration = Duration::from_millis(2_500);
 
 /// How long after the last crash a request is suspected.
-const SUSPECT_SPAN: Duration = Duration::from_secs(120);
+const SUSPICION_TIME: Duration = Duration::from_secs(120);
 
 /// How long such a request is refused at first; it doubles with each further crash.
 ///
 /// One attempt is let in after it, so that a request that was there by chance is
 /// refused no longer, and one that does crash replicas does so only a few times more.
-const FIRST_SPAN: Duration = Duration::from_secs(15);
+const INITIAL_REFUSAL: Duration = Duration::from_secs(15);
 
 /// How long a request is refused at most.
-const MOST_SPAN: Duration = Duration::from_secs(600);
+const MAX_REFUSAL: Duration = Duration::from_secs(600);
 
 /// The most requests that are suspected; the oldest suspicion goes first.
-const MOST_SUSPECTS: usize = 1_024;
+const MAX_SUSPECTS: usize = 1_024;
 
 /// The most crashes that are remembered as counted, about half a megabyte.
 ///
 /// What is told again after they were forgotten counts once more, as one crash.
-const MOST_COUNTED: usize = 32_768;
+const MAX_COUNTED: usize = 32_768;
 
 /// The most crashes that a node tells the others of: the latest.
-const MOST_TOLD: usize = 64;
+const MAX_PUBLISHED: usize = 64;
 
 /// A crash of a replica while it had a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -84,7 +84,7 @@
     /// answer has cleared the request.
     counted: RefCell<HashSet<Crash>>,
     /// The crashes that this node has seen itself, the latest last.
-    told: RefCell<Vec<Crash>>,
+    published: RefCell<Vec<Crash>>,
 }
 
 #[derive(Debug)]
@@ -100,14 +100,14 @@
 impl Crashes {
     /// Notes a crash that this node has seen; tells if the request is refused by now.
     pub fn note(&self, crash: Crash, now: Instant) -> Option<Refused> {
-        let mut told = self.told.borrow_mut();
-        if told.contains(&crash) {
+        let mut published = self.published.borrow_mut();
+        if published.contains(&crash) {
             return None;
         }
-        if told.len() == MOST_TOLD {
-            told.remove(0);
+        if published.len() == MAX_PUBLISHED {
+            published.remove(0);
         }
-        told.push(crash);
+        published.push(crash);
         self.suspect(crash, now)
     }
 
@@ -139,20 +139,20 @@
     }
 
     /// What this node tells the others.
-    pub fn told(&self) -> Vec<Crash> {
-        self.told.borrow().clone()
+    pub fn published(&self) -> Vec<Crash> {
+        self.published.borrow().clone()
     }
 
     fn suspect(&self, crash: Crash, now: Instant) -> Option<Refused> {
         let mut counted = self.counted.borrow_mut();
-        if counted.len() >= MOST_COUNTED {
+        if counted.len() >= MAX_COUNTED {
             counted.clear();
         }
         if !counted.insert(crash) {
             return None;
         }
         let mut suspects = self.suspects.borrow_mut();
-        if suspects.len() >= MOST_SUSPECTS && !suspects.contains_key(&crash.print) {
+        if suspects.len() >= MAX_SUSPECTS && !suspects.contains_key(&crash.print) {
             let oldest = suspects.iter().min_by_key(|(_, suspect)| suspect.last);
             if let Some(print) = oldest.map(|(print, _)| *print) {
                 suspects.remove(&print);
@@ -163,23 +163,23 @@
         if suspect.strikes > 0 && since < STRIKE_GAP {
             return None;
         }
-        if since > SUSPECT_SPAN {
+        if since > SUSPICION_TIME {
             *suspect = Suspect::new(now);
         }
         suspect.strikes += 1;
         suspect.last = now;
-        if suspect.strikes < MOST_STRIKES {
+        if suspect.strikes < MIN_STRIKES {
             return None;
         }
         let span = suspect.span;
         suspect.until = Some(now + span);
-        suspect.span = (span * 2).min(MOST_SPAN);
+        suspect.span = (span * 2).min(MAX_REFUSAL);
         Some(Refused { print: crash.print, strikes: suspect.strikes, span })
     }
 }
 
 impl Suspect {
     fn new(now: Instant) -> Suspect {
-        Suspect { strikes: 0, last: now, until: None, span: FIRST_SPAN }
+        Suspect { strikes: 0, last: now, until: None, span: INITIAL_REFUSAL }
     }
 }
--- a/crates/kumquatnotch-policy/src/distances.rs
+++ b/crates/kumquatnotch-policy/src/distances.rs
@@ -40,7 +40,7 @@
     }
 
     /// The way there and back.
-    pub fn trip(&self) -> Duration {
+    pub fn round_trip(&self) -> Duration {
         self.measured.get().unwrap_or(self.guess.get())
     }
 
@@ -56,7 +56,7 @@
 pub struct Distances {
     home: RefCell<Option<(DataCentre, Region)>>,
     regions: RefCell<HashMap<DataCentre, Region>>,
-    ways: RefCell<HashMap<DataCentre, Rc<Distance>>>,
+    distances: RefCell<HashMap<DataCentre, Rc<Distance>>>,
 }
 
 impl Distances {
@@ -68,10 +68,10 @@
     /// Sets in which region each data centre lies.
     pub fn set_regions(&self, regions: HashMap<DataCentre, Region>) {
         *self.regions.borrow_mut() = regions;
-        for (centre, way) in self.ways.borrow().iter() {
+        for (centre, distance) in self.distances.borrow().iter() {
             let guess = self.guess(centre);
-            way.guess.set(guess);
-            way.is_far.set(guess >= OTHER_REGION);
+            distance.guess.set(guess);
+            distance.is_far.set(guess >= OTHER_REGION);
         }
     }
 
@@ -82,23 +82,23 @@
 
     /// The way to a data centre.
     pub fn to(&self, centre: &DataCentre) -> Rc<Distance> {
-        if let Some(way) = self.ways.borrow().get(centre) {
-            return way.clone();
+        if let Some(distance) = self.distances.borrow().get(centre) {
+            return distance.clone();
         }
         let guess = self.guess(centre);
-        let way = Rc::new(Distance {
+        let distance = Rc::new(Distance {
             is_far: Cell::new(guess >= OTHER_REGION),
             guess: Cell::new(guess),
             measured: Cell::new(None),
         });
-        self.ways.borrow_mut().insert(centre.clone(), way.clone());
-        way
+        self.distances.borrow_mut().insert(centre.clone(), distance.clone());
+        distance
     }
 
     /// The longest of the ways that were measured.
-    pub fn farthest(&self) -> Duration {
-        let ways = self.ways.borrow();
-        ways.values().filter_map(|way| way.measured.get()).max().unwrap_or_default()
+    pub fn max_round_trip(&self) -> Duration {
+        let distances = self.distances.borrow();
+        distances.values().filter_map(|distance| distance.measured.get()).max().unwrap_or_default()
     }
 
     fn guess(&self, centre: &DataCentre) -> Duration {
--- a/crates/kumquatnotch-policy/src/fair.rs
+++ b/crates/kumquatnotch-policy/src/fair.rs
@@ -12,29 +12,29 @@
 
 use kumquatnotch_core::{Error, Result, document::Class, ids::TenantName};
 
-use crate::queue::{MOST_OFFERS, Pace, Turn, WaitQueue, Waiter};
+use crate::queue::{MAX_OFFERS, ServiceRate, SlotOffer, WaitQueue, Waiter};
 
 /// The slots out of a hundred assured to each class while others wait too.
 ///
 /// Without them a desk that never pauses would keep the audits from ever ending.
-const ASSURED: [f64; 3] = [1.0, 0.10, 0.03];
+const GUARANTEED_SHARE: [f64; 3] = [1.0, 0.10, 0.03];
 /// The slots owed to a class at which it goes before less urgent waiters only.
-const OWED: f64 = 1.0;
+const GUARANTEE_DEFICIT: f64 = 1.0;
 /// The slots owed to a class at which it goes before everyone, the desk too.
 ///
 /// A burst at the desk passes long before; only a desk that fills every slot for
 /// good lets the debt grow this high.
-const LONG_OWED: f64 = 10.0;
+const STARVATION_DEFICIT: f64 = 10.0;
 /// The slots that a class may have had beyond its assured ones.
-const MOST_CREDIT: f64 = 10.0;
+const MAX_CREDIT: f64 = 10.0;
 /// The share of its time that a request may be expected to wait.
-const WAIT_SHARE: f64 = 0.5;
+const MAX_WAIT_SHARE: f64 = 0.5;
 /// The most waiters of one shard.
-const MOST_WAITERS: usize = 4096;
+const MAX_WAITERS: usize = 4096;
 /// The weight of a new interval in the moving mean.
 const INTERVAL_WEIGHT: f64 = 0.1;
 /// The shortest time that a refused caller is told to stay away.
-const LEAST_RETRY: Duration = Duration::from_millis(20);
+const MIN_RETRY: Duration = Duration::from_millis(20);
 
 /// Classes by urgency, tenants by weight, requests by deadline.
 #[derive(Debug)]
@@ -45,16 +45,16 @@
 
 #[derive(Debug, Default)]
 struct ClassQueue {
-    lanes: Vec<Lane>,
+    tenants: Vec<TenantQueue>,
     len: usize,
-    floor: f64,
-    owed: f64,
+    virtual_time: f64,
+    deficit: f64,
     served: Option<Instant>,
     interval: Option<f64>,
 }
 
 #[derive(Debug)]
-struct Lane {
+struct TenantQueue {
     tenant: TenantName,
     weight: f64,
     pass: f64,
@@ -73,15 +73,15 @@
         class: Class,
         tenant: &TenantName,
         weight: u32,
-        pace: Pace,
+        rate: ServiceRate,
     ) -> Duration {
         if self.len == 0 {
             return Duration::ZERO;
         }
         let rank = class as usize;
-        let own = self.classes[rank].place(tenant, weight);
+        let own = self.classes[rank].position(tenant, weight);
         let before: usize = self.classes[..rank].iter().map(|queue| queue.len).sum();
-        let each = pace.service.as_secs_f64() / f64::from(pace.slots.max(1));
+        let each = rate.service.as_secs_f64() / f64::from(rate.slots.max(1));
         let by_pace = (own + before as f64) * each;
         // More urgent requests that are still to come show in the interval at
         // which this class is being served, not in the queue.
@@ -89,14 +89,14 @@
         Duration::from_secs_f64(by_pace.max(by_interval))
     }
 
-    fn admit(&self, waiter: &Waiter, pace: Pace, now: Instant) -> Result<()> {
-        let wait = self.expected_wait(waiter.class, &waiter.tenant, waiter.weight, pace);
+    fn admit(&self, waiter: &Waiter, rate: ServiceRate, now: Instant) -> Result<()> {
+        let wait = self.expected_wait(waiter.class, &waiter.tenant, waiter.weight, rate);
         let left = waiter.deadline.saturating_duration_since(now);
-        let bound = left.mul_f64(WAIT_SHARE);
-        if wait <= bound && self.len < MOST_WAITERS {
+        let bound = left.mul_f64(MAX_WAIT_SHARE);
+        if wait <= bound && self.len < MAX_WAITERS {
             return Ok(());
         }
-        Err(Error::overloaded(wait.saturating_sub(bound).max(LEAST_RETRY)))
+        Err(Error::overloaded(wait.saturating_sub(bound).max(MIN_RETRY)))
     }
 
     fn push(&mut self, waiter: Waiter) {
@@ -107,7 +107,7 @@
     fn take(
         &mut self,
         now: Instant,
-        fits: &mut dyn FnMut(&Waiter, Turn) -> bool,
+        fits: &mut dyn FnMut(&Waiter, SlotOffer) -> bool,
     ) -> Option<Waiter> {
         let waiter = self.find(fits)?;
         self.remove(&waiter);
@@ -122,21 +122,21 @@
     }
 
     fn expire(&mut self, now: Instant) -> Vec<Waiter> {
-        let mut gone = Vec::new();
+        let mut expired = Vec::new();
         for queue in &mut self.classes {
-            for lane in &mut queue.lanes {
-                while let Some(first) = lane.waiters.first_entry() {
+            for tenant_queue in &mut queue.tenants {
+                while let Some(first) = tenant_queue.waiters.first_entry() {
                     if first.key().0 > now {
                         break;
                     }
-                    gone.push(first.remove());
+                    expired.push(first.remove());
                     queue.len -= 1;
                     self.len -= 1;
                 }
             }
             queue.drop_empty();
         }
-        gone
+        expired
     }
 
     fn len(&self) -> usize {
@@ -145,18 +145,18 @@
 }
 
 impl FairQueue {
-    fn find(&self, fits: &mut dyn FnMut(&Waiter, Turn) -> bool) -> Option<Waiter> {
+    fn find(&self, fits: &mut dyn FnMut(&Waiter, SlotOffer) -> bool) -> Option<Waiter> {
         let mut ahead = 0;
-        let [desk, lesser @ ..] = &self.classes;
-        let starved = lesser.iter().filter(|queue| queue.owed >= LONG_OWED);
-        let owed = lesser.iter().filter(|queue| queue.owed >= OWED);
+        let [desk, lower @ ..] = &self.classes;
+        let starved = lower.iter().filter(|queue| queue.deficit >= STARVATION_DEFICIT);
+        let owed = lower.iter().filter(|queue| queue.deficit >= GUARANTEE_DEFICIT);
         let rounds = starved
             .map(|queue| (queue, true))
             .chain(std::iter::once((desk, false)))
             .chain(owed.map(|queue| (queue, true)))
-            .chain(lesser.iter().map(|queue| (queue, false)));
-        for (queue, assured) in rounds {
-            if let Some(waiter) = queue.offer(assured, &mut ahead, fits) {
+            .chain(lower.iter().map(|queue| (queue, false)));
+        for (queue, guaranteed) in rounds {
+            if let Some(waiter) = queue.offer(guaranteed, &mut ahead, fits) {
                 return Some(waiter);
             }
         }
@@ -167,13 +167,14 @@
         let rank = waiter.class as usize;
         for (other, queue) in self.classes.iter_mut().enumerate().skip(1) {
             if other != rank && queue.len > 0 {
-                queue.owed = (queue.owed + ASSURED[other]).min(LONG_OWED + 1.0);
+                queue.deficit =
+                    (queue.deficit + GUARANTEED_SHARE[other]).min(STARVATION_DEFICIT + 1.0);
             }
         }
         let queue = &mut self.classes[rank];
         queue.charge(&waiter.tenant);
-        queue.owed = (queue.owed - 1.0).max(-MOST_CREDIT);
-        queue.measure(now);
+        queue.deficit = (queue.deficit - 1.0).max(-MAX_CREDIT);
+        queue.record_interval(now);
     }
 }
 
@@ -182,24 +183,33 @@
         self.len += 1;
         let key = (waiter.deadline, waiter.id);
         // A tenant that comes back starts level with the others: what it left
-        // unused is gone, so it can't claim every slot for a while.
-        if let Some(lane) = self.lanes.iter_mut().find(|lane| lane.tenant == waiter.tenant) {
-            lane.pass = lane.pass.max(self.floor);
-            lane.waiters.insert(key, waiter);
+        // unused is expired, so it can't claim every slot for a while.
+        if let Some(tenant_queue) =
+            self.tenants.iter_mut().find(|tenant_queue| tenant_queue.tenant == waiter.tenant)
+        {
+            tenant_queue.pass = tenant_queue.pass.max(self.virtual_time);
+            tenant_queue.waiters.insert(key, waiter);
             return;
         }
         let weight = f64::from(waiter.weight.max(1));
-        let pass = self.floor;
+        let pass = self.virtual_time;
         let tenant = waiter.tenant.clone();
-        self.lanes.push(Lane { tenant, weight, pass, waiters: BTreeMap::from([(key, waiter)]) });
+        self.tenants.push(TenantQueue {
+            tenant,
+            weight,
+            pass,
+            waiters: BTreeMap::from([(key, waiter)]),
+        });
     }
 
     fn remove(&mut self, waiter: &Waiter) -> bool {
         let key = (waiter.deadline, waiter.id);
-        let Some(lane) = self.lanes.iter_mut().find(|lane| lane.tenant == waiter.tenant) else {
+        let Some(tenant_queue) =
+            self.tenants.iter_mut().find(|tenant_queue| tenant_queue.tenant == waiter.tenant)
+        else {
             return false;
         };
-        let removed = lane.waiters.remove(&key).is_some();
+        let removed = tenant_queue.waiters.remove(&key).is_some();
         if removed {
             self.len -= 1;
         }
@@ -209,21 +219,21 @@
     /// Offers a slot to the waiters in order; the first that it fits.
     fn offer(
         &self,
-        assured: bool,
+        guaranteed: bool,
         ahead: &mut usize,
-        fits: &mut dyn FnMut(&Waiter, Turn) -> bool,
+        fits: &mut dyn FnMut(&Waiter, SlotOffer) -> bool,
     ) -> Option<Waiter> {
         if self.len == 0 {
             return None;
         }
-        let mut lanes: Vec<&Lane> =
-            self.lanes.iter().filter(|lane| !lane.waiters.is_empty()).collect();
-        lanes.sort_by(|a, b| a.pass.total_cmp(&b.pass));
-        for waiter in lanes.iter().flat_map(|lane| lane.waiters.values()) {
-            if *ahead >= MOST_OFFERS {
+        let mut tenants: Vec<&TenantQueue> =
+            self.tenants.iter().filter(|tenant_queue| !tenant_queue.waiters.is_empty()).collect();
+        tenants.sort_by(|a, b| a.pass.total_cmp(&b.pass));
+        for waiter in tenants.iter().flat_map(|tenant_queue| tenant_queue.waiters.values()) {
+            if *ahead >= MAX_OFFERS {
                 return None;
             }
-            if fits(waiter, Turn { ahead: *ahead, assured }) {
+            if fits(waiter, SlotOffer { ahead: *ahead, guaranteed }) {
                 return Some(waiter.clone());
             }
             *ahead += 1;
@@ -232,25 +242,29 @@
     }
 
     /// The place that a new request of `tenant` would have in this class.
-    fn place(&self, tenant: &TenantName, weight: u32) -> f64 {
+    fn position(&self, tenant: &TenantName, weight: u32) -> f64 {
         let weight = f64::from(weight.max(1));
-        let own = self.lanes.iter().find(|lane| lane.tenant == *tenant);
-        let own = own.map_or(0, |lane| lane.waiters.len()) as f64 + 1.0;
-        let others = self.lanes.iter().filter(|lane| lane.tenant != *tenant);
-        let before = others.map(|lane| (own * lane.weight / weight).min(lane.waiters.len() as f64));
+        let own = self.tenants.iter().find(|tenant_queue| tenant_queue.tenant == *tenant);
+        let own = own.map_or(0, |tenant_queue| tenant_queue.waiters.len()) as f64 + 1.0;
+        let others = self.tenants.iter().filter(|tenant_queue| tenant_queue.tenant != *tenant);
+        let before = others.map(|tenant_queue| {
+            (own * tenant_queue.weight / weight).min(tenant_queue.waiters.len() as f64)
+        });
         own + before.sum::<f64>()
     }
 
     /// Makes `tenant` pay for a slot by its weight.
     fn charge(&mut self, tenant: &TenantName) {
-        if let Some(lane) = self.lanes.iter_mut().find(|lane| lane.tenant == *tenant) {
-            self.floor = self.floor.max(lane.pass);
-            lane.pass += 1.0 / lane.weight;
+        if let Some(tenant_queue) =
+            self.tenants.iter_mut().find(|tenant_queue| tenant_queue.tenant == *tenant)
+        {
+            self.virtual_time = self.virtual_time.max(tenant_queue.pass);
+            tenant_queue.pass += 1.0 / tenant_queue.weight;
         }
     }
 
     /// Learns the interval at which this class is served while it waits.
-    fn measure(&mut self, now: Instant) {
+    fn record_interval(&mut self, now: Instant) {
         let served = self.served.replace(now);
         if self.len == 0 {
             self.served = None;
@@ -269,9 +283,9 @@
     }
 
     fn drop_empty(&mut self) {
-        self.lanes.retain(|lane| !lane.waiters.is_empty());
+        self.tenants.retain(|tenant_queue| !tenant_queue.waiters.is_empty());
         if self.len == 0 {
-            self.owed = self.owed.min(0.0);
+            self.deficit = self.deficit.min(0.0);
         }
     }
 }
--- a/crates/kumquatnotch-policy/src/forecast.rs
+++ b/crates/kumquatnotch-policy/src/forecast.rs
@@ -12,58 +12,58 @@
 use std::time::Duration;
 
 use crate::{
-    quickest::{Rating, SUSPECT},
-    startup::RETRY_PART,
+    rating::{Rating, SUSPECT_RANK},
+    startup::MAX_RETRY_PART,
 };
 
 /// The part of the time left that a late part may be expected to take.
-const LATE_PART: f64 = 0.7;
+const MAX_LATE_PART: f64 = 0.7;
 
 /// The bounds of the time after which a refused search may come back.
-const RETRY: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(400));
+const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(400));
 
 /// The longest time that a queue is taken to last when a caller is told when to come back.
-const MOST_OVER: f64 = 1.0;
+const MAX_EXCESS_S: f64 = 1.0;
 
 /// What a search needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Requirements {
     /// The time in which an answer is worth most.
-    pub left: Duration,
+    pub objective_left: Duration,
     /// The time left in all.
-    pub time: Duration,
+    pub time_left: Duration,
     /// How many parts an answer must have at least.
-    pub least: usize,
+    pub min_parts: usize,
     /// By what the expected time at a replica without a free slot is multiplied.
     pub margin: f64,
 }
 
 /// What is to be expected of a request to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Outlook {
+pub enum Prediction {
     /// Its reply is expected in time.
-    Fine,
+    InTime,
     /// Its reply is expected too late, as its replicas are slow or answer nothing.
-    Hopeless,
+    TooSlow,
     /// Its reply is expected too late, as too many requests wait at its replicas.
     Congested,
 }
 
-impl Outlook {
+impl Prediction {
     /// What is to be expected of the best replica of a service.
-    pub fn new(best: &Rating, terms: &Terms) -> Outlook {
-        let left = terms.left.as_secs_f64();
-        if best.reluctance >= SUSPECT || best.unqueued > left {
-            return Outlook::Hopeless;
+    pub fn new(best: &Rating, requirements: &Requirements) -> Prediction {
+        let left = requirements.objective_left.as_secs_f64();
+        if best.rank >= SUSPECT_RANK || best.unqueued > left {
+            return Prediction::TooSlow;
         }
-        let times = if best.is_full { terms.margin } else { 1.0 };
-        if best.expected * times > left { Outlook::Congested } else { Outlook::Fine }
+        let times = if best.is_full { requirements.margin } else { 1.0 };
+        if best.expected * times > left { Prediction::Congested } else { Prediction::InTime }
     }
 }
 
 /// A shard that is expected to be late.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Late {
+pub struct LateShard {
     /// Its place in the set.
     pub index: usize,
     /// The expected time to its part, in seconds; without replicas, endless.
@@ -76,35 +76,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Forecast {
     /// Those expected in time, by their place in the set.
-    pub fine: Vec<usize>,
+    pub in_time: Vec<usize>,
     /// Those without which there are too few for an answer, the soonest first.
-    pub needed: Vec<Late>,
+    pub needed: Vec<LateShard>,
     /// The other late ones.
-    pub spared: Vec<Late>,
+    pub optional: Vec<LateShard>,
 }
 
 impl Forecast {
     /// Sorts shards by their best replicas; one without replicas has none.
-    pub fn new(best: impl IntoIterator<Item = Option<Rating>>, terms: &Terms) -> Forecast {
-        let mut fine = Vec::new();
-        let mut late: Vec<Late> = Vec::new();
+    pub fn new(
+        best: impl IntoIterator<Item = Option<Rating>>,
+        requirements: &Requirements,
+    ) -> Forecast {
+        let mut in_time = Vec::new();
+        let mut late: Vec<LateShard> = Vec::new();
         for (index, best) in best.into_iter().enumerate() {
             let Some(best) = best else {
-                late.push(Late { index, expected: f64::MAX, is_crowded: false });
+                late.push(LateShard { index, expected: f64::MAX, is_crowded: false });
                 continue;
             };
-            match Outlook::new(&best, terms) {
-                Outlook::Fine => fine.push(index),
-                outlook => {
-                    let is_crowded = outlook == Outlook::Congested;
-                    late.push(Late { index, expected: best.expected, is_crowded });
+            match Prediction::new(&best, requirements) {
+                Prediction::InTime => in_time.push(index),
+                prediction => {
+                    let is_crowded = prediction == Prediction::Congested;
+                    late.push(LateShard { index, expected: best.expected, is_crowded });
                 }
             }
         }
         late.sort_by(|one, other| one.expected.total_cmp(&other.expected));
-        let missing = terms.least.saturating_sub(fine.len());
-        let spared = late.split_off(missing.min(late.len()));
-        Forecast { fine, needed: late, spared }
+        let missing = requirements.min_parts.saturating_sub(in_time.len());
+        let optional = late.split_off(missing.min(late.len()));
+        Forecast { in_time, needed: late, optional }
     }
 
     /// When the caller is to come back, if shards without a replica leave too few others.
@@ -112,19 +115,21 @@
     /// After an outage of the store in which entries lapsed, replicas are known again one by
     /// one within two seconds. A search that ran on those known already would fail for
     /// certain, and its caller could not be told that it has not run.
-    pub fn absence(&self, terms: &Terms) -> Option<Duration> {
+    pub fn unavailable_retry(&self, requirements: &Requirements) -> Option<Duration> {
         let absent = self.needed.last()?.expected == f64::MAX;
-        absent.then(|| terms.time.mul_f64(RETRY_PART))
+        absent.then(|| requirements.time_left.mul_f64(MAX_RETRY_PART))
     }
 
     /// When the caller is to come back, if the search is to be refused as replicas are crowded.
-    pub fn refusal(&self, terms: &Terms) -> Option<Duration> {
+    pub fn overload_retry(&self, requirements: &Requirements) -> Option<Duration> {
         let slowest = self.needed.last()?.expected;
         let is_crowded = self.needed.iter().any(|late| late.is_crowded);
-        if slowest == f64::MAX || (!is_crowded && slowest < LATE_PART * terms.time.as_secs_f64()) {
+        if slowest == f64::MAX
+            || (!is_crowded && slowest < MAX_LATE_PART * requirements.time_left.as_secs_f64())
+        {
             return None;
         }
-        let over = (slowest - terms.left.as_secs_f64()).clamp(0.0, MOST_OVER);
-        Some(Duration::from_secs_f64(over).clamp(RETRY.0, RETRY.1))
+        let excess = (slowest - requirements.objective_left.as_secs_f64()).clamp(0.0, MAX_EXCESS_S);
+        Some(Duration::from_secs_f64(excess).clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1))
     }
 }
--- a/crates/kumquatnotch-policy/src/hedge.rs
+++ b/crates/kumquatnotch-policy/src/hedge.rs
@@ -79,28 +79,28 @@
 /// The answers after which the older half of what was learned is forgotten.
 const WINDOW: u64 = 4096;
 /// The answers before the first copy, and between two readings of the quantile.
-const READ_EVERY: u64 = 64;
+const UPDATE_INTERVAL: u64 = 64;
 /// The most copies saved up.
 ///
 /// It pays for the calls that a whole data centre holds when it is cut off.
-const MOST_TOKENS: f64 = 100.0;
+const MAX_TOKENS: f64 = 100.0;
 /// The longest delay, as a multiple of the median.
 ///
 /// If more replicas are slow than the quantile leaves out, the quantile is
 /// their latency and copies would come too late to help.
-const MOST_MEDIANS: u32 = 4;
+const MAX_MEDIANS: u32 = 4;
 /// The shortest delay.
-const LEAST_DELAY: Duration = Duration::from_millis(1);
+const MIN_DELAY: Duration = Duration::from_millis(1);
 /// The longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Copies after a learned quantile, out of a budget.
 #[derive(Debug)]
 pub struct QuantileHedge {
     options: HedgeOptions,
-    young: Histogram<u32>,
-    old: Histogram<u32>,
-    unread: u64,
+    recent: Histogram<u32>,
+    previous: Histogram<u32>,
+    unread_samples: u64,
     delay: Option<Duration>,
     tokens: f64,
 }
@@ -116,39 +116,39 @@
     pub fn new(options: HedgeOptions) -> QuantileHedge {
         QuantileHedge {
             options,
-            young: new_histogram(),
-            old: new_histogram(),
-            unread: 0,
+            recent: new_histogram(),
+            previous: new_histogram(),
+            unread_samples: 0,
             delay: None,
             tokens: 0.0,
         }
     }
 
-    fn read(&mut self) {
-        self.unread = 0;
-        let fuller = if self.old.is_empty() { &self.young } else { &self.old };
-        let late = fuller.value_at_quantile(self.options.quantile);
-        let median = fuller.value_at_quantile(0.5);
-        let late = late.min(median * u64::from(MOST_MEDIANS));
-        self.delay = Some(Duration::from_micros(late).max(LEAST_DELAY));
-        if self.young.len() >= WINDOW / 2 {
-            std::mem::swap(&mut self.young, &mut self.old);
-            self.young.reset();
+    fn update_delay(&mut self) {
+        self.unread_samples = 0;
+        let source = if self.previous.is_empty() { &self.recent } else { &self.previous };
+        let late = source.value_at_quantile(self.options.quantile);
+        let median = source.value_at_quantile(0.5);
+        let late = late.min(median * u64::from(MAX_MEDIANS));
+        self.delay = Some(Duration::from_micros(late).max(MIN_DELAY));
+        if self.recent.len() >= WINDOW / 2 {
+            std::mem::swap(&mut self.recent, &mut self.previous);
+            self.recent.reset();
         }
     }
 }
 
 impl Hedge for QuantileHedge {
     fn on_call(&mut self) {
-        self.tokens = (self.tokens + self.options.budget).min(MOST_TOKENS);
+        self.tokens = (self.tokens + self.options.budget).min(MAX_TOKENS);
     }
 
     fn on_latency(&mut self, latency: Duration) {
-        let micros = (latency.as_micros() as u64).clamp(1, LONGEST_US);
-        self.young.saturating_record(micros);
-        self.unread += 1;
-        if self.unread >= READ_EVERY {
-            self.read();
+        let micros = (latency.as_micros() as u64).clamp(1, MAX_LATENCY_US);
+        self.recent.saturating_record(micros);
+        self.unread_samples += 1;
+        if self.unread_samples >= UPDATE_INTERVAL {
+            self.update_delay();
         }
     }
 
@@ -166,5 +166,5 @@
 }
 
 fn new_histogram() -> Histogram<u32> {
-    Histogram::new_with_max(LONGEST_US, 2).expect("the bounds are constants that fit")
+    Histogram::new_with_max(MAX_LATENCY_US, 2).expect("the bounds are constants that fit")
 }
--- a/crates/kumquatnotch-policy/src/copies.rs
+++ b/crates/kumquatnotch-policy/src/hedge_timing.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 use crate::{
-    lateness::{is_silent, lateness, patient_slowness},
+    lateness::{bounded_slowness, is_silent, late_after},
     observed::Observed,
-    quickest::Rating,
+    rating::Rating,
 };
 
 /// The least part of the usual time after which a copy is sent.
 ///
 /// Before that, most replies are still to come and the copy would be wasted.
-const SOONEST_TIMES: f64 = 1.5;
+const MIN_DELAY_FACTOR: f64 = 1.5;
 
 /// After which time a copy is sent of a request to `first` that is due in `left`.
 ///
@@ -31,13 +31,13 @@
     left: Duration,
     now: Instant,
 ) -> Duration {
-    let late = lateness(first, usual, now);
+    let late = late_after(first, usual, now);
     let Some(other) = other else {
         return late;
     };
-    let times = SOONEST_TIMES * patient_slowness(first, now);
+    let times = MIN_DELAY_FACTOR * bounded_slowness(first, now);
     let soonest = first.round_trip() + usual.mul_f64(times);
-    let needed = Duration::from_secs_f64(other) + usual.mul_f64(SOONEST_TIMES - 1.0);
+    let needed = Duration::from_secs_f64(other) + usual.mul_f64(MIN_DELAY_FACTOR - 1.0);
     left.saturating_sub(needed).clamp(soonest.min(late), late)
 }
 
@@ -46,8 +46,8 @@
 /// It is if it can still be in time and takes nothing from others, as a slot is
 /// free. Otherwise only if all that were asked so far seem lost: where replicas are
 /// slow or crowded, copies make them more so.
-pub fn helps(other: &Rating, left: Duration, are_lost: impl FnOnce() -> bool) -> bool {
-    if !other.is_good() {
+pub fn is_worthwhile(other: &Rating, left: Duration, are_lost: impl FnOnce() -> bool) -> bool {
+    if !other.is_healthy() {
         return false;
     }
     let left = left.as_secs_f64();
@@ -66,7 +66,12 @@
 /// 16 to 22 in a hundred parts less. A replica that answers nothing is left at once, and one
 /// that is full is spared the work: on the heaviest days of a customer whose replicas are
 /// busy half of their time, that brings 48 to 198 more answers of 6,000 in time.
-pub fn is_soon_done(observed: &Observed, usual: Duration, took: Duration, now: Instant) -> bool {
-    let is_late = is_silent(observed, usual, now) || took >= lateness(observed, usual, now);
+pub fn should_await_loser(
+    observed: &Observed,
+    usual: Duration,
+    took: Duration,
+    now: Instant,
+) -> bool {
+    let is_late = is_silent(observed, usual, now) || took >= late_after(observed, usual, now);
     !is_late && !observed.is_full(now)
 }
--- a/crates/kumquatnotch-policy/src/lags.rs
+++ b/crates/kumquatnotch-policy/src/lags.rs
@@ -9,16 +9,16 @@
 ///
 /// Measured on nodes with a quarter of a core, at a tenth of their capacity: half of the
 /// answers that are given when they are due leave within 1.7 ms, nine of ten within 2.5 ms.
-const FIRST_LAG: Duration = Duration::from_micros(1_700);
+const INITIAL_LAG: Duration = Duration::from_micros(1_700);
 
 /// The longest lag that is believed; an answer that leaves later was late for lack of parts.
-const LONGEST_LAG: Duration = Duration::from_millis(30);
+const MAX_LAG: Duration = Duration::from_millis(30);
 
 /// How many of the last lags count.
-const LAGS: usize = 32;
+const WINDOW: usize = 32;
 
 /// The fewest lags that count.
-const LEAST_LAGS: usize = 8;
+const MIN_SAMPLES: usize = 8;
 
 /// How much later than due answers left the node lately.
 #[derive(Debug, Default)]
@@ -29,11 +29,11 @@
 impl Lags {
     /// Notes that an answer without some parts left so much later than due.
     pub fn note(&self, overdue: Duration) {
-        if overdue > LONGEST_LAG {
+        if overdue > MAX_LAG {
             return;
         }
         let mut last = self.last.borrow_mut();
-        if last.len() == LAGS {
+        if last.len() == WINDOW {
             last.pop_front();
         }
         last.push_back(overdue);
@@ -44,8 +44,8 @@
     /// The median: some answers leave late for lack of parts, however idle the node is.
     pub fn usual(&self) -> Duration {
         let last = self.last.borrow();
-        if last.len() < LEAST_LAGS {
-            return FIRST_LAG;
+        if last.len() < MIN_SAMPLES {
+            return INITIAL_LAG;
         }
         let mut sorted: Vec<Duration> = last.iter().copied().collect();
         let middle = sorted.len() / 2;
--- a/crates/kumquatnotch-policy/src/limit.rs
+++ b/crates/kumquatnotch-policy/src/limit.rs
@@ -3,7 +3,7 @@
 //! A replica has a few slots; how many is not told, differs between vendors and
 //! changes. [`LearnedLimit`] finds it from latencies alone. As long as there is
 //! a free slot, a call takes as long as it would alone; past the slots, the
-//! `n`th call waits, and latency grows by a factor of `n / (n - 1)` for each
+//! `n`th call is_queueing, and latency grows by a factor of `n / (n - 1)` for each
 //! level. So the mean latency is kept for each level of in-flight calls, and
 //! the limit is the last level before that growth. A replica that is slow at
 //! every level keeps its limit, which a plain bound on latency would shrink.
@@ -63,27 +63,27 @@
 }
 
 /// The limit of a replica that nothing is known of.
-const FIRST_LIMIT: u32 = 2;
+const INITIAL_LIMIT: u32 = 2;
 /// The highest limit that is ever learned.
-const MOST: u32 = 64;
+const MAX_LIMIT: u32 = 64;
 /// How many answers lie between two trials of a neighbouring level.
-const TRIAL_EVERY: u32 = 64;
+const PROBE_INTERVAL: u32 = 64;
 /// The longest memory of a level, in answers.
-const MEMORY: f64 = 512.0;
+const MAX_MEMORY: f64 = 512.0;
 /// The memory of the fast mean, in answers.
 const FAST_MEMORY: f64 = 32.0;
 /// The rise of the fast mean over the slow one that starts the learning afresh.
-const JUMP: f64 = 1.35;
+const JUMP_FACTOR: f64 = 1.35;
 /// The time after which a level's mean counts for half.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 /// The time after which a level that was not met is tried on purpose.
-const STALE: Duration = Duration::from_secs(2);
+const STALE_AFTER: Duration = Duration::from_secs(2);
 /// The time without trials after the replica refused a call.
 const SHED_PAUSE: Duration = Duration::from_secs(5);
 /// The time between two cuts for refusals, as several come at once.
 const SHED_GAP: Duration = Duration::from_millis(100);
 /// The longest sample taken, as a multiple of the mean, so that a stall isn't learned.
-const CLIP: f64 = 4.0;
+const CLIP_FACTOR: f64 = 4.0;
 
 /// A limit that is learned from answers.
 #[derive(Debug)]
@@ -93,13 +93,13 @@
     levels: Vec<Level>,
     fast: Mean,
     answers: u32,
-    trial: Trial,
-    next_down: bool,
+    probe: Probe,
+    probe_down_next: bool,
     shed_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trial {
+enum Probe {
     None,
     Up,
     Down,
@@ -127,13 +127,13 @@
 impl Default for LearnedLimit {
     fn default() -> LearnedLimit {
         LearnedLimit {
-            limit: FIRST_LIMIT,
+            limit: INITIAL_LIMIT,
             climbing: true,
             levels: Vec::new(),
             fast: Mean::default(),
             answers: 0,
-            trial: Trial::None,
-            next_down: false,
+            probe: Probe::None,
+            probe_down_next: false,
             shed_at: None,
         }
     }
@@ -141,38 +141,38 @@
 
 impl Limit for LearnedLimit {
     fn allowed(&self) -> u32 {
-        match self.trial {
-            Trial::None => self.limit,
-            Trial::Up => (self.limit + 1).min(MOST),
-            Trial::Down => (self.limit - 1).max(1),
+        match self.probe {
+            Probe::None => self.limit,
+            Probe::Up => (self.limit + 1).min(MAX_LIMIT),
+            Probe::Down => (self.limit - 1).max(1),
         }
     }
 
     fn on_start(&mut self, level: u32) {
         // One call at the neighbouring level is enough for a trial.
-        let done = match self.trial {
-            Trial::None => false,
-            Trial::Up => level > self.limit,
-            Trial::Down => level + 1 >= self.limit,
+        let done = match self.probe {
+            Probe::None => false,
+            Probe::Up => level > self.limit,
+            Probe::Down => level + 1 >= self.limit,
         };
         if done {
-            self.trial = Trial::None;
+            self.probe = Probe::None;
         }
     }
 
     fn on_answer(&mut self, level: u32, latency: Duration, now: Instant) {
         let sample = self.clip(latency.as_secs_f64());
         self.add_sample(level, sample, now);
-        self.detect_jump(level, sample, now);
+        self.reset_on_jump(level, sample, now);
         if self.climbing {
             self.climb(now);
             return;
         }
-        self.settle(now);
+        self.adjust(now);
         self.answers += 1;
-        if self.answers >= TRIAL_EVERY {
+        if self.answers >= PROBE_INTERVAL {
             self.answers = 0;
-            self.start_trial(now);
+            self.start_probe(now);
         }
     }
 
@@ -182,7 +182,7 @@
         }
         self.shed_at = Some(now);
         self.climbing = false;
-        self.trial = Trial::None;
+        self.probe = Probe::None;
         self.limit = self.limit.min(level.saturating_sub(1)).max(1);
     }
 }
@@ -192,15 +192,15 @@
         if self.fast.count < FAST_MEMORY / 2.0 {
             return sample;
         }
-        sample.min(self.fast.value * CLIP)
+        sample.min(self.fast.value * CLIP_FACTOR)
     }
 
     fn add_sample(&mut self, level: u32, sample: f64, now: Instant) {
-        let index = level.min(MOST + 1) as usize;
+        let index = level.min(MAX_LIMIT + 1) as usize;
         if self.levels.len() <= index {
             self.levels.resize(index + 1, Level::default());
         }
-        let memory = needed(level).max(128.0);
+        let memory = min_samples(level).max(128.0);
         self.levels[index].mean.add(sample, memory);
         self.levels[index].at = Some(now);
     }
@@ -210,17 +210,17 @@
     /// Slots that a target loses show as a jump at the level we hold it at. The
     /// lower levels, by which the slots are told, aren't met under load, so the
     /// old means would keep the limit too high for minutes.
-    fn detect_jump(&mut self, level: u32, sample: f64, now: Instant) {
+    fn reset_on_jump(&mut self, level: u32, sample: f64, now: Instant) {
         if level > self.limit {
             return;
         }
         self.fast.add(sample, FAST_MEMORY);
-        let slow = self.base(self.limit + 1, now);
+        let slow = self.baseline(self.limit + 1, now);
         let known = self.fast.count >= FAST_MEMORY && !self.climbing;
         let Some(slow) = slow.filter(|_| known) else {
             return;
         };
-        if self.fast.value < slow * JUMP {
+        if self.fast.value < slow * JUMP_FACTOR {
             return;
         }
         let limit = (self.limit / 2).max(1);
@@ -231,41 +231,41 @@
     /// Raises the limit level by level until calls begin to wait.
     fn climb(&mut self, now: Instant) {
         let count = self.levels.get(self.limit as usize).map_or(0.0, |level| level.mean.count);
-        if count < needed(self.limit) {
+        if count < min_samples(self.limit) {
             return;
         }
-        match self.waits(self.limit, 0.5, now) {
+        match self.is_queueing(self.limit, 0.5, now) {
             Some(true) => {
                 self.limit = (self.limit - 1).max(1);
                 self.climbing = false;
             }
-            Some(false) if self.limit < MOST => self.limit += 1,
+            Some(false) if self.limit < MAX_LIMIT => self.limit += 1,
             Some(false) => self.climbing = false,
             // The level below was never met, so nothing can be told yet.
             None if self.limit == 1 => self.limit = 2,
-            None => self.trial = Trial::Down,
+            None => self.probe = Probe::Down,
         }
     }
 
     /// Moves the limit by one if the means of its neighbours say so.
-    fn settle(&mut self, now: Instant) {
+    fn adjust(&mut self, now: Instant) {
         // The two bounds differ, so that noise doesn't move the limit to and fro.
-        if self.waits(self.limit, 0.65, now) == Some(true) {
+        if self.is_queueing(self.limit, 0.65, now) == Some(true) {
             self.limit = (self.limit - 1).max(1);
             return;
         }
-        if self.limit < MOST && self.waits(self.limit + 1, 0.35, now) == Some(false) {
+        if self.limit < MAX_LIMIT && self.is_queueing(self.limit + 1, 0.35, now) == Some(false) {
             self.limit += 1;
         }
     }
 
-    fn start_trial(&mut self, now: Instant) {
-        self.next_down = !self.next_down;
+    fn start_probe(&mut self, now: Instant) {
+        self.probe_down_next = !self.probe_down_next;
         let shed = self.shed_at.is_some_and(|at| now.saturating_duration_since(at) < SHED_PAUSE);
-        self.trial = match self.next_down {
-            true if self.limit > 1 && self.is_stale(self.limit - 1, now) => Trial::Down,
-            _ if shed => Trial::None,
-            _ => Trial::Up,
+        self.probe = match self.probe_down_next {
+            true if self.limit > 1 && self.is_stale(self.limit - 1, now) => Probe::Down,
+            _ if shed => Probe::None,
+            _ => Probe::Up,
         };
     }
 
@@ -275,24 +275,24 @@
     /// under which it never comes about by itself.
     fn is_stale(&self, level: u32, now: Instant) -> bool {
         let at = self.levels.get(level as usize).and_then(|level| level.at);
-        at.is_none_or(|at| now.saturating_duration_since(at) > STALE)
+        at.is_none_or(|at| now.saturating_duration_since(at) > STALE_AFTER)
     }
 
     /// Whether calls at `level` wait for a slot; `None` if that can't be told yet.
     ///
     /// `bound` is the part of the growth by waiting that counts as waiting.
-    fn waits(&self, level: u32, bound: f64, now: Instant) -> Option<bool> {
+    fn is_queueing(&self, level: u32, bound: f64, now: Instant) -> Option<bool> {
         let top = self.levels.get(level as usize)?;
-        if level < 2 || top.mean.count < needed(level) {
+        if level < 2 || top.mean.count < min_samples(level) {
             return None;
         }
-        let base = self.base(level, now)?;
+        let baseline = self.baseline(level, now)?;
         let growth = 1.0 / f64::from(level - 1);
-        Some(top.mean.value > base * (1.0 + bound * growth))
+        Some(top.mean.value > baseline * (1.0 + bound * growth))
     }
 
     /// The mean latency below `level`, recent levels counting more.
-    fn base(&self, level: u32, now: Instant) -> Option<f64> {
+    fn baseline(&self, level: u32, now: Instant) -> Option<f64> {
         let mut sum = 0.0;
         let mut weight = 0.0;
         let mut count = 0.0;
@@ -304,7 +304,7 @@
             weight += part;
             count += lower.mean.count;
         }
-        let least = needed(level).min(16.0);
+        let least = min_samples(level).min(16.0);
         (count >= least && weight > 0.0).then(|| sum / weight)
     }
 }
@@ -313,7 +313,7 @@
 ///
 /// Waiting adds a part of `1 / (level - 1)`, so the error of the mean has to
 /// shrink with the level; it shrinks with the root of the answers.
-fn needed(level: u32) -> f64 {
+fn min_samples(level: u32) -> f64 {
     let gap = f64::from(level.max(2) - 1);
-    (8.0 * gap * gap).clamp(16.0, MEMORY)
+    (8.0 * gap * gap).clamp(16.0, MAX_MEMORY)
 }
--- a/crates/kumquatnotch-policy/src/mechanisms.rs
+++ b/crates/kumquatnotch-policy/src/mechanisms.rs
@@ -133,7 +133,7 @@
     }
 
     /// Whether all are.
-    pub fn is_whole(self) -> bool {
+    pub fn all_enabled(self) -> bool {
         self.off == 0
     }
 }
--- a/crates/kumquatnotch-policy/src/observed.rs
+++ b/crates/kumquatnotch-policy/src/observed.rs
@@ -27,39 +27,39 @@
 const SPEED_WEIGHT: f64 = 0.2;
 
 /// The bounds of the slowness of a replica.
-const SLOWNESS: (f64, f64) = (0.25, 60.0);
+const SLOWNESS_BOUNDS: (f64, f64) = (0.25, 60.0);
 
 /// The time after which only a third of a measured slowness is believed.
 ///
 /// A slow replica gets no requests, so it could never show that it has recovered.
-const SLOWNESS_AGE: Duration = Duration::from_secs(3);
+const SLOWNESS_DECAY: Duration = Duration::from_secs(3);
 
 /// The bounds of how many times as long as usual a machine is believed to take.
-const BURDEN: (f64, f64) = (0.25, 60.0);
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.25, 60.0);
 
 /// The time after which only a third of what a machine told is believed.
 ///
 /// Measured on replicas that share machines: what was told up to 0.2 s ago goes with the
 /// time of the next request (correlation 0.7), after half a second hardly. To use it
 /// leaves out a tenth fewer parts.
-const BURDEN_AGE: Duration = Duration::from_millis(300);
+const SLOWDOWN_DECAY: Duration = Duration::from_millis(300);
 
 /// The work on a request that is assumed before any was measured, in seconds.
-const FIRST_WORK: f64 = 0.01;
+const INITIAL_SERVICE_TIME_S: f64 = 0.01;
 
 /// The weight of a new measurement of the work on a request.
-const WORK_WEIGHT: f64 = 0.1;
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
 /// After how long an attempt is taken to fail before one did, in seconds.
 ///
 /// About what a request takes. It counts only for the first few failures of a replica.
-const FIRST_FAILED_AFTER: f64 = 0.02;
+const INITIAL_FAILED_AFTER_S: f64 = 0.02;
 
 /// The weight of a new failure or success.
 const FAILURE_WEIGHT: f64 = 0.15;
 
 /// The most of a share of failures that is still held against a replica that is fit again.
-const PARDONED_FAILURES: f64 = 0.3;
+const MAX_RECOVERED_FAILURES: f64 = 0.3;
 
 /// What one node has learned of one incarnation of a replica.
 #[derive(Debug)]
@@ -80,9 +80,9 @@
     last_reply: Cell<Instant>,
     asked: Cell<u64>,
     load: Cell<(u32, Instant)>,
-    burden: Cell<(f64, Instant)>,
+    machine_slowdown: Cell<(f64, Instant)>,
     /// How long it works on a request of the usual mixture, in seconds.
-    work: Cell<f64>,
+    service_time: Cell<f64>,
 }
 
 impl Observed {
@@ -95,14 +95,14 @@
             distance,
             slowness: Cell::new(1.0),
             failures: Cell::new(0.0),
-            failed_after: Cell::new(FIRST_FAILED_AFTER),
+            failed_after: Cell::new(INITIAL_FAILED_AFTER_S),
             measured: Cell::new(now),
             sent: RefCell::default(),
             last_reply: Cell::new(now),
             asked: Cell::new(0),
             load: Cell::new((0, now)),
-            burden: Cell::new((1.0, now)),
-            work: Cell::new(FIRST_WORK),
+            machine_slowdown: Cell::new((1.0, now)),
+            service_time: Cell::new(INITIAL_SERVICE_TIME_S),
         }
     }
 
@@ -124,7 +124,7 @@
     /// Sets whether requests are sent to it; gives what was so before.
     pub fn set_fitness(&self, fitness: Fitness) -> Fitness {
         if fitness == Fitness::Fit {
-            self.failures.set(self.failures.get().min(PARDONED_FAILURES));
+            self.failures.set(self.failures.get().min(MAX_RECOVERED_FAILURES));
         }
         self.fitness.replace(fitness)
     }
@@ -139,7 +139,7 @@
     /// The way there and back, by what is known of its data centre before the first
     /// connection.
     pub fn round_trip(&self) -> Duration {
-        self.round_trip.get().unwrap_or_else(|| self.distance.trip())
+        self.round_trip.get().unwrap_or_else(|| self.distance.round_trip())
     }
 
     /// Whether it is in another region.
@@ -148,38 +148,38 @@
     }
 
     /// The way there and back, if it was measured.
-    pub fn known_trip(&self) -> Option<Duration> {
+    pub fn measured_round_trip(&self) -> Option<Duration> {
         self.round_trip.get()
     }
 
     /// How many times longer than usual it takes, by what was measured and told lately.
     pub fn slowness(&self, now: Instant) -> f64 {
-        self.own_slowness(now) * self.burden(now)
+        self.own_slowness(now) * self.machine_slowdown(now)
     }
 
     /// The same without what comes of its machine.
     fn own_slowness(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.measured.get()).as_secs_f64();
-        let faded = (-age / SLOWNESS_AGE.as_secs_f64()).exp();
+        let faded = (-age / SLOWNESS_DECAY.as_secs_f64()).exp();
         1.0 + (self.slowness.get() - 1.0) * faded
     }
 
     /// Notes how many times as long as usual its machine takes, by its own word.
-    pub fn note_burden(&self, times: f64, now: Instant) {
-        self.burden.set((times.clamp(BURDEN.0, BURDEN.1), now));
+    pub fn note_machine_slowdown(&self, times: f64, now: Instant) {
+        self.machine_slowdown.set((times.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1), now));
     }
 
     /// How many times as long as usual its machine takes, as far as is known.
-    pub fn burden(&self, now: Instant) -> f64 {
-        let (told, at) = self.burden.get();
+    pub fn machine_slowdown(&self, now: Instant) -> f64 {
+        let (told, at) = self.machine_slowdown.get();
         let age = now.saturating_duration_since(at).as_secs_f64();
-        1.0 + (told - 1.0) * (-age / BURDEN_AGE.as_secs_f64()).exp()
+        1.0 + (told - 1.0) * (-age / SLOWDOWN_DECAY.as_secs_f64()).exp()
     }
 
     /// The share of requests that failed lately.
     pub fn failures(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.measured.get()).as_secs_f64();
-        self.failures.get() * (-age / SLOWNESS_AGE.as_secs_f64()).exp()
+        self.failures.get() * (-age / SLOWNESS_DECAY.as_secs_f64()).exp()
     }
 
     /// How many requests were sent to it.
@@ -207,7 +207,7 @@
     /// Notes that a request took `took` where `usual` is usual, both without the way.
     pub fn note_speed(&self, took: Duration, usual: Duration, now: Instant) {
         let sample = took.as_secs_f64() / usual.as_secs_f64().max(1e-4);
-        let sample = sample.clamp(SLOWNESS.0, SLOWNESS.1);
+        let sample = sample.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
         let before = self.own_slowness(now);
         self.slowness.set(before + SPEED_WEIGHT * (sample - before));
         self.failures.set(self.failures(now));
@@ -215,9 +215,9 @@
     }
 
     /// Notes how long the replica worked on a request.
-    pub fn note_work(&self, took: Duration) {
-        let before = self.work.get();
-        self.work.set(before + WORK_WEIGHT * (took.as_secs_f64() - before));
+    pub fn note_service_time(&self, took: Duration) {
+        let before = self.service_time.get();
+        self.service_time.set(before + SERVICE_TIME_WEIGHT * (took.as_secs_f64() - before));
     }
 
     /// Notes that a request was given up after `took` without a reply.
@@ -263,7 +263,7 @@
         let own = self.unanswered() as f64;
         let (told, at) = self.load.get();
         let age = now.saturating_duration_since(at).as_secs_f64();
-        let done = age * self.slots() / self.work.get().max(1e-4);
+        let done = age * self.slots() / self.service_time.get().max(1e-4);
         own.max(f64::from(told) - done)
     }
 
@@ -273,8 +273,8 @@
     }
 
     /// How long it works on a request of the usual mixture, in seconds.
-    pub fn work(&self) -> f64 {
-        self.work.get()
+    pub fn service_time(&self) -> f64 {
+        self.service_time.get()
     }
 
     /// How long it has answered nothing although requests wait.
--- a/crates/kumquatnotch-policy/src/placement.rs
+++ b/crates/kumquatnotch-policy/src/placement.rs
@@ -13,25 +13,25 @@
 };
 
 /// By how much a nearer place may hold fewer shards than the best one.
-const NEAR_BONUS: f64 = 0.25;
+const PROXIMITY_BONUS: f64 = 0.25;
 
 /// The part of the largest capacity that a node must have to be advised.
-const CAPACITY_PART: f64 = 0.5;
+const MIN_CAPACITY_PART: f64 = 0.5;
 
 /// The fewest nodes that are advised, so that one that has just ended is no harm.
-const LEAST_NODES: usize = 2;
+const MIN_NODES: usize = 2;
 
 /// Whether a node is so small that callers are advised to use others of its data centre.
 ///
 /// `others` are the capacities of the other nodes there that are known. A node is on
 /// standby only as long as there are enough others that are advised in its place.
 pub fn is_standby(capacity: f64, others: impl Iterator<Item = f64>) -> bool {
-    others.filter(|other| capacity < CAPACITY_PART * other).count() >= LEAST_NODES
+    others.filter(|other| capacity < MIN_CAPACITY_PART * other).count() >= MIN_NODES
 }
 
 /// A node, as far as advice depends on it.
 #[derive(Clone, Copy, Debug)]
-pub struct NodePlace<'a> {
+pub struct NodeLocation<'a> {
     /// Its data centre.
     pub centre: &'a DataCentre,
     /// Its region.
@@ -42,12 +42,12 @@
 
 /// The share of the shards that each place holds.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct HeldShards {
     regions: HashMap<Region, f64>,
     centres: HashMap<DataCentre, f64>,
 }
 
-impl Held {
+impl HeldShards {
     /// Counts one of `total` shards, with replicas in these data centres.
     pub fn add_shard(
         &mut self,
@@ -69,26 +69,26 @@
     }
 
     /// The nodes for callers of `region`, by their place in `nodes`.
-    pub fn choose(&self, region: &Region, nodes: &[NodePlace<'_>]) -> Vec<usize> {
+    pub fn choose(&self, region: &Region, nodes: &[NodeLocation<'_>]) -> Vec<usize> {
         let all: Vec<usize> = (0..nodes.len()).collect();
-        let keep = |from: &[usize], fits: &dyn Fn(&NodePlace<'_>) -> bool| -> Vec<usize> {
+        let keep = |from: &[usize], fits: &dyn Fn(&NodeLocation<'_>) -> bool| -> Vec<usize> {
             from.iter().copied().filter(|place| fits(&nodes[*place])).collect()
         };
         let best = self.regions.values().copied().fold(0.0, f64::max);
         let share = |region: &Region| self.regions.get(region).copied().unwrap_or(0.0);
         let mut there = keep(&all, &|node| node.region == region);
-        if there.is_empty() || share(region) + NEAR_BONUS < best {
-            there = keep(&all, &|node| share(node.region) + NEAR_BONUS >= best);
+        if there.is_empty() || share(region) + PROXIMITY_BONUS < best {
+            there = keep(&all, &|node| share(node.region) + PROXIMITY_BONUS >= best);
         }
         // Those whose data centre holds the most shards.
-        let share = |node: &NodePlace<'_>| self.centres.get(node.centre).copied().unwrap_or(0.0);
+        let share = |node: &NodeLocation<'_>| self.centres.get(node.centre).copied().unwrap_or(0.0);
         let best = there.iter().map(|place| share(&nodes[*place])).fold(0.0, f64::max);
-        let beside = keep(&there, &|node| share(node) + NEAR_BONUS >= best);
+        let beside = keep(&there, &|node| share(node) + PROXIMITY_BONUS >= best);
         // Those that are not much smaller than the largest.
         let most = beside.iter().map(|place| nodes[*place].capacity).fold(0.0, f64::max);
-        let large = keep(&beside, &|node| node.capacity >= CAPACITY_PART * most);
+        let large = keep(&beside, &|node| node.capacity >= MIN_CAPACITY_PART * most);
         // Of the narrower choices, the first that a lost node doesn't leave empty.
         let choices = [large, beside, there];
-        choices.into_iter().find(|choice| choice.len() >= LEAST_NODES).unwrap_or(all)
+        choices.into_iter().find(|choice| choice.len() >= MIN_NODES).unwrap_or(all)
     }
 }
--- a/crates/kumquatnotch-policy/src/plan.rs
+++ b/crates/kumquatnotch-policy/src/plan.rs
@@ -6,7 +6,7 @@
 
 use kumquatnotch_core::{ids::DataCentre, random::Random};
 
-use crate::quickest::{self, Rating};
+use crate::rating::{self, Rating};
 
 /// By how much later than the best a replica may be expected to reply, in seconds,
 /// for its data centre to do as well.
@@ -17,16 +17,16 @@
 /// The fewest shards for which a node of another data centre is asked.
 ///
 /// For a single one, its message is no shorter than the part itself.
-const LEAST_SHARDS: usize = 2;
+const MIN_GROUP_SHARDS: usize = 2;
 
 /// The data centres with a replica that is expected to reply about as soon as the best.
 pub fn nearest_centres<'a>(replicas: &[(&'a DataCentre, Rating)]) -> Vec<&'a DataCentre> {
     let ratings: Vec<Rating> = replicas.iter().map(|(_, rating)| *rating).collect();
-    let Some(best) = quickest::best(&ratings) else {
+    let Some(best) = rating::best(&ratings) else {
         return Vec::new();
     };
     let mut centres = vec![replicas[best].0];
-    for (centre, rating) in replicas.iter().filter(|(_, rating)| rating.is_good()) {
+    for (centre, rating) in replicas.iter().filter(|(_, rating)| rating.is_healthy()) {
         let is_near = rating.cost <= ratings[best].cost + NEAR_SLACK;
         if is_near && !centres.contains(centre) {
             centres.push(centre);
@@ -37,7 +37,7 @@
 
 /// A shard, and the data centres that do equally well for it.
 #[derive(Clone, Debug)]
-pub struct Place<'a> {
+pub struct ShardLocation<'a> {
     /// The shard, by its place in the set.
     pub index: usize,
     /// The data centres; none if no replica is known.
@@ -65,43 +65,44 @@
 impl<P> Plan<P> {
     /// Plans a search from `home`; `peer_in` gives a node of a data centre, if there is one.
     pub fn new(
-        places: Vec<Place<'_>>,
+        locations: Vec<ShardLocation<'_>>,
         home: &DataCentre,
         random: &Random,
         peer_in: impl Fn(&DataCentre) -> Option<P>,
     ) -> Plan<P> {
-        let (near, mut away): (Vec<Place<'_>>, Vec<Place<'_>>) = places
+        let (near, mut remote): (Vec<ShardLocation<'_>>, Vec<ShardLocation<'_>>) = locations
             .into_iter()
-            .partition(|place| place.centres.is_empty() || place.centres.contains(&home));
-        let mut here: Vec<usize> = near.iter().map(|place| place.index).collect();
+            .partition(|location| location.centres.is_empty() || location.centres.contains(&home));
+        let mut here: Vec<usize> = near.iter().map(|location| location.index).collect();
         let mut groups = Vec::new();
-        while let Some((peer, centre)) = best_centre(&away, random, &peer_in) {
-            let (taken, rest): (Vec<Place<'_>>, Vec<Place<'_>>) =
-                away.into_iter().partition(|place| place.centres.contains(&centre));
-            away = rest;
-            let shards = taken.iter().map(|place| place.index).collect();
+        while let Some((peer, centre)) = best_centre(&remote, random, &peer_in) {
+            let (taken, rest): (Vec<ShardLocation<'_>>, Vec<ShardLocation<'_>>) =
+                remote.into_iter().partition(|location| location.centres.contains(&centre));
+            remote = rest;
+            let shards = taken.iter().map(|location| location.index).collect();
             groups.push(Group { peer, shards });
         }
-        here.extend(away.iter().map(|place| place.index));
+        here.extend(remote.iter().map(|location| location.index));
         Plan { here, groups }
     }
 }
 
-/// The data centre that holds most of the shards `away`, with a node of it.
+/// The data centre that holds most of the shards `remote`, with a node of it.
 fn best_centre<'a, P>(
-    away: &[Place<'a>],
+    remote: &[ShardLocation<'a>],
     random: &Random,
     peer_in: &impl Fn(&DataCentre) -> Option<P>,
 ) -> Option<(P, &'a DataCentre)> {
     let mut centres: Vec<&DataCentre> =
-        away.iter().flat_map(|place| place.centres.iter().copied()).collect();
+        remote.iter().flat_map(|location| location.centres.iter().copied()).collect();
     centres.sort_unstable();
     centres.dedup();
     // Of two that hold as many, each is taken in its turn.
     random.shuffle(&mut centres);
-    let count =
-        |centre: &DataCentre| away.iter().filter(|place| place.centres.contains(&centre)).count();
+    let count = |centre: &DataCentre| {
+        remote.iter().filter(|location| location.centres.contains(&centre)).count()
+    };
     centres.sort_by_key(|centre| std::cmp::Reverse(count(centre)));
-    let fitting = centres.into_iter().filter(|centre| count(centre) >= LEAST_SHARDS);
+    let fitting = centres.into_iter().filter(|centre| count(centre) >= MIN_GROUP_SHARDS);
     fitting.filter_map(|centre| Some((peer_in(centre)?, centre))).next()
 }
--- a/crates/kumquatnotch-policy/src/queue.rs
+++ b/crates/kumquatnotch-policy/src/queue.rs
@@ -29,7 +29,7 @@
 
 /// How fast the replicas of the queue work.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct ServiceRate {
     /// Their slots.
     pub slots: u32,
     /// The time a call takes.
@@ -38,28 +38,36 @@
 
 /// The place at which a waiter is offered a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
+pub struct SlotOffer {
     /// The waiters before it that could not use the slot.
     pub ahead: usize,
     /// Whether it is its class's assured share.
-    pub assured: bool,
+    pub guaranteed: bool,
 }
 
 /// The waiters of one shard.
 pub trait WaitQueue {
     /// The time that a request of this class and tenant would wait.
-    fn expected_wait(&self, class: Class, tenant: &TenantName, weight: u32, pace: Pace)
-    -> Duration;
+    fn expected_wait(
+        &self,
+        class: Class,
+        tenant: &TenantName,
+        weight: u32,
+        rate: ServiceRate,
+    ) -> Duration;
 
     /// Refuses `waiter` if it should not wait.
-    fn admit(&self, waiter: &Waiter, pace: Pace, now: Instant) -> Result<()>;
+    fn admit(&self, waiter: &Waiter, rate: ServiceRate, now: Instant) -> Result<()>;
 
     /// Lets `waiter` wait.
     fn push(&mut self, waiter: Waiter);
 
     /// Takes the next waiter for which `fits` holds, offered in order.
-    fn take(&mut self, now: Instant, fits: &mut dyn FnMut(&Waiter, Turn) -> bool)
-    -> Option<Waiter>;
+    fn take(
+        &mut self,
+        now: Instant,
+        fits: &mut dyn FnMut(&Waiter, SlotOffer) -> bool,
+    ) -> Option<Waiter>;
 
     /// Removes a waiter; false if it waits no more.
     fn remove(&mut self, waiter: &Waiter) -> bool;
@@ -77,7 +85,7 @@
 }
 
 /// The most waiters that are offered one slot.
-pub(crate) const MOST_OFFERS: usize = 32;
+pub(crate) const MAX_OFFERS: usize = 32;
 
 /// First come, first served, without a bound: the baseline.
 #[derive(Debug, Default)]
@@ -91,12 +99,12 @@
         _class: Class,
         _tenant: &TenantName,
         _weight: u32,
-        _pace: Pace,
+        _rate: ServiceRate,
     ) -> Duration {
         Duration::ZERO
     }
 
-    fn admit(&self, _waiter: &Waiter, _pace: Pace, _now: Instant) -> Result<()> {
+    fn admit(&self, _waiter: &Waiter, _rate: ServiceRate, _now: Instant) -> Result<()> {
         Ok(())
     }
 
@@ -107,11 +115,11 @@
     fn take(
         &mut self,
         _now: Instant,
-        fits: &mut dyn FnMut(&Waiter, Turn) -> bool,
+        fits: &mut dyn FnMut(&Waiter, SlotOffer) -> bool,
     ) -> Option<Waiter> {
-        let offers = self.waiters.iter().enumerate().take(MOST_OFFERS);
+        let offers = self.waiters.iter().enumerate().take(MAX_OFFERS);
         let found = offers
-            .filter(|(ahead, waiter)| fits(waiter, Turn { ahead: *ahead, assured: false }))
+            .filter(|(ahead, waiter)| fits(waiter, SlotOffer { ahead: *ahead, guaranteed: false }))
             .map(|(index, _)| index)
             .next()?;
         self.waiters.remove(found)
@@ -125,10 +133,10 @@
 
     fn expire(&mut self, now: Instant) -> Vec<Waiter> {
         let waiters = std::mem::take(&mut self.waiters);
-        let (gone, left): (VecDeque<Waiter>, VecDeque<Waiter>) =
+        let (expired, left): (VecDeque<Waiter>, VecDeque<Waiter>) =
             waiters.into_iter().partition(|waiter| waiter.deadline <= now);
         self.waiters = left;
-        gone.into()
+        expired.into()
     }
 
     fn len(&self) -> usize {
--- a/crates/kumquatnotch-policy/src/replica.rs
+++ b/crates/kumquatnotch-policy/src/replica.rs
@@ -18,16 +18,16 @@
 /// The same after a pause, when the mean tells of other times.
 const STALE_WEIGHT: f64 = 0.5;
 /// The pause after which the mean is stale.
-const STALE: Duration = Duration::from_secs(1);
+const STALE_AFTER: Duration = Duration::from_secs(1);
 /// The longest latency that is believed, in seconds.
-const LONGEST_LATENCY: f64 = 2.0;
+const MAX_LATENCY_S: f64 = 2.0;
 /// The time after the first failure to connect until the next trial.
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest time between two trials.
 ///
 /// After a mass restart a target that is back stands idle until its next trial,
 /// while all others are overrun; a trial that is refused costs next to nothing.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(150);
+const MAX_BACKOFF: Duration = Duration::from_millis(150);
 /// The answers after which a replica that restarted counts as warm.
 pub const WARM_ANSWERS: u32 = 32;
 
@@ -181,7 +181,8 @@
 
     /// A call was answered.
     pub fn on_answer(&mut self, latency: Duration, reported: u32, now: Instant) {
-        let stale = self.last_answer.is_none_or(|at| now.saturating_duration_since(at) > STALE);
+        let stale =
+            self.last_answer.is_none_or(|at| now.saturating_duration_since(at) > STALE_AFTER);
         self.on_heard(now);
         self.reported = reported;
         self.answers = self.answers.saturating_add(1);
@@ -190,14 +191,14 @@
     }
 
     /// A call was given up after `elapsed` because another replica answered first.
-    pub fn on_given_up(&mut self, elapsed: Duration) {
+    pub fn on_cancelled(&mut self, elapsed: Duration) {
         // Its latency would have been longer, nobody knows by how much; the mean
         // it had is the guess, as for a service time without memory. Left out, a
         // straggler whose calls are always won by their copies would keep its
         // good name.
         let elapsed = elapsed.as_secs_f64();
         let mean = self.latency.unwrap_or(elapsed);
-        self.add_latency((elapsed + mean).min(LONGEST_LATENCY), LATENCY_WEIGHT);
+        self.add_latency((elapsed + mean).min(MAX_LATENCY_S), LATENCY_WEIGHT);
     }
 
     /// It refused a call for this time.
@@ -219,11 +220,11 @@
 
     /// It could not be reached, or crashed.
     pub fn on_unreachable(&mut self, now: Instant, random: &Random) {
-        let backoff = FIRST_BACKOFF * 2u32.pow(self.failures.min(8));
+        let backoff = INITIAL_BACKOFF * 2u32.pow(self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
         // All nodes see a mass restart at once; without chance they would come
         // back in step, and each connection costs the target milliseconds.
-        self.down_until = Some(now + random.jitter(backoff.min(LONGEST_BACKOFF)));
+        self.down_until = Some(now + random.jitter(backoff.min(MAX_BACKOFF)));
     }
 
     /// A probe got through; whether the target has restarted since the last one.
@@ -279,9 +280,9 @@
 /// After these its own latency says whether it is slow; a target that calls
 /// itself cold for ever is not believed for ever.
 #[derive(Debug, Default)]
-pub struct GentleWarmup;
+pub struct GradualWarmup;
 
-impl Warmup for GentleWarmup {
+impl Warmup for GradualWarmup {
     fn is_warming(&self, replica: &Replica) -> bool {
         let new = replica.restarted || replica.phase == Phase::Cold;
         new && replica.answers < WARM_ANSWERS
--- a/crates/kumquatnotch-policy/src/retry.rs
+++ b/crates/kumquatnotch-policy/src/retry.rs
@@ -55,14 +55,14 @@
     /// The repeated attempts allowed for each first one.
     pub budget: f64,
     /// The most attempts saved up.
-    pub most: f64,
+    pub max_tokens: f64,
     /// The most attempts of one call.
     pub tries: u32,
 }
 
 impl Default for RetryOptions {
     fn default() -> RetryOptions {
-        RetryOptions { budget: 0.1, most: 50.0, tries: 4 }
+        RetryOptions { budget: 0.1, max_tokens: 50.0, tries: 4 }
     }
 }
 
@@ -82,7 +82,7 @@
 impl BudgetRetry {
     /// A full budget.
     pub fn new(options: RetryOptions) -> BudgetRetry {
-        BudgetRetry { tokens: options.most, options }
+        BudgetRetry { tokens: options.max_tokens, options }
     }
 
     fn spend(&mut self) -> bool {
@@ -96,7 +96,7 @@
 
 impl Retry for BudgetRetry {
     fn on_call(&mut self) {
-        self.tokens = (self.tokens + self.options.budget).min(self.options.most);
+        self.tokens = (self.tokens + self.options.budget).min(self.options.max_tokens);
     }
 
     fn next(&mut self, attempt: &Attempt<'_>, now: Instant) -> Option<Duration> {
--- a/crates/kumquatnotch-policy/src/shares.rs
+++ b/crates/kumquatnotch-policy/src/shares.rs
@@ -16,7 +16,7 @@
 ///
 /// A replica runs only a few requests at once; what waits is better kept here,
 /// where a more urgent request can overtake it.
-const MOST_CONNECTIONS: u32 = 8;
+const MAX_CONNECTIONS: u32 = 8;
 
 /// The part of what all nodes share that is for those that callers are advised to use.
 const SERVING_PART: f64 = 0.85;
@@ -30,11 +30,11 @@
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// The most that a node takes of what all share until then.
-const NEW_PART: f64 = 0.1;
+const MAX_NEW_PART: f64 = 0.1;
 
 /// The nodes among which something is shared out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sharers {
+pub struct SharingNodes {
     /// How many there are.
     pub all: usize,
     /// How many of them callers are advised to use.
@@ -43,7 +43,7 @@
     pub is_serving: bool,
 }
 
-impl Sharers {
+impl SharingNodes {
     /// The part of this node, from zero to one.
     ///
     /// Most of it is for the nodes that callers are advised to use; the others may
@@ -61,15 +61,15 @@
 }
 
 /// What a node takes of its part, by how long it has known the others.
-pub fn settled(part: f64, known_for: Option<Duration>) -> f64 {
+pub fn capped_part(part: f64, known_for: Option<Duration>) -> f64 {
     match known_for {
         Some(known_for) if known_for >= SETTLE_TIME => part,
-        _ => part.min(NEW_PART),
+        _ => part.min(MAX_NEW_PART),
     }
 }
 
 /// How many of the connections that a replica takes a node with this part may open.
 pub fn connections(all: u32, part: f64) -> u32 {
     let own = (f64::from(all) * SHARED_CONNECTIONS * part) as u32;
-    own.clamp(1, MOST_CONNECTIONS)
+    own.clamp(1, MAX_CONNECTIONS)
 }
--- a/crates/kumquatnotch-policy/src/stop.rs
+++ b/crates/kumquatnotch-policy/src/stop.rs
@@ -44,10 +44,10 @@
     fn patience(&self, spec: &StopSpec, deadline: Duration) -> Duration {
         // A tenant that wants every shard has no use for a partial answer before
         // its deadline, and holders then need not cut theirs short.
-        if enough(spec) >= 1.0 {
+        if required_coverage(spec) >= 1.0 {
             return deadline;
         }
-        deadline.mul_f64(unit(spec.patience))
+        deadline.mul_f64(clamp_fraction(spec.patience))
     }
 
     fn is_enough(&self, spec: &StopSpec, progress: &Progress) -> bool {
@@ -57,12 +57,12 @@
         if progress.covered == 0 || progress.elapsed < self.patience(spec, progress.deadline) {
             return false;
         }
-        f64::from(progress.covered) >= enough(spec) * f64::from(progress.asked)
+        f64::from(progress.covered) >= required_coverage(spec) * f64::from(progress.asked)
     }
 
     fn can_suffice(&self, spec: &StopSpec, progress: &Progress) -> bool {
         let most = progress.covered + progress.open;
-        f64::from(most) >= enough(spec) * f64::from(progress.asked)
+        f64::from(most) >= required_coverage(spec) * f64::from(progress.asked)
     }
 }
 
@@ -84,11 +84,11 @@
     }
 }
 
-fn enough(spec: &StopSpec) -> f64 {
-    unit(spec.enough)
+fn required_coverage(spec: &StopSpec) -> f64 {
+    clamp_fraction(spec.enough)
 }
 
 /// Operators' numbers are checked on acceptance; a wrong one must not panic here.
-fn unit(value: f64) -> f64 {
+fn clamp_fraction(value: f64) -> f64 {
     if value.is_nan() { 1.0 } else { value.clamp(0.0, 1.0) }
 }
--- a/crates/kumquatnotch-policy/src/weights.rs
+++ b/crates/kumquatnotch-policy/src/weights.rs
@@ -22,7 +22,7 @@
 /// How far each service of each route is behind its share.
 #[derive(Debug, Default)]
 pub struct Weights {
-    behind: RefCell<HashMap<(RouteName, ServiceName), f64>>,
+    deficits: RefCell<HashMap<(RouteName, ServiceName), f64>>,
 }
 
 impl Weights {
@@ -36,19 +36,19 @@
         if total <= 0.0 {
             return None;
         }
-        let mut behind = self.behind.borrow_mut();
+        let mut deficits = self.deficits.borrow_mut();
         let mut best: Option<(f64, &ServiceName)> = None;
         for service in services.iter().filter(|service| service.weight > 0.0) {
             let key = (route.clone(), service.name.clone());
-            let owed = behind.entry(key).or_default();
-            *owed += service.weight / total;
-            if best.is_none_or(|(most, _)| *owed > most) {
-                best = Some((*owed, &service.name));
+            let deficit = deficits.entry(key).or_default();
+            *deficit += service.weight / total;
+            if best.is_none_or(|(most, _)| *deficit > most) {
+                best = Some((*deficit, &service.name));
             }
         }
         let (_, name) = best?;
-        if let Some(owed) = behind.get_mut(&(route.clone(), name.clone())) {
-            *owed -= 1.0;
+        if let Some(deficit) = deficits.get_mut(&(route.clone(), name.clone())) {
+            *deficit -= 1.0;
         }
         Some(name)
     }
--- a/crates/kumquatnotch-policy/tests/admission.rs
+++ b/crates/kumquatnotch-policy/tests/admission.rs
@@ -7,13 +7,13 @@
 
 use kumquatnotch_core::{document::Class, ids::TenantName, random::Random};
 use kumquatnotch_policy::admission::{
-    Admission, AdmissionOptions, AdmitAll, Entrant, GradedAdmission,
+    Admission, AdmissionOptions, AdmissionRequest, AdmitAll, GradedAdmission,
 };
 use yare::parameterized;
 
-const PATIENCE: Duration = Duration::from_millis(150);
+const MAX_WAIT: Duration = Duration::from_millis(150);
 /// Requests that the simulated targets end in a millisecond, and how long each takes.
-const PACE: usize = 4;
+const SERVICE_RATE: usize = 4;
 const SERVICE_MS: u64 = 10;
 /// After this time in the queue a request is dropped.
 const DEADLINE_MS: u64 = 300;
@@ -23,24 +23,29 @@
     GradedAdmission::new(AdmissionOptions::default(), Random::with_seed(seed))
 }
 
-fn entrant(tenant: &str, class: Class) -> Entrant {
-    Entrant { tenant: TenantName::from(tenant), weight: 1, class, patience: PATIENCE }
+fn request(tenant: &str, class: Class) -> AdmissionRequest {
+    AdmissionRequest { tenant: TenantName::from(tenant), weight: 1, class, max_wait: MAX_WAIT }
 }
 
 /// How many of `count` requests enter; none of them leaves.
-fn entered(admission: &dyn Admission, now: Instant, entrant: &Entrant, count: usize) -> usize {
-    (0..count).filter(|_| admission.enter(now, entrant).is_ok()).count()
+fn entered(
+    admission: &dyn Admission,
+    now: Instant,
+    request: &AdmissionRequest,
+    count: usize,
+) -> usize {
+    (0..count).filter(|_| admission.enter(now, request).is_ok()).count()
 }
 
 /// How many of a thousand requests enter, each of which leaves at once.
-fn passing(admission: &dyn Admission, now: Instant, entrant: &Entrant) -> usize {
-    let enter = || admission.enter(now, entrant).inspect(|()| admission.leave(entrant));
+fn passing(admission: &dyn Admission, now: Instant, request: &AdmissionRequest) -> usize {
+    let enter = || admission.enter(now, request).inspect(|()| admission.leave(request));
     (0..1_000).filter(|_| enter().is_ok()).count()
 }
 
 #[test]
 fn without_pressure_everything_enters() {
-    let count = entered(&graded(1), Instant::now(), &entrant("siam", Class::Audit), 1_000);
+    let count = entered(&graded(1), Instant::now(), &request("siam", Class::Audit), 1_000);
 
     assert_eq!(count, 1_000);
 }
@@ -50,9 +55,9 @@
 #[test]
 fn the_desk_is_the_last_to_be_refused() {
     let (admission, now) = (graded(1), Instant::now());
-    (0..20).for_each(|_| admission.learn(now, Class::Desk, Duration::from_millis(40)));
+    (0..20).for_each(|_| admission.observe_wait(now, Class::Desk, Duration::from_millis(40)));
 
-    let counts = Class::ALL.map(|class| passing(&admission, now, &entrant("siam", class)));
+    let counts = Class::ALL.map(|class| passing(&admission, now, &request("siam", class)));
 
     assert_eq!(counts[0], 1_000);
     assert!(counts[0] > counts[1] && counts[1] > counts[2], "{counts:?}");
@@ -62,14 +67,14 @@
 /// refused. Order: one tenant has forty requests in flight, the other four; both
 /// have the same weight. Why: a rival's flood must not keep others out.
 #[test]
-fn a_loud_tenant_is_refused_before_a_quiet_one() {
+fn a_tenant_above_its_share_is_refused_first() {
     let (admission, now) = (graded(1), Instant::now());
-    entered(&admission, now, &entrant("loud", Class::Desk), 40);
-    entered(&admission, now, &entrant("quiet", Class::Desk), 4);
-    (0..20).for_each(|_| admission.learn(now, Class::Desk, Duration::from_millis(80)));
+    entered(&admission, now, &request("loud", Class::Desk), 40);
+    entered(&admission, now, &request("quiet", Class::Desk), 4);
+    (0..20).for_each(|_| admission.observe_wait(now, Class::Desk, Duration::from_millis(80)));
 
-    let quiet = passing(&admission, now, &entrant("quiet", Class::Desk));
-    let loud = passing(&admission, now, &entrant("loud", Class::Desk));
+    let quiet = passing(&admission, now, &request("quiet", Class::Desk));
+    let loud = passing(&admission, now, &request("loud", Class::Desk));
 
     assert!(quiet > 840 && loud < 600, "{quiet} {loud}");
 }
@@ -78,10 +83,10 @@
 /// Order: a long wait is seen; everything is refused, so nobody brings news.
 /// Why: without fading the class would stay shut for good.
 #[test]
-fn what_is_known_of_a_wait_fades() {
+fn an_observed_wait_decays() {
     let (admission, now) = (graded(1), Instant::now());
-    let desk = entrant("siam", Class::Desk);
-    admission.learn(now, Class::Desk, Duration::from_secs(2));
+    let desk = request("siam", Class::Desk);
+    admission.observe_wait(now, Class::Desk, Duration::from_secs(2));
 
     let refused = admission.enter(now, &desk);
     let later = admission.enter(now + Duration::from_secs(2), &desk);
@@ -96,10 +101,10 @@
 #[test]
 fn the_number_in_flight_is_bounded() {
     let (admission, now) = (graded(1), Instant::now());
-    let most = AdmissionOptions::default().most;
+    let most = AdmissionOptions::default().max_running;
 
-    let audits = entered(&admission, now, &entrant("siam", Class::Audit), most * 2);
-    let desks = entered(&admission, now, &entrant("siam", Class::Desk), most * 2);
+    let audits = entered(&admission, now, &request("siam", Class::Audit), most * 2);
+    let desks = entered(&admission, now, &request("siam", Class::Desk), most * 2);
 
     assert_eq!((audits, audits + desks), (most / 2, most));
 }
@@ -109,7 +114,7 @@
     for tenth in span.0..span.1 {
         for _ in 0..3 {
             let now = start + Duration::from_millis(tenth * 100);
-            admission.ended(now, Class::Desk, starved);
+            admission.on_end(now, Class::Desk, starved);
         }
     }
 }
@@ -119,9 +124,9 @@
 /// each answer lacks the shard; two seconds later both are well. Why: the gate,
 /// closed within a second, took ten to open, and refused with idle targets.
 #[test]
-fn a_shortage_that_has_passed_costs_no_refusals_for_long() {
+fn the_gate_reopens_within_seconds_after_a_shortage() {
     let (admission, start) = (graded(1), Instant::now());
-    let desk = entrant("siam", Class::Desk);
+    let desk = request("siam", Class::Desk);
     end_evenly(&admission, start, (0, 20), true);
     let during = passing(&admission, start + Duration::from_millis(1_950), &desk);
 
@@ -136,14 +141,14 @@
 /// Order: a request that is alone in its tenth of a second starves.
 /// Why: one of one was taken for a share of all, and half were refused.
 #[test]
-fn one_starved_request_closes_the_gate_by_little() {
+fn one_starved_request_barely_closes_the_gate() {
     let (admission, now) = (graded(1), Instant::now());
-    admission.ended(now, Class::Desk, false);
+    admission.on_end(now, Class::Desk, false);
     let later = now + Duration::from_millis(100);
 
-    admission.ended(later, Class::Desk, true);
+    admission.on_end(later, Class::Desk, true);
 
-    let count = passing(&admission, later, &entrant("siam", Class::Desk));
+    let count = passing(&admission, later, &request("siam", Class::Desk));
     assert!(count > 900, "{count}");
 }
 
@@ -151,9 +156,9 @@
 /// Order: the gate is all but closed; none of the few that come is let in.
 /// Why: the gate moved with the end of a request only, and none ended.
 #[test]
-fn a_gate_opens_while_nothing_ends() {
+fn the_gate_opens_while_no_request_ends() {
     let (admission, start) = (graded(1), Instant::now());
-    let desk = entrant("siam", Class::Desk);
+    let desk = request("siam", Class::Desk);
     end_evenly(&admission, start, (0, 40), true);
 
     for tenth in 40..80 {
@@ -172,20 +177,20 @@
 /// Offers `factor` times what the targets can do, a quarter each at the desk and by
 /// audits, and counts the answers within patience.
 ///
-/// Holders foretell the wait from the requests ahead, or, if they are `honest`,
+/// Holders foretell the wait from the requests ahead, or, if they are `accurate`,
 /// from the intervals at which the class is being served.
-fn simulate(admission: &dyn Admission, seed: u64, factor: f64, honest: bool) -> Run {
+fn simulate(admission: &dyn Admission, seed: u64, factor: f64, accurate: bool) -> Run {
     let random = Random::with_seed(seed);
     let start = Instant::now();
     let mut queues: [VecDeque<u64>; 3] = Default::default();
     let mut desk = Vec::new();
     let mut goodput = 0;
-    let mut pace = [PACE as f64; 3];
+    let mut rate = [SERVICE_RATE as f64; 3];
     for now_ms in 0..SPAN_MS {
         let now = start + Duration::from_millis(now_ms);
-        let draws = (PACE as f64 * factor * 2.0) as usize;
+        let draws = (SERVICE_RATE as f64 * factor * 2.0) as usize;
         for class in (0..draws).filter(|_| random.chance(0.5)).map(|_| draw_class(&random)) {
-            if admission.enter(now, &entrant("siam", class)).is_ok() {
+            if admission.enter(now, &request("siam", class)).is_ok() {
                 queues[class as usize].push_back(now_ms);
             }
         }
@@ -193,12 +198,12 @@
             let queue = &mut queues[class as usize];
             while queue.front().is_some_and(|since| now_ms - since >= DEADLINE_MS) {
                 queue.pop_front();
-                admission.leave(&entrant("siam", class));
-                admission.ended(now, class, true);
+                admission.leave(&request("siam", class));
+                admission.on_end(now, class, true);
             }
         }
         let mut served = [0.0; 3];
-        for _ in 0..PACE {
+        for _ in 0..SERVICE_RATE {
             let filled = |class: &&Class| !queues[**class as usize].is_empty();
             let Some(class) = Class::ALL.iter().find(filled).copied() else {
                 break;
@@ -206,24 +211,24 @@
             let since = queues[class as usize].pop_front().unwrap();
             served[class as usize] += 1.0;
             let span = now_ms - since + SERVICE_MS;
-            let in_time = span <= PATIENCE.as_millis() as u64;
+            let in_time = span <= MAX_WAIT.as_millis() as u64;
             goodput += usize::from(in_time);
-            admission.ended(now, class, !in_time);
+            admission.on_end(now, class, !in_time);
             if class == Class::Desk {
                 desk.push(span);
             }
-            admission.leave(&entrant("siam", class));
+            admission.leave(&request("siam", class));
         }
         let mut ahead = 0;
         for class in Class::ALL {
-            let (own, pace) = (queues[class as usize].len(), &mut pace[class as usize]);
+            let (own, rate) = (queues[class as usize].len(), &mut rate[class as usize]);
             ahead += own;
-            let mut wait = ahead as f64 / PACE as f64;
-            if honest && own > 0 {
-                *pace += 0.02 * (served[class as usize] - *pace);
-                wait = wait.max(own as f64 / pace.max(0.01));
+            let mut wait = ahead as f64 / SERVICE_RATE as f64;
+            if accurate && own > 0 {
+                *rate += 0.02 * (served[class as usize] - *rate);
+                wait = wait.max(own as f64 / rate.max(0.01));
             }
-            admission.learn(now, class, Duration::from_secs_f64(wait / 1e3));
+            admission.observe_wait(now, class, Duration::from_secs_f64(wait / 1e3));
         }
     }
     desk.sort_unstable();
@@ -246,19 +251,19 @@
     half_more = { 1.5, true, 0.9 },
     three_times = { 3.0, true, 0.9 },
     desk_alone_too_much = { 6.0, true, 0.9 },
-    half_more_foretold_short = { 1.5, false, 0.9 },
+    half_more_underestimated = { 1.5, false, 0.9 },
     // Here the gate alone must find out that batch work starves.
-    three_times_foretold_short = { 3.0, false, 0.85 },
-    desk_alone_foretold_short = { 6.0, false, 0.9 },
+    three_times_underestimated = { 3.0, false, 0.85 },
+    desk_alone_underestimated = { 6.0, false, 0.9 },
 )]
-fn goodput_stays_flat_past_saturation(factor: f64, honest: bool, least: f64) {
+fn goodput_stays_flat_past_saturation(factor: f64, accurate: bool, least: f64) {
     for seed in 1..=5 {
-        let peak = simulate(&graded(seed), seed, 1.0, honest);
-        let over = simulate(&graded(seed), seed, factor, honest);
-        let naive = simulate(&AdmitAll::default(), seed, factor, honest);
+        let peak = simulate(&graded(seed), seed, 1.0, accurate);
+        let over = simulate(&graded(seed), seed, factor, accurate);
+        let naive = simulate(&AdmitAll::default(), seed, factor, accurate);
 
         println!(
-            "factor {factor} honest {honest} seed {seed}: goodput {} graded, {} naive, {} at 1.0; \
+            "factor {factor} accurate {accurate} seed {seed}: goodput {} graded, {} naive, {} at 1.0; \
              desk p99 {}, {}, {} ms",
             over.goodput,
             naive.goodput,
@@ -269,6 +274,6 @@
         );
         assert!(over.goodput as f64 >= least * peak.goodput as f64);
         assert!(over.goodput > naive.goodput);
-        assert!(over.desk_p99_ms <= PATIENCE.as_millis() as u64);
+        assert!(over.desk_p99_ms <= MAX_WAIT.as_millis() as u64);
     }
 }
--- a/crates/kumquatnotch-policy/tests/advice.rs
+++ b/crates/kumquatnotch-policy/tests/advice.rs
@@ -7,7 +7,9 @@
     member::NodeState,
     random::Random,
 };
-use kumquatnotch_policy::advice::{EntryNode, EntryPolicy, Near, NearestEntry, SpreadEntry};
+use kumquatnotch_policy::advice::{
+    CallerLocation, EntryNode, EntryPolicy, NearestEntry, SpreadEntry,
+};
 use yare::parameterized;
 
 /// Three nodes in each of three data centres, two of them in the south.
@@ -30,7 +32,7 @@
 /// The ports in the order for a caller in dc1 of the south.
 fn order(policy: &dyn EntryPolicy, nodes: &[EntryNode]) -> Vec<u16> {
     let (centre, region) = (DataCentre::from("dc1"), Region::from("south"));
-    let near = Near { centre: Some(&centre), region: Some(&region) };
+    let near = CallerLocation { centre: Some(&centre), region: Some(&region) };
     policy.order(nodes, near).iter().map(SocketAddr::port).collect()
 }
 
--- a/crates/kumquatnotch-policy/tests/answer_time.rs
+++ b/crates/kumquatnotch-policy/tests/answer_time.rs
@@ -9,7 +9,7 @@
 
 use kumquatnotch_policy::{
     answer_time::{self, Due, Origin},
-    caller_trips::CallerTrips,
+    caller_rtt::CallerRtt,
     lags::Lags,
 };
 use yare::parameterized;
@@ -18,10 +18,10 @@
     Duration::from_millis(millis)
 }
 
-fn trips(measured: &[Duration]) -> CallerTrips {
-    let trips = CallerTrips::default();
-    measured.iter().for_each(|trip| trips.note(*trip));
-    trips
+fn caller_rtt(measured: &[Duration]) -> CallerRtt {
+    let caller_rtt = CallerRtt::default();
+    measured.iter().for_each(|trip| caller_rtt.note(*trip));
+    caller_rtt
 }
 
 #[parameterized(
@@ -30,25 +30,25 @@
     far = { 80_000, 300 },
     few_are_busy = { 2_000, 25 },
 )]
-fn the_way_of_callers_is_learned(usual_us: u64, busy_every: usize) {
+fn the_caller_round_trip_is_learned(usual_us: u64, busy_every: usize) {
     let usual = Duration::from_micros(usual_us);
     let measured: Vec<Duration> =
         (1..=200).map(|index| if index % busy_every == 0 { ms(400) } else { usual }).collect();
 
-    assert_eq!(trips(&measured).usual(), usual);
+    assert_eq!(caller_rtt(&measured).usual(), usual);
 }
 
 #[test]
-fn few_measurements_are_not_believed() {
-    assert_eq!(trips(&[ms(1); 4]).usual(), trips(&[]).usual());
+fn the_initial_round_trip_is_used_until_enough_samples() {
+    assert_eq!(caller_rtt(&[ms(1); 4]).usual(), caller_rtt(&[]).usual());
 }
 
 /// Callers move: the way of before is forgotten after the last sixty-four of them.
 #[test]
-fn a_way_that_changes_is_learned_anew() {
+fn a_changed_round_trip_replaces_the_old_one() {
     let measured: Vec<Duration> = [[ms(2); 100], [ms(30); 100]].concat();
 
-    assert_eq!(trips(&measured).usual(), ms(30));
+    assert_eq!(caller_rtt(&measured).usual(), ms(30));
 }
 
 #[parameterized(idle = { 250 }, as_assumed = { 2_500 }, busy = { 25_000 })]
@@ -69,19 +69,20 @@
     busy = { 250, 2, 10, false, 214 },
     far = { 250, 40, 1, false, 127 },
     short_objective = { 60, 2, 1, false, 51 },
-    way_over_the_objective = { 60, 80, 1, false, 24 },
+    round_trip_over_the_objective = { 60, 80, 1, false, 24 },
     long_objective = { 3_000, 6, 2, false, 2_976 },
 )]
-fn what_callers_and_the_node_need_comes_off_the_objective(
+fn round_trips_and_lag_are_deducted_from_the_objective(
     objective: u64,
     trip: u64,
     lag: u64,
     is_first: bool,
     waited: u64,
 ) {
-    let origin = Origin { trip: ms(trip), way: Duration::ZERO, lag: ms(lag), is_first };
+    let origin =
+        Origin { round_trip: ms(trip), remote_round_trip: Duration::ZERO, lag: ms(lag), is_first };
 
-    assert_eq!(answer_time::waiting(ms(objective), origin), ms(waited));
+    assert_eq!(answer_time::time_to_answer(ms(objective), origin), ms(waited));
 }
 
 /// A caller comes again after most of its time: the answer can't be in time any more, and
@@ -91,6 +92,6 @@
     a_little_later = { 60, 140, false },
     too_late = { 120, 200, true },
 )]
-fn a_caller_that_comes_again_has_what_is_left(waited: u64, within: u64, is_returning: bool) {
+fn a_returning_caller_gets_the_remaining_time(waited: u64, within: u64, is_returning: bool) {
     assert_eq!(Due::new(ms(200), ms(waited)), Due { within: ms(within), is_returning });
 }
--- a/crates/kumquatnotch-policy/tests/budget.rs
+++ b/crates/kumquatnotch-policy/tests/budget.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_is_spent_is_told_as_a_part_of_the_allowance() {
+fn spent_is_a_fraction_of_the_allowance() {
     let now = Instant::now();
     let budget = budget(now, 1);
     let service = ServiceName::from("one");
--- a/crates/kumquatnotch-policy/tests/calls.rs
+++ b/crates/kumquatnotch-policy/tests/calls.rs
@@ -9,10 +9,10 @@
     target::{Phase, TargetStatus},
 };
 use kumquatnotch_policy::{
-    choice::{Candidate, Choice, LeastTime, Need, Pick, ReportedLoad, RoundRobin},
+    choice::{CallProfile, Candidate, Choice, LeastTime, Pick, ReportedLoad, RoundRobin},
     containment::{Containment, NoContainment, Running, StrikeContainment, Verdict},
     hedge::{FixedHedge, Hedge, QuantileHedge},
-    replica::{Fitness, GentleWarmup, NoWarmup, Replica, WARM_ANSWERS, Warmup},
+    replica::{Fitness, GradualWarmup, NoWarmup, Replica, WARM_ANSWERS, Warmup},
     retry::{Attempt, BudgetRetry, NaiveRetry, Retry},
 };
 use yare::parameterized;
@@ -34,12 +34,12 @@
 /// The share of a thousand calls that goes to the second candidate.
 fn share_of_second(choice: &dyn Choice, candidates: &[Candidate]) -> f64 {
     let random = Random::with_seed(1);
-    let picks = (0..1_000).map(|_| choice.pick(candidates, Need::default(), &random));
+    let picks = (0..1_000).map(|_| choice.pick(candidates, CallProfile::default(), &random));
     picks.filter(|pick| *pick == Pick::Take(1)).count() as f64 / 1e3
 }
 
 #[test]
-fn straggler_is_left_out() {
+fn straggler_gets_no_calls() {
     let candidates = [candidate(1, 6), candidate(0, 60)];
 
     assert_eq!(share_of_second(&LeastTime, &candidates), 0.0);
@@ -51,14 +51,17 @@
     let candidates = [candidate(2, 6), candidate(0, 60)];
     let random = Random::with_seed(1);
 
-    assert_eq!(LeastTime.pick(&candidates, Need::default(), &random), Pick::Wait);
-    assert_eq!(RoundRobin::default().pick(&candidates, Need::default(), &random), Pick::Take(1));
+    assert_eq!(LeastTime.pick(&candidates, CallProfile::default(), &random), Pick::Wait);
+    assert_eq!(
+        RoundRobin::default().pick(&candidates, CallProfile::default(), &random),
+        Pick::Take(1)
+    );
 }
 
 #[test]
 fn deep_queue_uses_the_straggler_too() {
     let candidates = [candidate(2, 6), candidate(0, 60)];
-    let need = Need { ahead: 30, urgent: true };
+    let need = CallProfile { ahead: 30, urgent: true };
 
     assert_eq!(LeastTime.pick(&candidates, need, &Random::with_seed(1)), Pick::Take(1));
 }
@@ -66,9 +69,9 @@
 // A target reports no load whatever it does, and is slow. By reports alone all
 // calls flock to it.
 #[test]
-fn lying_report_attracts_nobody() {
-    let liar = Candidate { reported: 0, ..candidate(1, 60) };
-    let candidates = [candidate(1, 6), liar];
+fn false_load_report_attracts_no_calls() {
+    let misreporting = Candidate { reported: 0, ..candidate(1, 60) };
+    let candidates = [candidate(1, 6), misreporting];
 
     assert_eq!(share_of_second(&LeastTime, &candidates), 0.0);
     assert_eq!(share_of_second(&ReportedLoad, &candidates), 1.0);
@@ -84,10 +87,11 @@
 }
 
 #[test]
-fn idle_replica_gets_a_trial() {
+fn idle_replica_gets_a_probe_call() {
     let idle = Candidate { idle: Duration::from_secs(5), ..candidate(0, 60) };
 
-    let pick = LeastTime.pick(&[candidate(0, 6), idle], Need::default(), &Random::with_seed(1));
+    let pick =
+        LeastTime.pick(&[candidate(0, 6), idle], CallProfile::default(), &Random::with_seed(1));
 
     assert_eq!(pick, Pick::Take(1));
 }
@@ -97,29 +101,29 @@
 }
 
 #[test]
-fn restarted_replica_is_warmed_in() {
+fn restarted_replica_warms_up() {
     let now = Instant::now();
     let mut replica = Replica::default();
     replica.on_probe(&status(Phase::Ready, 1), now);
-    assert!(!GentleWarmup.is_warming(&replica));
+    assert!(!GradualWarmup.is_warming(&replica));
 
     replica.on_probe(&status(Phase::Ready, 2), now);
 
-    assert!(GentleWarmup.is_warming(&replica));
+    assert!(GradualWarmup.is_warming(&replica));
     assert!(!NoWarmup.is_warming(&replica));
     (0..WARM_ANSWERS).for_each(|_| replica.on_answer(6 * MS, 0, now));
-    assert!(!GentleWarmup.is_warming(&replica));
+    assert!(!GradualWarmup.is_warming(&replica));
 }
 
 // Every call to a straggler is won by its copy, so it never answers at all. If
 // dropped calls told nothing, its latency would stay that of its good days.
 #[test]
-fn calls_that_were_given_up_count() {
+fn cancelled_calls_raise_the_latency() {
     let now = Instant::now();
     let mut replica = Replica::default();
     (0..20).for_each(|_| replica.on_answer(6 * MS, 0, now));
 
-    (0..20).for_each(|_| replica.on_given_up(12 * MS));
+    (0..20).for_each(|_| replica.on_cancelled(12 * MS));
 
     assert!(replica.latency().unwrap() > 20 * MS);
 }
@@ -136,23 +140,23 @@
 // A hundred targets restart at once. Trials in step would come back as a storm
 // of connections, each of which costs the target milliseconds.
 #[test]
-fn trials_after_a_mass_restart_are_spread() {
+fn reconnects_after_a_mass_restart_are_spread() {
     let now = Instant::now();
     let random = Random::with_seed(1);
-    let trial = || {
+    let delay = || {
         let mut replica = Replica::default();
         (0..4).for_each(|_| replica.on_unreachable(now, &random));
         replica.down_until().unwrap() - now
     };
 
-    let mut trials: Vec<Duration> = (0..100).map(|_| trial()).collect();
+    let mut delays: Vec<Duration> = (0..100).map(|_| delay()).collect();
 
-    trials.sort_unstable();
-    assert!(trials[90] - trials[10] > 100 * MS);
+    delays.sort_unstable();
+    assert!(delays[90] - delays[10] > 100 * MS);
 }
 
 /// The copies that a thousand late calls cause.
-fn copies(hedge: &mut dyn Hedge) -> usize {
+fn hedges(hedge: &mut dyn Hedge) -> usize {
     (0..1_000)
         .filter(|_| {
             hedge.on_call();
@@ -164,13 +168,13 @@
 // Everything is late at once. Without a budget each call would be sent twice,
 // just when the targets have the least room.
 #[test]
-fn copies_stay_within_the_budget() {
-    assert!(copies(&mut QuantileHedge::default()) <= 30);
-    assert_eq!(copies(&mut FixedHedge(12 * MS)), 1_000);
+fn hedges_stay_within_the_budget() {
+    assert!(hedges(&mut QuantileHedge::default()) <= 30);
+    assert_eq!(hedges(&mut FixedHedge(12 * MS)), 1_000);
 }
 
 #[test]
-fn hedge_delay_follows_the_answers() {
+fn hedge_delay_follows_the_latency_quantile() {
     let mut hedge = QuantileHedge::default();
     assert_eq!(hedge.delay(), None);
 
@@ -181,7 +185,7 @@
 }
 
 #[test]
-fn hedge_delay_is_not_that_of_many_stragglers() {
+fn hedge_delay_is_bounded_with_many_stragglers() {
     let mut hedge = QuantileHedge::default();
 
     (0..1_000u32).for_each(|n| hedge.on_latency(if n % 10 == 0 { 60 * MS } else { 6 * MS }));
@@ -194,9 +198,9 @@
 }
 
 /// The repeated attempts that ten thousand failing calls cause.
-fn repeats(retry: &mut dyn Retry) -> u32 {
+fn retries(retry: &mut dyn Retry) -> u32 {
     let now = Instant::now();
-    let mut repeats = 0;
+    let mut retries = 0;
     for _ in 0..10_000 {
         retry.on_call();
         let mut tries = 1;
@@ -206,15 +210,15 @@
         {
             tries += 1;
         }
-        repeats += tries - 1;
+        retries += tries - 1;
     }
-    repeats
+    retries
 }
 
 #[test]
-fn repeats_stay_within_the_budget() {
-    assert!(repeats(&mut BudgetRetry::default()) <= 1_050);
-    assert_eq!(repeats(&mut NaiveRetry), 30_000);
+fn retries_stay_within_the_budget() {
+    assert!(retries(&mut BudgetRetry::default()) <= 1_050);
+    assert_eq!(retries(&mut NaiveRetry), 30_000);
 }
 
 #[parameterized(
@@ -226,7 +230,7 @@
     timed_out = { Error::TimedOut, false },
     failed = { Error::TargetFailed { detail: String::new() }, false },
 )]
-fn exclusive_request_is_repeated_only_if_it_has_not_run(error: Error, expected: bool) {
+fn exclusive_request_is_retried_only_if_it_has_not_run(error: Error, expected: bool) {
     let now = Instant::now();
 
     let next = BudgetRetry::default().next(&attempt(&error, true, now), now);
@@ -236,7 +240,7 @@
 }
 
 #[test]
-fn shed_call_waits_as_told_if_there_is_no_other() {
+fn shed_call_waits_for_retry_after_without_another_replica() {
     let now = Instant::now();
     let error = Error::Shed { retry_ms: 40 };
     let alone = Attempt { other: false, ..attempt(&error, false, now) };
@@ -278,7 +282,7 @@
 // A popular request is in flight beside the culprit each time a target crashes.
 // Counting crashes alone would refuse all its callers.
 #[test]
-fn innocent_beside_two_crashes_is_not_contained() {
+fn bystander_of_two_crashes_is_not_contained() {
     let now = Instant::now();
     let mut containment = StrikeContainment::default();
 
--- a/crates/kumquatnotch-policy/tests/copies.rs
+++ b/crates/kumquatnotch-policy/tests/hedge_timing.rs
@@ -10,7 +10,7 @@
 };
 
 use kumquatnotch_core::ids::{DataCentre, Region};
-use kumquatnotch_policy::{copies, distances::Distances, observed::Observed};
+use kumquatnotch_policy::{distances::Distances, hedge_timing, observed::Observed};
 use yare::parameterized;
 
 const USUAL: Duration = ms(20);
@@ -32,17 +32,22 @@
 #[parameterized(
     on_its_way = { 30, 1, 30, true },
     late = { 120, 1, 30, false },
-    stands_still = { 30, 1, 400, false },
+    stalled = { 30, 1, 400, false },
     full = { 30, 2, 30, false },
 )]
-fn a_copy_that_lost_is_let_end(took: u64, load: u32, silent_for: u64, may_end: bool) {
+fn a_losing_attempt_is_awaited_unless_late_stalled_or_full(
+    took: u64,
+    load: u32,
+    silent_for: u64,
+    may_end: bool,
+) {
     let start = Instant::now();
     let observed = replica(start, ms(40));
     observed.note_sent(start);
     let now = start + ms(silent_for);
     observed.note_load(load, now);
 
-    assert_eq!(copies::is_soon_done(&observed, USUAL, ms(took), now), may_end);
+    assert_eq!(hedge_timing::should_await_loser(&observed, USUAL, ms(took), now), may_end);
 }
 
 /// The reply of a replica nearby is late. The copy goes out as late as it still helps, given
@@ -53,10 +58,10 @@
     too_late_already = { 60, 60, 31 },
     no_other = { 0, 300, 59 },
 )]
-fn a_copy_is_sent_as_late_as_it_helps(other: u64, left: u64, after: u64) {
+fn a_hedge_is_sent_as_late_as_it_can_still_help(other: u64, left: u64, after: u64) {
     let now = Instant::now();
     let first = replica(now, ms(1));
     let other = (other > 0).then_some(ms(other).as_secs_f64());
 
-    assert_eq!(copies::delay(&first, other, USUAL, ms(left), now), ms(after));
+    assert_eq!(hedge_timing::delay(&first, other, USUAL, ms(left), now), ms(after));
 }
--- a/crates/kumquatnotch-policy/tests/limits.rs
+++ b/crates/kumquatnotch-policy/tests/limits.rs
@@ -21,7 +21,7 @@
 /// What a run showed.
 struct Run {
     /// The mean of the calls beyond the slots, as a part of these.
-    over: f64,
+    excess: f64,
     /// The calls answered, as a part of what the slots allow.
     goodput: f64,
 }
@@ -47,19 +47,19 @@
     /// Keeps as many calls in flight as `limit` allows until `answers` are in.
     fn run(&mut self, limit: &mut dyn Limit, answers: usize) -> Run {
         let start = self.now;
-        let mut over = 0.0;
+        let mut excess = 0.0;
         for _ in 0..answers {
             while (self.running.len() as u32) < limit.allowed().min(100) {
                 self.start(limit);
             }
             let (next, _) = self.next_end();
             let beyond = self.running.len().saturating_sub(self.slots) as f64;
-            over += (next - self.now).as_secs_f64() * beyond;
+            excess += (next - self.now).as_secs_f64() * beyond;
             self.end(limit);
         }
         let span = (self.now - start).as_secs_f64();
         let most = span / self.service.as_secs_f64() * self.slots as f64;
-        Run { over: over / span / self.slots as f64, goodput: answers as f64 / most }
+        Run { excess: excess / span / self.slots as f64, goodput: answers as f64 / most }
     }
 
     fn start(&mut self, limit: &mut dyn Limit) {
@@ -89,21 +89,21 @@
 // Without a limit all their calls pile up before its slots; a guess that is too
 // low leaves slots empty. The learned limit must do neither.
 #[parameterized(one = { 1 }, two = { 2 }, three = { 3 }, six = { 6 })]
-fn learned_limit_meets_the_slots(slots: usize) {
+fn learned_limit_matches_the_slots(slots: usize) {
     let mut learned = LearnedLimit::default();
     let mut target = replica(slots);
     target.run(&mut learned, 8_000);
 
     let run = target.run(&mut learned, 8_000);
 
-    assert!(run.over <= 0.10, "over {}", run.over);
+    assert!(run.excess <= 0.10, "over {}", run.excess);
     assert!(run.goodput >= 0.9, "goodput {}", run.goodput);
     let naive = replica(slots).run(&mut NoLimit, 2_000);
-    assert!(naive.over > 1.0, "over without a limit {}", naive.over);
+    assert!(naive.excess > 1.0, "over without a limit {}", naive.excess);
 }
 
 #[test]
-fn fixed_limit_starves_a_larger_target() {
+fn fixed_limit_underuses_a_larger_target() {
     let run = replica(6).run(&mut FixedLimit(2), 2_000);
 
     assert!(run.goodput < 0.5);
@@ -122,10 +122,10 @@
 
     let run = target.run(&mut learned, 4_000);
 
-    assert!(run.over <= 0.10, "over {}", run.over);
+    assert!(run.excess <= 0.10, "over {}", run.excess);
     let mut target = replica(6);
     target.resize(2);
-    assert!(target.run(&mut FixedLimit(6), 4_000).over > 1.0);
+    assert!(target.run(&mut FixedLimit(6), 4_000).excess > 1.0);
 }
 
 #[test]
@@ -144,7 +144,7 @@
 // A straggler is slow at every level. A bound on latency would squeeze its
 // limit down to one call, and it would never be seen to be well again.
 #[test]
-fn learned_limit_of_a_straggler_stays() {
+fn learned_limit_of_a_straggler_is_kept() {
     let mut learned = LearnedLimit::default();
     let mut target = replica(3);
     target.run(&mut learned, 4_000);
--- a/crates/kumquatnotch-policy/tests/mechanisms.rs
+++ b/crates/kumquatnotch-policy/tests/mechanisms.rs
@@ -15,8 +15,8 @@
 fn only_what_is_named_is_switched_off() {
     for off in Mechanism::ALL {
         let mechanisms = Mechanisms::without(&[off]);
-        assert!(!mechanisms.is_whole());
+        assert!(!mechanisms.all_enabled());
         assert!(Mechanism::ALL.into_iter().all(|other| mechanisms.uses(other) == (other != off)));
     }
-    assert!(Mechanisms::default().is_whole());
+    assert!(Mechanisms::default().all_enabled());
 }
--- a/crates/kumquatnotch-policy/tests/queues.rs
+++ b/crates/kumquatnotch-policy/tests/queues.rs
@@ -5,10 +5,10 @@
 use kumquatnotch_core::{Error, document::Class, ids::TenantName};
 use kumquatnotch_policy::{
     fair::FairQueue,
-    queue::{FifoQueue, Pace, WaitQueue, Waiter},
+    queue::{FifoQueue, ServiceRate, WaitQueue, Waiter},
 };
 
-const PACE: Pace = Pace { slots: 4, service: Duration::from_millis(6) };
+const RATE: ServiceRate = ServiceRate { slots: 4, service: Duration::from_millis(6) };
 
 fn waiter(id: u64, class: Class, tenant: &str, now: Instant) -> Waiter {
     Waiter {
@@ -42,7 +42,7 @@
 // The desk asks without a pause for hours, and there is one night audit. By
 // urgency alone it would never run; its assured share lets it end.
 #[test]
-fn audits_finish_while_the_desk_never_pauses() {
+fn continuous_desk_load_does_not_starve_audits() {
     let now = Instant::now();
     let mut queue = FairQueue::default();
     queue.push(waiter(0, Class::Audit, "siam", now));
@@ -71,7 +71,7 @@
 }
 
 /// How many of the first twenty served belong to the rival that asked little.
-fn served_of_rival(queue: &mut dyn WaitQueue) -> usize {
+fn served_of_other(queue: &mut dyn WaitQueue) -> usize {
     let now = Instant::now();
     (0..1_000).for_each(|id| queue.push(waiter(id, Class::Desk, "flood", now)));
     (1_000..1_010).for_each(|id| queue.push(waiter(id, Class::Desk, "rival", now)));
@@ -80,9 +80,9 @@
 }
 
 #[test]
-fn flood_of_one_tenant_does_not_starve_its_rival() {
-    assert_eq!(served_of_rival(&mut FairQueue::default()), 10);
-    assert_eq!(served_of_rival(&mut FifoQueue::default()), 0);
+fn flood_of_one_tenant_does_not_starve_another() {
+    assert_eq!(served_of_other(&mut FairQueue::default()), 10);
+    assert_eq!(served_of_other(&mut FifoQueue::default()), 0);
 }
 
 #[test]
@@ -119,7 +119,7 @@
     let now = Instant::now();
     let fill = |queue: &mut dyn WaitQueue| {
         (0..1_000).for_each(|id| queue.push(waiter(id, Class::Desk, "siam", now)));
-        queue.admit(&waiter(1_000, Class::Desk, "siam", now), PACE, now)
+        queue.admit(&waiter(1_000, Class::Desk, "siam", now), RATE, now)
     };
 
     let refused = fill(&mut FairQueue::default());
@@ -131,12 +131,12 @@
 }
 
 #[test]
-fn rival_of_a_flood_is_not_refused() {
+fn tenant_is_not_refused_during_the_flood_of_another() {
     let now = Instant::now();
     let mut queue = FairQueue::default();
     (0..1_000).for_each(|id| queue.push(waiter(id, Class::Desk, "flood", now)));
 
-    let result = queue.admit(&waiter(1_000, Class::Desk, "rival", now), PACE, now);
+    let result = queue.admit(&waiter(1_000, Class::Desk, "rival", now), RATE, now);
 
     assert_eq!(result, Ok(()));
 }
@@ -148,9 +148,9 @@
     queue.push(waiter(1, Class::Desk, "siam", now));
     queue.push(waiter(2, Class::Audit, "siam", now + Duration::from_secs(5)));
 
-    let gone = queue.expire(now + Duration::from_secs(2));
+    let expired = queue.expire(now + Duration::from_secs(2));
 
-    assert_eq!(gone.iter().map(|waiter| waiter.id).collect::<Vec<_>>(), [1]);
+    assert_eq!(expired.iter().map(|waiter| waiter.id).collect::<Vec<_>>(), [1]);
     assert_eq!(queue.len(), 1);
 }
 
--- a/crates/kumquatnotch-policy/tests/quickest.rs
+++ b/crates/kumquatnotch-policy/tests/rating.rs
@@ -14,7 +14,7 @@
     distances::Distances,
     mechanisms::Mechanisms,
     observed::Observed,
-    quickest::{self, Candidate, Need, Rating},
+    rating::{self, Candidate, Rating, RequestProfile},
 };
 use yare::parameterized;
 
@@ -28,7 +28,7 @@
     let distances = Rc::new(Distances::from(centre.clone(), Region::from("home")));
     let observed = Observed::new(2, distances.to(&centre), now);
     observed.note_connect(ms(1));
-    (0..60).for_each(|_| observed.note_work(ms(20)));
+    (0..60).for_each(|_| observed.note_service_time(ms(20)));
     observed
 }
 
@@ -45,18 +45,18 @@
     observed
 }
 
-fn need(spent: f64) -> Need {
-    Need { usual: ms(20), objective: ms(250), spent, mechanisms: Mechanisms::default() }
+fn need(spent: f64) -> RequestProfile {
+    RequestProfile { usual: ms(20), objective: ms(250), spent, mechanisms: Mechanisms::default() }
 }
 
 /// Whether the first one is asked.
-fn is_first(replicas: [&Observed; 2], need: Need, now: Instant) -> bool {
+fn is_first(replicas: [&Observed; 2], need: RequestProfile, now: Instant) -> bool {
     let rate = |observed| Rating::new(Candidate { observed, waiting: 0, limit: 8 }, need, now);
-    quickest::best(&replicas.map(rate)) == Some(0)
+    rating::best(&replicas.map(rate)) == Some(0)
 }
 
 #[test]
-fn a_sound_replica_is_asked_while_it_has_a_free_slot() {
+fn a_healthy_replica_is_preferred_while_it_has_a_free_slot() {
     let now = Instant::now();
 
     assert!(is_first([&replica(now), &failing(ms(1), now)], need(0.0), now));
@@ -70,20 +70,24 @@
     loses_replies = { 40, 4, true },
     loses_replies_long_queue = { 40, 14, false },
 )]
-fn a_failing_replica_spares_a_crowded_one(failed_after: u64, load: u32, is_sound: bool) {
+fn a_failing_replica_is_used_when_the_healthy_one_is_overloaded(
+    failed_after: u64,
+    load: u32,
+    is_healthy: bool,
+) {
     let now = Instant::now();
-    let sound = replica(now);
-    sound.note_load(load, now);
+    let healthy = replica(now);
+    healthy.note_load(load, now);
 
-    assert_eq!(is_first([&sound, &failing(ms(failed_after), now)], need(0.0), now), is_sound);
+    assert_eq!(is_first([&healthy, &failing(ms(failed_after), now)], need(0.0), now), is_healthy);
 }
 
 /// Repeats run short: a rejection would be the end of a request, so the queue is better.
 #[parameterized(plenty = { 0.2, false }, half = { 0.6, true }, gone = { 1.0, true })]
-fn a_failing_replica_is_left_alone_where_repeats_run_short(spent: f64, is_sound: bool) {
+fn a_failing_replica_is_avoided_when_the_retry_budget_is_low(spent: f64, is_healthy: bool) {
     let now = Instant::now();
-    let sound = replica(now);
-    sound.note_load(5, now);
+    let healthy = replica(now);
+    healthy.note_load(5, now);
 
-    assert_eq!(is_first([&sound, &failing(ms(1), now)], need(spent), now), is_sound);
+    assert_eq!(is_first([&healthy, &failing(ms(1), now)], need(spent), now), is_healthy);
 }
--- a/crates/kumquatnotch-policy/tests/standby.rs
+++ b/crates/kumquatnotch-policy/tests/standby.rs
@@ -7,7 +7,7 @@
 
 use kumquatnotch_policy::{
     placement::is_standby,
-    startup::{self, turn},
+    startup::{self, start_delay},
 };
 use yare::parameterized;
 
@@ -30,12 +30,12 @@
 /// However many nodes there are, those that announce themselves are those that serve: a
 /// fleet of 43 or of 1,003 nodes in a data centre costs the store the same three leases.
 #[test]
-fn the_entries_of_a_data_centre_dont_grow_with_its_small_nodes() {
+fn small_nodes_add_no_store_entries() {
     let announced = |small: usize| {
         let capacities: Vec<f64> =
             [0.5; 3].into_iter().chain(std::iter::repeat_n(0.12, small)).collect();
         let mut known: Vec<f64> = Vec::new();
-        // The larger ones announce themselves first, as `turn` has it.
+        // The larger ones announce themselves first, as `start_delay` has it.
         for capacity in capacities {
             if !is_standby(capacity, known.iter().copied()) {
                 known.push(capacity);
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn larger_nodes_go_first_and_none_waits_for_long() {
-    assert_eq!(turn(0.5), Duration::from_millis(300));
-    assert!(turn(0.12) > turn(0.5) + Duration::from_millis(800));
-    assert_eq!(turn(0.0), Duration::from_millis(1_500));
-    assert!(startup::retry(Duration::ZERO, Duration::from_secs(2)) < Duration::from_secs(1));
+fn larger_nodes_start_first_and_delays_are_bounded() {
+    assert_eq!(start_delay(0.5), Duration::from_millis(300));
+    assert!(start_delay(0.12) > start_delay(0.5) + Duration::from_millis(800));
+    assert_eq!(start_delay(0.0), Duration::from_millis(1_500));
+    assert!(startup::retry_after(Duration::ZERO, Duration::from_secs(2)) < Duration::from_secs(1));
 }
--- a/crates/kumquatnotch-policy/tests/stop.rs
+++ b/crates/kumquatnotch-policy/tests/stop.rs
@@ -35,7 +35,7 @@
     all_wanted = { spec(0.5, 1.0), progress(9, 0, 49), false },
     none_wanted = { spec(0.5, 0.0), progress(9, 0, 0), true },
 )]
-fn a_query_is_hopeless_once_too_few_shards_are_left(
+fn a_query_cannot_suffice_once_too_few_shards_are_open(
     spec: StopSpec,
     progress: Progress,
     expected: bool,
@@ -48,7 +48,7 @@
     siam = { spec(0.5, 0.9), 500 },
     barid = { spec(0.5, 1.0), 1_000 },
 )]
-fn partial_answers_are_wanted_by_who_can_use_them(spec: StopSpec, expected_ms: u64) {
+fn tenants_requiring_all_shards_wait_until_the_deadline(spec: StopSpec, expected_ms: u64) {
     let deadline = Duration::from_millis(1_000);
 
     let patience = TenantStop.patience(&spec, deadline);
--- a/crates/kumquatnotch-query/src/entry.rs
+++ b/crates/kumquatnotch-query/src/entry.rs
@@ -9,7 +9,7 @@
     lifecycle::Stage,
     member::{Members, NodeState},
 };
-use kumquatnotch_policy::advice::{EntryNode, EntryPolicy, Near};
+use kumquatnotch_policy::advice::{CallerLocation, EntryNode, EntryPolicy};
 
 use crate::router::Router;
 
@@ -61,6 +61,6 @@
         })
     });
     let region = named.unwrap_or(local.region);
-    let near = Near { centre: centre.as_ref(), region: Some(&region) };
+    let near = CallerLocation { centre: centre.as_ref(), region: Some(&region) };
     EntryAdvice { addresses: policy.order(&nodes, near), valid_ms: valid.as_millis() as u64 }
 }
--- a/crates/kumquatnotch-query/src/front.rs
+++ b/crates/kumquatnotch-query/src/front.rs
@@ -22,7 +22,7 @@
     ticket::Outcome,
 };
 use kumquatnotch_policy::{
-    admission::{Admission, AdmissionOptions, AdmitAll, Entrant, GradedAdmission},
+    admission::{Admission, AdmissionOptions, AdmissionRequest, AdmitAll, GradedAdmission},
     advice::{EntryPolicy, NearestEntry, SpreadEntry},
     stop::{StopRule, TenantStop, WaitForAll},
 };
@@ -162,11 +162,11 @@
             return Err(Error::Unauthorised);
         };
         let patience = self.stop_rule.patience(&declared.stop, deadline);
-        let entrant = Entrant {
+        let entrant = AdmissionRequest {
             tenant: tenant.clone(),
             weight: declared.weight,
             class: spec.class,
-            patience,
+            max_wait: patience,
         };
         let _running = Running::enter(&*self.admission, entrant, start)?;
         let margin = self.options.margin.min(deadline / 10);
@@ -196,7 +196,7 @@
         let canary = self.options.canary && !self.proven.knows(start, fingerprint);
         let result = search.run(canary).await;
         let now = self.clock.now();
-        self.admission.ended(now, spec.class, is_starved(&result));
+        self.admission.on_end(now, spec.class, is_starved(&result));
         match crashed(&result) {
             true => self.proven.unlearn(fingerprint),
             false if result.is_ok() => self.proven.learn(now, fingerprint),
@@ -333,11 +333,15 @@
 /// Counts a request as running until it is dropped, be it because its caller left.
 struct Running<'a> {
     admission: &'a dyn Admission,
-    entrant: Entrant,
+    entrant: AdmissionRequest,
 }
 
 impl<'a> Running<'a> {
-    fn enter(admission: &'a dyn Admission, entrant: Entrant, now: Instant) -> Result<Running<'a>> {
+    fn enter(
+        admission: &'a dyn Admission,
+        entrant: AdmissionRequest,
+        now: Instant,
+    ) -> Result<Running<'a>> {
         admission.enter(now, &entrant).map_err(Error::overloaded)?;
         meters::running(admission.running());
         Ok(Running { admission, entrant })
--- a/crates/kumquatnotch-query/src/search.rs
+++ b/crates/kumquatnotch-query/src/search.rs
@@ -138,13 +138,13 @@
     pub fn learn(&self, answer: &GroupAnswer) {
         let now = self.clock.now();
         self.planner.view.learn(now, &answer.held);
-        self.admission.learn(now, self.class(), Duration::from_micros(answer.wait_us));
+        self.admission.observe_wait(now, self.class(), Duration::from_micros(answer.wait_us));
     }
 
     /// Takes what a holder's refusal tells: requests wait as long as it says.
     pub fn learn_refusal(&self, error: &Error) {
         if let (Error::Overloaded { .. }, Some(retry)) = (error, error.retry_after()) {
-            self.admission.learn(self.clock.now(), self.class(), retry);
+            self.admission.observe_wait(self.clock.now(), self.class(), retry);
         }
     }
 
--- a/crates/kumquatnotch-route/src/admission.rs
+++ b/crates/kumquatnotch-route/src/admission.rs
@@ -7,10 +7,10 @@
 
 use kumquatnotch_core::clock;
 use kumquatnotch_policy::{
-    forecast::{Forecast, Terms},
+    forecast::{Forecast, Requirements},
     mechanisms::Mechanism,
-    quickest::Rating,
-    strain::{self, Fate},
+    overload::{self, SearchOutcome},
+    rating::Rating,
 };
 
 use crate::{
@@ -82,7 +82,7 @@
         let now = clock.now();
         search.due = now + wait;
         let terms = terms(router, search, now);
-        if foretell(router, search, &terms, now).refusal(&terms).is_none() {
+        if foretell(router, search, &terms, now).overload_retry(&terms).is_none() {
             return true;
         }
         if now >= until || router.strains.is_refusing(&search.route.name, now) {
@@ -106,42 +106,42 @@
     let now = router.clock.now();
     let terms = terms(router, search, now);
     let forecast = foretell(router, search, &terms, now);
-    if let Some(retry) = forecast.absence(&terms) {
+    if let Some(retry) = forecast.unavailable_retry(&terms) {
         tell_refusal(search, &forecast, &terms, retry);
         return Err(Refused { retry, reason: "shards without replicas" });
     }
-    let refusal = forecast.refusal(&terms).filter(|_| router.uses(Mechanism::Refusals));
+    let refusal = forecast.overload_retry(&terms).filter(|_| router.uses(Mechanism::Refusals));
     let Some(retry) = refusal else {
         return Ok(());
     };
     let route = &search.route.name;
-    router.strains.note(route, Fate::Refused, now);
-    let crowd = router.random.jitter(router.strains.retry(route, terms.time, now));
+    router.strains.note(route, SearchOutcome::Refused, now);
+    let crowd = router.random.jitter(router.strains.retry(route, terms.time_left, now));
     let retry = if router.uses(Mechanism::RetryTimes) { retry.max(crowd) } else { FIXED_RETRY };
     tell_refusal(search, &forecast, &terms, retry);
     Err(Refused { retry, reason: "replicas are crowded" })
 }
 
 /// Writes a line for a refusal, with what decided it.
-fn tell_refusal(search: &Search<'_>, forecast: &Forecast, terms: &Terms, retry: Duration) {
-    let Forecast { needed, spared, .. } = forecast;
+fn tell_refusal(search: &Search<'_>, forecast: &Forecast, terms: &Requirements, retry: Duration) {
+    let Forecast { needed, optional, .. } = forecast;
     let slowest = needed.last();
     tracing::info!(
         request = search.identity.to_str().unwrap_or_default(),
-        late = needed.len() + spared.len(),
+        late = needed.len() + optional.len(),
         needed = needed.len(),
         service = slowest.map(|late| search.set.shards[late.index].as_str()),
         expected_ms = slowest.map(|late| (late.expected * 1e3) as u64),
         crowded = needed.iter().filter(|late| late.is_crowded).count(),
         margin = terms.margin,
-        due_ms = terms.left.as_millis() as u64,
+        due_ms = terms.objective_left.as_millis() as u64,
         retry_ms = retry.as_millis() as u64,
         "forecast: refused"
     );
 }
 
 /// Foretells when the parts of a search would come.
-fn foretell(router: &Router, search: &Search<'_>, terms: &Terms, now: Instant) -> Forecast {
+fn foretell(router: &Router, search: &Search<'_>, terms: &Requirements, now: Instant) -> Forecast {
     let best = search.set.shards.iter().map(|shard| -> Option<Rating> {
         let need = router.need_at(search.route, shard);
         Some(replica::pick(&router.directory.of(shard), &[], need, now)?.rating)
@@ -149,15 +149,15 @@
     Forecast::new(best, terms)
 }
 
-fn terms(router: &Router, search: &Search<'_>, now: Instant) -> Terms {
+fn terms(router: &Router, search: &Search<'_>, now: Instant) -> Requirements {
     let margin = match router.uses(Mechanism::Strain) {
         true => router.strains.margin(&search.route.name, now),
-        false => strain::LEAST_MARGIN,
+        false => overload::MIN_MARGIN,
     };
-    Terms {
-        left: search.due.saturating_duration_since(now),
-        time: search.deadline.saturating_duration_since(now),
-        least: search.set.least_parts(),
+    Requirements {
+        objective_left: search.due.saturating_duration_since(now),
+        time_left: search.deadline.saturating_duration_since(now),
+        min_parts: search.set.least_parts(),
         margin: if search.returning { margin * RETURNING_TIMES } else { margin },
     }
 }
--- a/crates/kumquatnotch-route/src/advice.rs
+++ b/crates/kumquatnotch-route/src/advice.rs
@@ -6,7 +6,7 @@
     collections::{HashMap, HashSet},
     ids::{DataCentre, NodeName, Region},
 };
-use kumquatnotch_policy::placement::{Held, NodePlace};
+use kumquatnotch_policy::placement::{HeldShards, NodeLocation};
 
 use crate::{
     directory::Directory,
@@ -38,7 +38,7 @@
         regions: &HashMap<DataCentre, Region>,
     ) -> HostAdvice {
         let held = held(host, table, directory, regions);
-        let places: Vec<NodePlace<'_>> = nodes.iter().map(|(_, node)| node.place()).collect();
+        let places: Vec<NodeLocation<'_>> = nodes.iter().map(|(_, node)| node.place()).collect();
         let all: HashSet<&Region> = regions.values().collect();
         let advised = all.into_iter().map(|region| {
             let chosen = held.choose(region, &places);
@@ -84,7 +84,7 @@
     table: &RouteTable,
     directory: &Directory,
     regions: &HashMap<DataCentre, Region>,
-) -> Held {
+) -> HeldShards {
     let mut shards: Vec<&ServiceName> = Vec::new();
     for route in table.routes_of(host) {
         if let Destination::Shards(set) = &route.destination {
@@ -93,7 +93,7 @@
     }
     shards.sort_unstable();
     shards.dedup();
-    let mut held = Held::default();
+    let mut held = HeldShards::default();
     for shard in &shards {
         let mut centres: Vec<DataCentre> = Vec::new();
         let replicas = directory.of(shard);
--- a/crates/kumquatnotch-route/src/announce.rs
+++ b/crates/kumquatnotch-route/src/announce.rs
@@ -117,7 +117,7 @@
 
     /// Whether others need the entry: to use this node, or to know of crashes.
     fn is_needed(&self) -> bool {
-        !self.router.is_standby() || !self.router.crashes.told().is_empty()
+        !self.router.is_standby() || !self.router.crashes.published().is_empty()
     }
 
     async fn announce(&self) -> Result<StoreLease> {
@@ -175,7 +175,7 @@
 
     /// Tells the other nodes of crashes, if there are others than those `told`.
     async fn tell_crashes(&self, lease: StoreLease, told: &mut Vec<Crash>) {
-        let crashes = self.router.crashes.told();
+        let crashes = self.router.crashes.published();
         if crashes == *told {
             return;
         }
--- a/crates/kumquatnotch-route/src/attempt.rs
+++ b/crates/kumquatnotch-route/src/attempt.rs
@@ -213,7 +213,7 @@
             replica.observed.note_load(running + waiting, now);
         }
         if router.uses(Mechanism::ToldBurden) {
-            replica.observed.note_burden(burden.unwrap_or(1.0), now);
+            replica.observed.note_machine_slowdown(burden.unwrap_or(1.0), now);
         }
     }
     if reply.status.as_u16() == 421 {
@@ -230,14 +230,14 @@
     }
     replica.observed.note_outcome(reply.status.is_server_error(), now);
     if reply.status.is_success() {
-        let way = replica.observed.known_trip().unwrap_or_default();
+        let way = replica.observed.measured_round_trip().unwrap_or_default();
         let queue = load.map_or(0.0, |load| f64::from(load.waiting));
         // What waits there now waited before this request when it came.
         let slots = replica.observed.slots();
         let work = took.saturating_sub(way).div_f64(1.0 + queue / slots);
-        replica.observed.note_work(work);
+        replica.observed.note_service_time(work);
         // What comes of its machine is told anew with each reply; the rest is its own.
-        let work = work.div_f64(replica.observed.burden(now));
+        let work = work.div_f64(replica.observed.machine_slowdown(now));
         replica.observed.note_speed(work, router.need(call.route).usual, now);
         router.paces.note(&call.route.name, call.route.objective, work);
     }
--- a/crates/kumquatnotch-route/src/call.rs
+++ b/crates/kumquatnotch-route/src/call.rs
@@ -7,8 +7,8 @@
 use kumquatnotch_core::clock;
 use kumquatnotch_net::message::Reply;
 use kumquatnotch_policy::{
-    attempts::{Allowance, Attempts, Ending, Verdict},
-    copies, lateness,
+    attempts::{Allowance, AttemptOutcome, Attempts, Verdict},
+    hedge_timing, lateness,
     mechanisms::Mechanism,
 };
 
@@ -111,7 +111,7 @@
             }
             () = late => {
                 let may_copy = router.uses(Mechanism::Copies);
-                if !may_copy || !progress.attempts.may_copy(progress.allowance(), running.len() as u32) {
+                if !may_copy || !progress.attempts.may_hedge(progress.allowance(), running.len() as u32) {
                     continue;
                 }
                 match progress.copy_target() {
@@ -197,7 +197,7 @@
         let Pick { replica, rating } = self.best()?;
         let now = self.router.clock.now();
         let left = self.call.due.saturating_duration_since(now);
-        if !copies::helps(&rating, left, || self.are_lost()) {
+        if !hedge_timing::is_worthwhile(&rating, left, || self.are_lost()) {
             return None;
         }
         self.tried.push(replica.id.clone());
@@ -231,21 +231,21 @@
     fn copy_delay(&self, replica: &Replica) -> Duration {
         let now = self.router.clock.now();
         let usual = self.router.need(self.call.route).usual;
-        let other = self.best().filter(|pick| pick.rating.is_good());
+        let other = self.best().filter(|pick| pick.rating.is_healthy());
         let other = other.filter(|_| self.router.uses(Mechanism::CopyTime));
         let left = self.call.due.saturating_duration_since(now);
         let other = other.map(|pick| pick.rating.expected);
-        copies::delay(&replica.observed, other, usual, left, now)
+        hedge_timing::delay(&replica.observed, other, usual, left, now)
     }
 
     fn note(&mut self, replica: &Rc<Replica>, ended: Ended) {
         let ending = match ended {
             Ended::Replied(reply) => {
                 self.failed = Some(reply);
-                Ending::Failed
+                AttemptOutcome::Failed
             }
-            Ended::Rejected | Ended::Replaced => Ending::Rejected,
-            Ended::NotSent => Ending::NotSent,
+            Ended::Rejected | Ended::Replaced => AttemptOutcome::Rejected,
+            Ended::NotSent => AttemptOutcome::NotSent,
             Ended::Lost(error) => {
                 tracing::info!(
                     request = self.call.identity.to_str().unwrap_or_default(),
@@ -254,7 +254,7 @@
                     code = error.code(),
                     "call: the reply was lost"
                 );
-                Ending::Lost
+                AttemptOutcome::Lost
             }
         };
         self.attempts.note(ending);
--- a/crates/kumquatnotch-route/src/fleet.rs
+++ b/crates/kumquatnotch-route/src/fleet.rs
@@ -13,7 +13,7 @@
 };
 use kumquatnotch_policy::{
     distances::Distances,
-    placement::{self, NodePlace},
+    placement::{self, NodeLocation},
 };
 use serde::{Deserialize, Serialize};
 
@@ -48,8 +48,8 @@
 
 impl NodeRecord {
     /// The node, as far as advice depends on it.
-    pub fn place(&self) -> NodePlace<'_> {
-        NodePlace { centre: &self.centre, region: &self.region, capacity: self.capacity }
+    pub fn place(&self) -> NodeLocation<'_> {
+        NodeLocation { centre: &self.centre, region: &self.region, capacity: self.capacity }
     }
 }
 
--- a/crates/kumquatnotch-route/src/front.rs
+++ b/crates/kumquatnotch-route/src/front.rs
@@ -14,9 +14,9 @@
 };
 use kumquatnotch_policy::{
     answer_time::{self, Due},
+    caller_timeouts::CallerTimeouts,
     mechanisms::Mechanism,
-    patience::Patience,
-    strain::Fate,
+    overload::SearchOutcome,
     weights::Weights,
 };
 
@@ -50,7 +50,7 @@
 pub struct RouteFront {
     router: Rc<Router>,
     weights: Weights,
-    patience: Patience,
+    patience: CallerTimeouts,
     /// Lets in searches of callers that come again.
     returning: Rc<Gate>,
 }
@@ -92,7 +92,12 @@
     pub fn new(router: Rc<Router>) -> RouteFront {
         let returning = Rc::new(Gate::default());
         returning.set_limit(RETURNING_AT_ONCE);
-        RouteFront { router, weights: Weights::default(), patience: Patience::default(), returning }
+        RouteFront {
+            router,
+            weights: Weights::default(),
+            patience: CallerTimeouts::default(),
+            returning,
+        }
     }
 
     async fn answer(&self, request: Request, arrival: Instant) -> Reply {
@@ -261,10 +266,10 @@
         }
         let in_time = answer_time::is_in_time(overdue);
         let fate = match answer {
-            Ok(_) if in_time => Fate::InTime,
+            Ok(_) if in_time => SearchOutcome::InTime,
             // It says nothing of those that were let in.
             Err(CallFault::NotRun { .. }) => return,
-            _ => Fate::Late,
+            _ => SearchOutcome::Late,
         };
         self.router.strains.note(&asked.route.name, fate, now);
     }
--- a/crates/kumquatnotch-route/src/gather.rs
+++ b/crates/kumquatnotch-route/src/gather.rs
@@ -108,7 +108,7 @@
     loop {
         match completion.next(progress.parts.len()) {
             Next::Wait => {}
-            Next::Linger(span) => stop = clock::sleep(clock, span).fuse(),
+            Next::Grace(span) => stop = clock::sleep(clock, span).fuse(),
             Next::Answer => break,
         }
         select_biased! {
@@ -124,7 +124,7 @@
                     let again = progress.add_group(ended, &group);
                     // What the other node misses is asked for from here only if
                     // there is no answer without it: it comes too late to be worth more.
-                    let enough = !completion.needs_more(progress.parts.len(), outstanding);
+                    let enough = !completion.needs_retry(progress.parts.len(), outstanding);
                     if repeat && enough {
                         continue;
                     }
--- a/crates/kumquatnotch-route/src/in_flight.rs
+++ b/crates/kumquatnotch-route/src/in_flight.rs
@@ -8,7 +8,7 @@
 use http::HeaderValue;
 use kumquatnotch_core::clock;
 use kumquatnotch_net::{OpaqueLink, message::Reply, opaque_link::OpaqueReply};
-use kumquatnotch_policy::{copies, lateness, mechanisms::Mechanism};
+use kumquatnotch_policy::{hedge_timing, lateness, mechanisms::Mechanism};
 
 use crate::{attempt::Call, gate::Permit, probe, replica::Replica, router::Router};
 
@@ -53,15 +53,15 @@
             probe::suspect(self.router, self.replica, "no reply");
         }
         let took = now.saturating_duration_since(self.at);
-        let late = lateness::lateness(observed, self.usual, now);
+        let late = lateness::late_after(observed, self.usual, now);
         if took > late {
-            let way = observed.known_trip().unwrap_or_default();
+            let way = observed.measured_round_trip().unwrap_or_default();
             observed.note_unanswered(took.saturating_sub(way), self.usual, now);
         }
         let may_end = self.router.uses(Mechanism::KeptConnections)
             && self.call.is_settled.get()
             && link.is_untouched();
-        if may_end && copies::is_soon_done(observed, self.usual, took, now) {
+        if may_end && hedge_timing::should_await_loser(observed, self.usual, took, now) {
             let linger = Linger {
                 router: self.router.clone(),
                 replica: self.replica.clone(),
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -3,7 +3,7 @@
 use kumquatnotch_core::{collections::HashSet, ids::NodeName};
 use kumquatnotch_policy::{
     mechanisms::Mechanism,
-    shares::{self, Sharers},
+    shares::{self, SharingNodes},
 };
 
 use crate::{names::ServiceName, replica::Replica, route::RouteTable, router::Router};
@@ -31,7 +31,7 @@
         if !self.uses(Mechanism::SettleTime) {
             return self.known_part();
         }
-        shares::settled(self.known_part(), known_for)
+        shares::capped_part(self.known_part(), known_for)
     }
 
     fn known_part(&self) -> f64 {
@@ -59,6 +59,6 @@
             return 0.0;
         }
         let is_serving = serving.contains(&self.place.name);
-        Sharers { all: self.fleet.len(), serving: serving.len(), is_serving }.part()
+        SharingNodes { all: self.fleet.len(), serving: serving.len(), is_serving }.part()
     }
 }
--- a/crates/kumquatnotch-route/src/relay_plan.rs
+++ b/crates/kumquatnotch-route/src/relay_plan.rs
@@ -5,8 +5,8 @@
 use kumquatnotch_core::ids::DataCentre;
 use kumquatnotch_policy::{
     mechanisms::Mechanism,
-    plan::{self, Place},
-    quickest::Rating,
+    plan::{self, ShardLocation},
+    rating::Rating,
 };
 
 use crate::{
@@ -48,7 +48,7 @@
     let places = rated.iter().map(|(index, rated)| {
         let rated: Vec<(&DataCentre, Rating)> =
             rated.iter().map(|(centre, rating)| (centre, *rating)).collect();
-        Place { index: *index, centres: plan::nearest_centres(&rated) }
+        ShardLocation { index: *index, centres: plan::nearest_centres(&rated) }
     });
     let peer_in = |centre: &DataCentre| router.peer_in(&route.host, centre);
     let plan::Plan { here, groups } =
--- a/crates/kumquatnotch-route/src/replica.rs
+++ b/crates/kumquatnotch-route/src/replica.rs
@@ -12,7 +12,7 @@
 use kumquatnotch_policy::{
     distances::Distance,
     observed::{Fitness, Observed},
-    quickest::{self, Candidate, Need, Rating},
+    rating::{self, Candidate, Rating, RequestProfile},
 };
 
 use crate::{
@@ -103,10 +103,10 @@
     }
 
     /// What is to be expected of it.
-    pub fn rate(&self, need: Need, now: Instant) -> Rating {
+    pub fn rate(&self, need: RequestProfile, now: Instant) -> Rating {
         let (waiting, limit) = (self.gate.waiting(), self.gate.limit());
         let rating = Rating::new(Candidate { observed: &self.observed, waiting, limit }, need, now);
-        if self.left.get() { rating.of_left() } else { rating }
+        if self.left.get() { rating.departed() } else { rating }
     }
 }
 
@@ -122,12 +122,12 @@
 pub fn pick(
     replicas: &[Rc<Replica>],
     tried: &[ReplicaId],
-    need: Need,
+    need: RequestProfile,
     now: Instant,
 ) -> Option<Pick> {
     let open = replicas.iter().filter(|replica| replica.takes_requests());
     let open: Vec<&Rc<Replica>> = open.filter(|replica| !tried.contains(&replica.id)).collect();
     let ratings: Vec<Rating> = open.iter().map(|replica| replica.rate(need, now)).collect();
-    let best = quickest::best(&ratings)?;
+    let best = rating::best(&ratings)?;
     Some(Pick { replica: open[best].clone(), rating: ratings[best] })
 }
--- a/crates/kumquatnotch-route/src/router.rs
+++ b/crates/kumquatnotch-route/src/router.rs
@@ -19,15 +19,15 @@
 use kumquatnotch_policy::{
     answer_time::{self, Origin},
     budget::{Budget, BudgetOptions},
-    caller_trips::CallerTrips,
+    caller_rtt::CallerRtt,
     crashes::Crashes,
     distances::Distances,
     lags::Lags,
     mechanisms::{Mechanism, Mechanisms},
-    pace::Paces,
-    quickest::Need,
+    overload::Overload,
+    rating::RequestProfile,
+    service_times::ServiceTimes,
     startup,
-    strain::Strains,
 };
 
 use crate::{
@@ -96,13 +96,13 @@
     /// How much later than due answers leave.
     pub lags: Lags,
     /// How far away callers are.
-    pub callers: CallerTrips,
+    pub callers: CallerRtt,
     /// How long requests usually take.
-    pub paces: Paces,
+    pub paces: ServiceTimes,
     /// The requests that were with replicas when these crashed.
     pub crashes: Crashes,
     /// How hard pressed replicas are.
-    pub strains: Strains,
+    pub strains: Overload,
     /// The budget for repeats.
     pub budget: Budget,
     mechanisms: Mechanisms,
@@ -140,10 +140,10 @@
             distances,
             lenient: Cell::new(None),
             lags: Lags::default(),
-            callers: CallerTrips::default(),
-            paces: Paces::default(),
+            callers: CallerRtt::default(),
+            paces: ServiceTimes::default(),
             crashes: Crashes::default(),
-            strains: Strains::default(),
+            strains: Overload::default(),
             mechanisms: options.mechanisms,
             table: RefCell::default(),
             placed: Cell::new(false),
@@ -238,18 +238,18 @@
 
     /// When a caller with `left` is to come again while the node isn't ready.
     pub(crate) fn ready_retry(&self, left: Duration) -> Duration {
-        startup::retry(self.clock.now().saturating_duration_since(self.started), left)
+        startup::retry_after(self.clock.now().saturating_duration_since(self.started), left)
     }
 
     /// What is known of a request of `route` for the choice of a replica of `service`.
-    pub fn need_at(&self, route: &Route, service: &ServiceName) -> Need {
-        Need { spent: self.budget.spent(service, self.clock.now()), ..self.need(route) }
+    pub fn need_at(&self, route: &Route, service: &ServiceName) -> RequestProfile {
+        RequestProfile { spent: self.budget.spent(service, self.clock.now()), ..self.need(route) }
     }
 
     /// What is known of a request of `route`.
-    pub fn need(&self, route: &Route) -> Need {
+    pub fn need(&self, route: &Route) -> RequestProfile {
         let need = self.paces.need(&route.name, route.objective);
-        Need { mechanisms: self.mechanisms, ..need }
+        RequestProfile { mechanisms: self.mechanisms, ..need }
     }
 
     /// Where replicas of a service, or the nodes of this tier, answer probes.
@@ -294,14 +294,17 @@
     pub fn waiting_time(&self, route: &Route, is_first: bool) -> Duration {
         let guests =
             self.advice(&route.host).is_some_and(|advice| advice.has_guests(&self.place.region));
-        let way = if guests { self.distances.farthest() } else { Duration::ZERO };
+        let way = if guests { self.distances.max_round_trip() } else { Duration::ZERO };
         let (mut trip, mut lag) = (self.callers.usual(), self.lags.usual());
         if !self.uses(Mechanism::CallerTrips) {
-            trip = CallerTrips::default().usual();
+            trip = CallerRtt::default().usual();
         }
         if !self.uses(Mechanism::Lags) {
             lag = Lags::default().usual();
         }
-        answer_time::waiting(route.objective, Origin { trip, way, lag, is_first })
+        answer_time::time_to_answer(
+            route.objective,
+            Origin { round_trip: trip, remote_round_trip: way, lag, is_first },
+        )
     }
 }
--- a/crates/kumquatnotch-route/tests/copies.rs
+++ b/crates/kumquatnotch-route/tests/copies.rs
@@ -53,7 +53,7 @@
         tier.add("s0", slow.address);
         let id = tier.add("s0", full.address);
         let other = tier.router.directory.find(&id).unwrap();
-        (0..60).for_each(|_| other.observed.note_work(Duration::from_millis(10)));
+        (0..60).for_each(|_| other.observed.note_service_time(Duration::from_millis(10)));
         other.observed.note_load(600, RuntimeClock.now());
 
         let others = async {
--- a/crates/kumquatnotch-route/tests/forecasts.rs
+++ b/crates/kumquatnotch-route/tests/forecasts.rs
@@ -9,7 +9,7 @@
 use http::HeaderValue;
 use kumquatnotch_core::{Clock, clock::RuntimeClock};
 use kumquatnotch_net::message::Request;
-use kumquatnotch_policy::{observed::Fitness, strain::Fate};
+use kumquatnotch_policy::{observed::Fitness, overload::SearchOutcome};
 use kumquatnotch_route::{
     admission,
     gate::{Gate, Permit},
@@ -73,7 +73,7 @@
 /// Lets the replica tell that so many requests wait there, each of 20 ms.
 fn crowd(tier: &Tier, id: &ReplicaId, waiting: u32) {
     let replica = tier.router.directory.find(id).unwrap();
-    (0..60).for_each(|_| replica.observed.note_work(Duration::from_millis(20)));
+    (0..60).for_each(|_| replica.observed.note_service_time(Duration::from_millis(20)));
     replica.observed.note_load(waiting, RuntimeClock.now());
 }
 
@@ -215,8 +215,9 @@
         let (tier, ids) = tier(2);
         ids.iter().for_each(|id| crowd(&tier, id, 800));
         let route = shards(2, 1.0);
-        (0..3)
-            .for_each(|_| tier.router.strains.note(&route.name, Fate::Refused, RuntimeClock.now()));
+        (0..3).for_each(|_| {
+            tier.router.strains.note(&route.name, SearchOutcome::Refused, RuntimeClock.now())
+        });
 
         let (has_room, took) = await_room(&tier, &route).await;
 
@@ -263,10 +264,10 @@
 
         crowd_all();
         let before = foretell(&tier, &route).await;
-        note(20, Fate::Late);
+        note(20, SearchOutcome::Late);
         crowd_all();
         let pressed = foretell(&tier, &route).await;
-        note(100, Fate::InTime);
+        note(100, SearchOutcome::InTime);
         crowd_all();
         let after = foretell(&tier, &route).await;
 
@@ -284,8 +285,9 @@
         let (tier, ids) = tier(2);
         ids.iter().for_each(|id| crowd(&tier, id, 40));
         let route = shards(2, 1.0);
-        (0..80)
-            .for_each(|_| tier.router.strains.note(&route.name, Fate::Refused, RuntimeClock.now()));
+        (0..80).for_each(|_| {
+            tier.router.strains.note(&route.name, SearchOutcome::Refused, RuntimeClock.now())
+        });
 
         let retry = foretell(&tier, &route).await.unwrap_err();
 
--- a/crates/kumquatnotch-route/tests/searches.rs
+++ b/crates/kumquatnotch-route/tests/searches.rs
@@ -187,7 +187,7 @@
         assert!(world.replicas.iter().all(|replica| replica.requests().len() == 1));
         // The node at home has no connection to any of them.
         let direct = world.home.router.directory.all();
-        assert!(direct.iter().all(|replica| replica.observed.known_trip().is_none()));
+        assert!(direct.iter().all(|replica| replica.observed.measured_round_trip().is_none()));
         assert_eq!(header(&world.replicas[0].requests()[0], "x-request-id"), "r1");
         drop(world.away);
     });
--- a/crates/kumquatnotch-route/tests/stories.rs
+++ b/crates/kumquatnotch-route/tests/stories.rs
@@ -148,5 +148,5 @@
 /// Lets a replica be known as the quicker one, so that it is asked first.
 fn prefer(tier: &Tier, id: &ReplicaId) {
     let replica = tier.router.directory.find(id).unwrap();
-    (0..20).for_each(|_| replica.observed.note_work(Duration::from_millis(1)));
+    (0..20).for_each(|_| replica.observed.note_service_time(Duration::from_millis(1)));
 }
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -137,7 +137,7 @@
         let need = router.need(&single());
         let replicas = router.directory.of(&service("s0"));
         let now = router.clock.now();
-        assert!(replicas.iter().all(|replica| replica.rate(need, now).is_good()));
+        assert!(replicas.iter().all(|replica| replica.rate(need, now).is_healthy()));
         assert_eq!(replicas.len(), 2);
     });
 }
