--- a/crates/kumquatnotch-policy/src/admission.rs
+++ b/crates/kumquatnotch-policy/src/admission.rs
@@ -1,15 +1,14 @@
-//! Admission: which requests are refused at once under overload.
+//! Admission control: which requests are refused at once under overload.
 //!
-//! A request that will wait until its caller has given up costs capacity and
-//! helps nobody. What holders say of the wait for a slot, set against the time a
-//! request can wait, gives the pressure on its class. Between a low and a high
-//! mark requests are refused by chance, more of them as the pressure rises, so
-//! that the queues stay filled and the refusals do not come in waves. A tenant
-//! above its share of what runs here is refused more, one below it less.
+//! A request that waits until its caller has given up wastes capacity. The queueing delay reported
+//! by holders, relative to the time that a request can wait, gives the pressure on its class.
+//! Between a low and a high threshold, requests are refused at random with a probability that rises
+//! with the pressure, so that queues stay filled and refusals do not come in waves. A tenant above
+//! its fair share of the running requests is refused more often, one below it less often.
 //!
-//! A wait that holders foretell is too short where more urgent requests keep
-//! overtaking. So each class has a gate besides, which closes while requests that
-//! were taken in starve in queues, and opens again slowly.
+//! The delay predicted by holders is too short while more urgent requests keep overtaking. Each
+//! class therefore also has a gate, which closes while admitted requests starve in queues, and
+//! reopens gradually.
 
 use std::{
     cell::RefCell,
@@ -18,69 +17,68 @@
 
 use kumquatnotch_core::{collections::HashMap, document::Class, ids::TenantName, random::Random};
 
-/// A request that asks to be taken in.
+/// A request that asks for admission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
     /// Its tenant.
     pub tenant: TenantName,
-    /// The tenant's share against other tenants.
+    /// Weight of the tenant relative to other tenants.
     pub weight: u32,
     /// Its class.
     pub class: Class,
-    /// How long it can wait and still be of use.
+    /// Maximum time that the request can wait and still be of use.
     pub max_wait: Duration,
 }
 
-/// Decides which requests are taken in.
+/// Decides which requests are admitted.
 pub trait Admission {
-    /// Takes the request in, or tells when to come back.
+    /// Admits the request, or returns the time after which to retry.
     fn enter(&self, now: Instant, request: &AdmissionRequest) -> Result<(), Duration>;
 
-    /// A request that was taken in has ended.
+    /// Records that an admitted request has ended.
     fn leave(&self, request: &AdmissionRequest);
 
-    /// A holder says how long requests of `class` wait for a slot.
+    /// Records the time that requests of `class` wait for a slot, as reported by a holder.
     fn observe_wait(&self, now: Instant, class: Class, wait: Duration);
 
-    /// A request of `class` that was taken in has ended; it was `starved` if it was
-    /// given up while it waited for slots.
+    /// Records the end of an admitted request of `class`; `starved` if it was given up while it
+    /// waited for slots.
     fn on_end(&self, now: Instant, class: Class, starved: bool);
 
-    /// How long requests of `class` wait now, as far as is known.
+    /// Estimated time that requests of `class` currently wait.
     fn wait(&self, now: Instant, class: Class) -> Duration;
 
-    /// How many requests run.
+    /// Number of running requests.
     fn running(&self) -> usize;
 }
 
-/// Where refusals of a class begin and where everything is refused, as shares of
-/// the time that a request can wait.
+/// Refusal thresholds of a class, as fractions of the time that a request can wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Below this nothing is refused.
+    /// Nothing is refused below this.
     pub low: f64,
-    /// From here on everything is.
+    /// Everything is refused from here on.
     pub high: f64,
-    /// The share of [`AdmissionOptions::max_running`] that the class may fill.
+    /// Fraction of [`AdmissionOptions::max_running`] that the class may fill.
     pub capacity_share: f64,
 }
 
 /// Options of [`GradedAdmission`].
 #[derive(Clone, Debug)]
 pub struct AdmissionOptions {
-    /// The thresholds by class, the most urgent first.
+    /// Thresholds by class, the most urgent first.
     pub thresholds: [Thresholds; 3],
-    /// How many requests run at once at most.
+    /// Maximum number of running requests.
     pub max_running: usize,
-    /// In which time an observed wait counts half.
+    /// Half-life of an observed wait.
     pub half_life: Duration,
-    /// How often a gate moves.
+    /// Interval between two updates of a gate.
     pub gate_interval: Duration,
-    /// The share of starved requests up to which a gate opens.
+    /// Maximum fraction of starved requests at which a gate still opens.
     pub max_starved: f64,
-    /// The shortest time to come back.
+    /// Minimum retry delay.
     pub min_retry: Duration,
-    /// The longest time to come back.
+    /// Maximum retry delay.
     pub max_retry: Duration,
 }
 
@@ -102,28 +100,27 @@
     }
 }
 
-/// The weight of a wait that is longer, or shorter, than the one known.
+/// Weights of an observed wait that is longer, or shorter, than the estimate.
 const RISE_WEIGHT: f64 = 0.5;
 const FALL_WEIGHT: f64 = 0.1;
-/// By how much a gate opens in a turn at first, and how far it closes at most.
+/// Initial step by which a gate opens per interval, and its minimum opening.
 const OPEN_STEP: f64 = 0.01;
 const MIN_OPEN: f64 = 0.02;
-/// The turns in a row without starving after which it opens twice as fast.
+/// Number of consecutive intervals without starvation after which a gate opens twice as fast.
 ///
-/// Where the load stays too high, requests starve again before that, and the gate
-/// stays about where it should be. A shortage that has passed, as of a shard with
-/// one replica draining and a straggler for the other, must not cost refusals for
-/// many seconds more.
+/// Under lasting overload, requests starve again before that, and the gate stays about where it
+/// should be. After a temporary shortage, such as a shard with one draining replica and a
+/// straggler, the gate must not keep refusing requests for many seconds.
 const CALM_INTERVALS: f64 = 4.0;
-/// A turn with fewer requests than this is judged as if it had as many; else the
-/// one request of a quiet turn that starves would close half of the gate.
+/// Minimum number of ended requests assumed per interval. Otherwise a single starved request in a
+/// quiet interval would close half of the gate.
 const MIN_ENDED: u32 = 8;
-/// How much of the starved share a gate closes by in a turn.
+/// Fraction of the starved share by which a gate closes per interval.
 const CLOSE_FACTOR: f64 = 0.5;
-/// With fewer requests than this, shares of tenants mean nothing.
+/// Minimum number of running requests at which tenant shares are compared.
 const MIN_RUNNING: usize = 4;
 
-/// Refuses by class, wait and share.
+/// Refuses requests by class, expected wait and tenant share.
 pub struct GradedAdmission {
     options: AdmissionOptions,
     random: Random,
@@ -144,13 +141,13 @@
     at: Option<Instant>,
 }
 
-/// The share of a class's requests that may enter.
+/// Fraction of a class's requests that may enter.
 #[derive(Clone, Copy)]
 struct Gate {
     open: f64,
     ended: u32,
     starved: u32,
-    /// The turns without starving since the last one with it.
+    /// Consecutive intervals without starvation.
     calm_intervals: u32,
     since: Option<Instant>,
 }
@@ -168,12 +165,12 @@
 }
 
 impl GradedAdmission {
-    /// An admission with nothing running.
+    /// Creates an admission control without running requests.
     pub fn new(options: AdmissionOptions, random: Random) -> GradedAdmission {
         GradedAdmission { options, random, state: RefCell::default() }
     }
 
-    /// The chance of being refused, from zero to one, before shares.
+    /// Probability of refusal, from zero to one, before tenant shares are applied.
     fn pressure(&self, state: &State, now: Instant, request: &AdmissionRequest) -> f64 {
         let thresholds = self.options.thresholds[request.class as usize];
         let max_running = self.options.max_running as f64 * thresholds.capacity_share;
@@ -187,7 +184,7 @@
         by_wait.max(1.0 - state.gates[request.class as usize].open)
     }
 
-    /// The wait of a class; a less urgent one never waits less than a more urgent.
+    /// Estimated wait of a class in seconds, never less than that of a more urgent class.
     fn seconds(&self, state: &State, now: Instant, class: Class) -> f64 {
         let waits = state.waits.iter().take(class as usize + 1);
         waits.map(|wait| wait.decayed(now, self.options.half_life)).fold(0.0, f64::max)
@@ -196,7 +193,7 @@
     fn retry(&self, wait: f64, pressure: f64) -> Duration {
         let span = Duration::from_secs_f64(wait * (1.0 + pressure));
         let AdmissionOptions { min_retry, max_retry, .. } = self.options;
-        // Callers that were refused together must not come back together.
+        // Jitter keeps callers that were refused together from retrying together.
         self.random.jitter(span.clamp(min_retry * 2, max_retry)).clamp(min_retry, max_retry)
     }
 }
@@ -204,12 +201,13 @@
 impl Admission for GradedAdmission {
     fn enter(&self, now: Instant, request: &AdmissionRequest) -> Result<(), Duration> {
         let mut state = self.state.borrow_mut();
-        // Where almost all are refused hardly any ends, and the gate would not move.
+        // When almost everything is refused, hardly any request ends, and only this updates the
+        // gate.
         state.gates[request.class as usize].update_if_due(now, &self.options);
         let pressure = self.pressure(&state, now, request);
         if pressure > 0.0 {
             let chance = pressure * state.share_ratio(&request.tenant, request.weight);
-            // At full pressure nobody enters, whatever its share.
+            // At full pressure nothing is admitted, whatever the tenant's share.
             if pressure >= 1.0 || self.random.chance(chance) {
                 return Err(self.retry(self.seconds(&state, now, request.class), pressure));
             }
@@ -283,8 +281,8 @@
 }
 
 impl WaitEstimate {
-    /// What was seen, fading with time: if everything is refused nobody brings
-    /// news, and the class must open again by itself.
+    /// The observed wait, decayed over time. When everything is refused no new waits are observed,
+    /// and the class must reopen by itself.
     fn decayed(&self, now: Instant, half_life: Duration) -> f64 {
         let Some(at) = self.at else {
             return 0.0;
@@ -295,7 +293,7 @@
 }
 
 impl State {
-    /// How far a tenant is above (more than one) or below its share of what runs.
+    /// Ratio of a tenant's running requests to its fair share.
     fn share_ratio(&self, tenant: &TenantName, weight: u32) -> f64 {
         if self.running < MIN_RUNNING {
             return 1.0;
@@ -309,7 +307,7 @@
     }
 }
 
-/// Takes everything in; the baseline.
+/// Admits everything. The baseline.
 #[derive(Default)]
 pub struct AdmitAll {
     running: RefCell<usize>,
--- a/crates/kumquatnotch-policy/src/budget.rs
+++ b/crates/kumquatnotch-policy/src/budget.rs
@@ -1,9 +1,9 @@
-//! The budget for sending a request more than once.
+//! Retry budget: how often requests are sent more than once.
 //!
-//! All nodes together may send each service only so many repeats in any window:
-//! a share of its requests, and a fixed number. Each node keeps to that share of
-//! its own requests and to its part of the fixed number, so that the sum holds
-//! without a shared counter.
+//! In any window, all nodes together may send each service a limited number of repeats (retries and
+//! hedges): a fraction of its requests, and a fixed number. Each node applies the fraction to its
+//! own requests and takes its part of the fixed number, so that the total holds without a shared
+//! counter.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,27 +12,27 @@
 
 use kumquatnotch_core::{collections::HashMap, ids::ServiceName};
 
-/// Into how many steps a window is cut.
+/// Number of steps of a window.
 const STEPS: usize = 10;
 
-/// The part of the allowance that is used.
+/// Used part of the allowance.
 ///
-/// Windows of the platform slide, while those here move in steps; the rest pays
-/// for the difference of one step.
+/// The platform's windows slide continuously, while these advance in steps; the rest covers the
+/// difference of one step.
 const USED_PART: f64 = 0.85;
 
 /// Options of [`Budget`].
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetOptions {
-    /// The repeats allowed for each request.
+    /// Repeats allowed per request.
     pub ratio: f64,
-    /// The repeats allowed besides, by all nodes together.
+    /// Additional repeats allowed, by all nodes together.
     pub slack: f64,
-    /// The length of the window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// The budget for repeats, by service.
+/// Budget for repeats, by service.
 pub struct Budget {
     options: Cell<BudgetOptions>,
     start: Instant,
@@ -48,7 +48,7 @@
 }
 
 impl Window {
-    /// Forgets the steps that have left the window.
+    /// Clears the steps that have left the window.
     fn advance(&mut self, step: u64) {
         let passed = step.saturating_sub(self.step).min(STEPS as u64);
         for past in 0..passed {
@@ -65,24 +65,24 @@
 }
 
 impl Budget {
-    /// A budget from which nothing was spent.
+    /// Creates an unspent budget.
     pub fn new(options: BudgetOptions, start: Instant) -> Budget {
         let part = Cell::new(1.0);
         let options = Cell::new(options);
         Budget { options, start, part, windows: RefCell::default() }
     }
 
-    /// Sets the part of the fixed number that is for this node, from zero to one.
+    /// Sets the part of the fixed number that this node may use, from zero to one.
     pub fn set_part(&self, part: f64) {
         self.part.set(part);
     }
 
-    /// Sets the repeats allowed for each request, and those allowed besides.
+    /// Sets the repeats allowed per request, and the fixed number allowed in addition.
     pub fn set_allowance(&self, ratio: f64, slack: f64) {
         self.options.set(BudgetOptions { ratio, slack, ..self.options.get() });
     }
 
-    /// Notes the first sending of a request.
+    /// Records the first attempt of a request.
     pub fn note_first(&self, service: &ServiceName, now: Instant) {
         self.with_window(service, now, |window| {
             let index = window.index();
@@ -90,7 +90,7 @@
         });
     }
 
-    /// Pays for a repeat; false if the budget is used up.
+    /// Takes a repeat out of the budget; false if the budget is used up.
     pub fn spend(&self, service: &ServiceName, now: Instant) -> bool {
         let BudgetOptions { ratio, slack, .. } = self.options.get();
         let slack = slack * self.part.get();
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Which part of the repeats allowed in this window has been spent, up to one.
+    /// Spent fraction of the repeats allowed in the current window, at most one.
     pub fn spent(&self, service: &ServiceName, now: Instant) -> f64 {
         let BudgetOptions { ratio, slack, .. } = self.options.get();
         let slack = slack * self.part.get();
--- a/crates/kumquatnotch-policy/src/caller_timeouts.rs
+++ b/crates/kumquatnotch-policy/src/caller_timeouts.rs
@@ -1,20 +1,20 @@
-//! How long a caller has waited before its request came.
+//! Estimates how long a caller has waited before its request arrived.
 //!
-//! A caller that comes again has less time left than one that comes first. The most
-//! that callers of a route were seen to have is what they have at first; what is
-//! missing has passed.
+//! A caller that retries has less time left than one that comes first. The longest time left seen
+//! for a route is taken as the callers' timeout; the difference has already passed.
 
 use std::{cell::RefCell, time::Duration};
 
 use kumquatnotch_core::{collections::HashMap, ids::RouteName};
 
-/// What of the missing time may have been spent on the way.
+/// Part of the difference that may have been spent on the network.
 const NETWORK_SLACK: Duration = Duration::from_millis(20);
 
-/// How many callers of a route are compared with its timeout, before what was seen counts.
+/// Number of callers of a route that are compared with its configured timeout, before the observed
+/// maximum is used.
 const WARMUP_CALLERS: u32 = 20;
 
-/// The most time that callers of each route were seen to have.
+/// Longest time left seen from callers of each route.
 #[derive(Debug, Default)]
 pub struct CallerTimeouts {
     known: RefCell<HashMap<RouteName, RouteTimeouts>>,
@@ -27,11 +27,11 @@
 }
 
 impl CallerTimeouts {
-    /// How long a caller that has `left` has waited, as far as can be told.
+    /// Estimates how long a caller with `left` remaining has waited.
     ///
-    /// A node that has just started has seen nobody. After an outage most of its callers come
-    /// again, and if the first of them passed for the measure, all would be let in at once. So
-    /// the first ones are compared with the `timeout` of the route.
+    /// A node that has just started has seen no callers. After an outage most of its callers are
+    /// retrying; if the first of them set the maximum, all would be admitted at once. The first
+    /// callers are therefore compared with the configured `timeout` of the route.
     pub fn waited(&self, route: &RouteName, left: Duration, timeout: Duration) -> Duration {
         let mut known = self.known.borrow_mut();
         let known = known.entry(route.clone()).or_default();
--- a/crates/kumquatnotch-policy/src/choice.rs
+++ b/crates/kumquatnotch-policy/src/choice.rs
@@ -1,29 +1,28 @@
-//! Which replica of a shard runs a call.
+//! Replica selection for calls to a shard.
 //!
-//! [`LeastTime`] takes the replica from which the answer is expected first, by
-//! this node's own observations. That may be one whose slots are all taken: a
-//! call that waits a few milliseconds for a quick replica is answered before
-//! one that starts at once on a straggler. What targets report of their load is
-//! not used, as it lags or misleads.
+//! [`LeastTime`] selects the replica with the shortest expected time to an answer, based on this
+//! node's own observations. All slots of that replica may be taken: a call that waits a few
+//! milliseconds for a fast replica is answered before one that starts at once on a straggler. The
+//! load reported by targets is not used, as it is outdated or misleading.
 
 use std::{cell::Cell, time::Duration};
 
 use kumquatnotch_core::random::Random;
 
-/// What is known of a replica that could run a call.
+/// State of a replica that could run a call.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The calls in flight to it from here.
+    /// Number of calls in flight from this node.
     pub in_flight: u32,
-    /// The most calls that may be in flight from here.
+    /// Maximum number of calls in flight from this node.
     pub slots: u32,
-    /// The latency observed from here; `None` before the first answer.
+    /// Latency observed by this node; `None` before the first answer.
     pub latency: Option<Duration>,
-    /// The one-way delay to its data centre.
+    /// One-way delay to its data centre.
     pub delay: Duration,
-    /// The load by its own word.
+    /// Load reported by the target.
     pub reported: u32,
-    /// The time since a call last started on it.
+    /// Time since a call last started on it.
     pub idle: Duration,
     /// Whether its caches are still cold.
     pub warming: bool,
@@ -36,31 +35,31 @@
     }
 }
 
-/// What is known of the call.
+/// Properties of the call.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallProfile {
-    /// The calls that wait for the same shard before it.
+    /// Number of calls queued before it for the same shard.
     pub ahead: usize,
-    /// Whether a caller waits at the desk for it.
+    /// Whether it is of the desk class.
     pub urgent: bool,
 }
 
-/// A choice.
+/// Result of a selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// Start on the candidate of this index.
+    /// Start on the candidate with this index.
     Take(usize),
     /// Wait for a slot.
     Wait,
 }
 
-/// The decision which replica runs a call.
+/// Selects the replica that runs a call.
 pub trait Choice {
-    /// Picks one of `candidates`, of those with a free slot only.
+    /// Selects one of `candidates` with a free slot, or waits.
     fn pick(&self, candidates: &[Candidate], need: CallProfile, random: &Random) -> Pick;
 }
 
-/// Each in turn: the baseline.
+/// Round robin. The baseline.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: Cell<usize>,
@@ -77,7 +76,7 @@
     }
 }
 
-/// The least load by the targets' own word: the second baseline.
+/// The least load as reported by targets. The second baseline.
 #[derive(Debug, Default)]
 pub struct ReportedLoad;
 
@@ -89,18 +88,18 @@
     }
 }
 
-/// The latency assumed of a replica that has not answered yet, without its distance.
+/// Latency assumed of a replica without answers, excluding its distance.
 const INITIAL_LATENCY: Duration = Duration::from_millis(5);
-/// A replica idle for longer gets one call, so that its recovery is seen.
+/// A replica idle for longer gets one call, so that its recovery is noticed.
 const PROBE_IDLE: Duration = Duration::from_secs(1);
-/// The same for calls that someone waits for at the desk.
+/// Likewise for calls of the desk class.
 const URGENT_PROBE_IDLE: Duration = Duration::from_secs(4);
-/// The share of calls given to a cold replica, so that it gets warm.
+/// Share of calls given to a cold replica so that it warms up.
 ///
-/// It lies below the hedge budget, so that most of them can be rescued.
+/// It is below the hedge budget, so that most of these calls can be hedged.
 const WARMUP_SHARE: f64 = 0.02;
 
-/// The least expected time to the answer.
+/// The shortest expected time to an answer.
 #[derive(Debug, Default)]
 pub struct LeastTime;
 
@@ -112,7 +111,7 @@
         let warm = candidates.iter().any(|candidate| !candidate.warming);
         let mut best: Option<(f64, usize)> = None;
         for (index, candidate) in candidates.iter().enumerate() {
-            // A cold replica is used in full only if there is no warm one.
+            // A cold replica gets its full share only if there is no warm one.
             if warm && candidate.warming {
                 continue;
             }
@@ -128,7 +127,7 @@
     }
 }
 
-/// The candidate that gets this call for the sake of knowing it.
+/// Returns the candidate that gets this call as a probe, to refresh its latency or warm it up.
 fn probe(candidates: &[Candidate], need: CallProfile, random: &Random) -> Option<usize> {
     if candidates.len() < 2 {
         return None;
@@ -141,12 +140,12 @@
     })
 }
 
-/// The expected time to the answer, in seconds.
+/// Expected time to the answer, in seconds.
 fn expected_time(candidate: &Candidate, ahead: usize) -> f64 {
     let latency = candidate.latency.unwrap_or(INITIAL_LATENCY + 2 * candidate.delay).as_secs_f64();
     let slots = f64::from(candidate.slots.clamp(1, 1_000_000));
     if candidate.is_free() {
-        // Of equal replicas the one with more free slots is taken.
+        // Prefers the one with more free slots among replicas of equal latency.
         return latency * (1.0 + 0.5 * f64::from(candidate.in_flight) / slots);
     }
     latency * (1.0 + (ahead as f64 + 1.0) / slots)
--- a/crates/kumquatnotch-policy/src/crashes.rs
+++ b/crates/kumquatnotch-policy/src/crashes.rs
@@ -1,14 +1,14 @@
 //! Requests that crash the replicas that run them.
 //!
-//! The caller of such a request sends it again, to any node, and each time it takes a
-//! replica from everyone else for seconds. So each node notes which requests were with
-//! a replica when it crashed, and tells the others through the store. A request that was
-//! there several times, some seconds apart, is refused for a while by all nodes.
+//! The caller of such a request retries it at any node, and each time a replica is lost to everyone
+//! else for seconds. Each node therefore records which requests were in flight to a replica when it
+//! crashed, and publishes them to other nodes through the store. A request that was present at
+//! several crashes, some seconds apart, is refused by all nodes for a while.
 //!
-//! A replica that crashes for another reason takes innocent requests along. Those are
-//! answered whole when they come again, which clears them; at the latest when the first
-//! one is let in after a while. An answer without some parts clears nothing, as the
-//! other shards of a search answer well all the while.
+//! A replica that crashes for another reason also makes suspects of unrelated requests. Such a
+//! request is cleared by a complete answer when it is retried, at the latest when the first attempt
+//! is admitted after the refusal. A partial answer clears nothing, as the other shards of a search
+//! keep answering.
 
 use std::{
     cell::RefCell,
@@ -21,84 +21,84 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// How often a request must have been there when replicas crashed to be refused.
+/// Number of crashes with a request in flight after which it is refused.
 ///
-/// Two may be chance: a caller that comes again after a crash can meet another one.
+/// Two may be a coincidence: a caller that retries after a crash can be present at another one.
 const MIN_STRIKES: u32 = 3;
 
-/// The time within which all crashes with a request count once.
+/// Time within which all crashes with a request count once.
 ///
-/// A request that many callers send is with a replica several times when that crashes,
-/// and a rack that is lost takes many replicas. Other nodes tell of the same moment up to
-/// a renewal, the return of a watch and a connection's time later, 2 s in all.
+/// A request sent by many callers is in flight to a crashing replica several times, and the loss of
+/// a rack takes many replicas. Other nodes report the same moment up to 2 s later: a lease renewal,
+/// the delivery of a watch and the time of a connection.
 const STRIKE_GAP: Duration = Duration::from_millis(2_500);
 
-/// How long after the last crash a request is suspected.
+/// How long a request stays suspect after the last crash.
 const SUSPICION_TIME: Duration = Duration::from_secs(120);
 
-/// How long such a request is refused at first; it doubles with each further crash.
+/// Initial refusal time of such a request; it doubles with each further crash.
 ///
-/// One attempt is let in after it, so that a request that was there by chance is
-/// refused no longer, and one that does crash replicas does so only a few times more.
+/// One attempt is admitted after it. A request that was present by coincidence is then no longer
+/// refused, and one that does crash replicas causes only a few more crashes.
 const INITIAL_REFUSAL: Duration = Duration::from_secs(15);
 
-/// How long a request is refused at most.
+/// Maximum refusal time.
 const MAX_REFUSAL: Duration = Duration::from_secs(600);
 
-/// The most requests that are suspected; the oldest suspicion goes first.
+/// Maximum number of suspect requests; the oldest is dropped first.
 const MAX_SUSPECTS: usize = 1_024;
 
-/// The most crashes that are remembered as counted, about half a megabyte.
+/// Maximum number of crashes remembered as counted, about half a megabyte.
 ///
-/// What is told again after they were forgotten counts once more, as one crash.
+/// A crash that is reported again after it was forgotten counts once more, as a single crash.
 const MAX_COUNTED: usize = 32_768;
 
-/// The most crashes that a node tells the others of: the latest.
+/// Maximum number of crashes that a node publishes, the latest ones.
 const MAX_PUBLISHED: usize = 64;
 
-/// A crash of a replica while it had a request.
+/// A crash of a replica with a request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Crash {
-    /// The content of the request.
+    /// Fingerprint of the request's content.
     pub print: Fingerprint,
-    /// The attempt of the caller, by a hash of its identity.
+    /// Hash of the identity of the caller's attempt.
     pub attempt: u64,
 }
 
-/// A request that is kept from replicas from now on.
+/// A request that is refused from now on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Its content.
+    /// Fingerprint of its content.
     pub print: Fingerprint,
-    /// How often it was there when replicas crashed.
+    /// Number of crashes at which it was present.
     pub strikes: u32,
-    /// For how long it is refused.
+    /// Refusal time.
     pub span: Duration,
 }
 
-/// The requests that were with replicas when these crashed.
+/// Requests that were in flight to replicas when these crashed.
 #[derive(Debug, Default)]
 pub struct Crashes {
     suspects: RefCell<HashMap<Fingerprint, Suspect>>,
-    /// The crashes that were counted: nodes tell of each many times, also after an
-    /// answer has cleared the request.
+    /// Counted crashes. Nodes report each crash many times, also after an answer has cleared the
+    /// request.
     counted: RefCell<HashSet<Crash>>,
-    /// The crashes that this node has seen itself, the latest last.
+    /// Crashes seen by this node, the latest last.
     published: RefCell<Vec<Crash>>,
 }
 
 #[derive(Debug)]
 struct Suspect {
     strikes: u32,
-    /// When the last of them was.
+    /// Time of the last strike.
     last: Instant,
-    /// Until when it is refused.
+    /// End of the refusal.
     until: Option<Instant>,
     span: Duration,
 }
 
 impl Crashes {
-    /// Notes a crash that this node has seen; tells if the request is refused by now.
+    /// Records a crash seen by this node; returns the request if it is refused now.
     pub fn note(&self, crash: Crash, now: Instant) -> Option<Refused> {
         let mut published = self.published.borrow_mut();
         if published.contains(&crash) {
@@ -111,34 +111,33 @@
         self.suspect(crash, now)
     }
 
-    /// Takes over the crashes that another node has seen; tells which requests are
-    /// refused by now.
+    /// Records the crashes seen by another node; returns the requests that are refused now.
     pub fn merge(&self, crashes: &[Crash], now: Instant) -> Vec<Refused> {
         crashes.iter().filter_map(|crash| self.suspect(*crash, now)).collect()
     }
 
-    /// Clears a request that was answered whole.
+    /// Clears a request that was answered completely.
     pub fn clear(&self, print: Fingerprint) {
         self.suspects.borrow_mut().remove(&print);
     }
 
-    /// Whether no request is suspected, as nearly always.
+    /// Whether no request is suspect, which is the usual case.
     pub fn is_empty(&self) -> bool {
         self.suspects.borrow().is_empty()
     }
 
-    /// For how long a request is kept from replicas; `None` if it isn't.
+    /// Remaining refusal time of a request; `None` if it is not refused.
     pub fn refused_for(&self, print: Fingerprint, now: Instant) -> Option<Duration> {
         let until = self.suspects.borrow().get(&print)?.until?;
         until.checked_duration_since(now).filter(|left| !left.is_zero())
     }
 
-    /// How often a request was there when replicas crashed.
+    /// Number of crashes at which a request was present.
     pub fn strikes_of(&self, print: Fingerprint) -> u32 {
         self.suspects.borrow().get(&print).map_or(0, |suspect| suspect.strikes)
     }
 
-    /// What this node tells the others.
+    /// Crashes that this node publishes to the others.
     pub fn published(&self) -> Vec<Crash> {
         self.published.borrow().clone()
     }
--- a/crates/kumquatnotch-policy/src/forecast.rs
+++ b/crates/kumquatnotch-policy/src/forecast.rs
@@ -1,13 +1,13 @@
-//! Whether a search can be answered in time, by when its parts are expected.
+//! Predicts whether a search can be answered in time, from the expected reply times of its shards.
 //!
-//! A search that can't be answered in time because replicas are crowded makes all others
-//! late as well: it is refused before anything has run, and told when to come back.
+//! A search that cannot be answered in time because replicas are overloaded would delay all others
+//! as well. It is refused before any part of it has run, with the time after which to retry.
 //!
-//! A search that is let in asks all its shards, also those that are expected late: what is
-//! known of replicas is a little old, and a part that comes after all makes the answer
-//! fuller. Measured against leaving them out, on days with crowds of 2.5 times the traffic:
-//! for two customers 123 to 177 more of 5,000 answers are in time and 128 to 377 parts less
-//! are missing; for a third, whose replicas bear the crowd, 19 less are in time.
+//! An admitted search queries all its shards, including those expected late: the known replica
+//! state is slightly stale, and a part that arrives in time after all makes the answer more
+//! complete. Under bursts of 2.5 times the usual traffic, this gives 123 to 177 more of 5,000
+//! answers in time and 128 to 377 fewer missing parts than skipping the late shards. Where the
+//! replicas can absorb the burst, 19 fewer answers are in time.
 
 use std::time::Duration;
 
@@ -16,41 +16,41 @@
     startup::MAX_RETRY_PART,
 };
 
-/// The part of the time left that a late part may be expected to take.
+/// Maximum part of the remaining time that an uncongested shard may be expected to take.
 const MAX_LATE_PART: f64 = 0.7;
 
-/// The bounds of the time after which a refused search may come back.
+/// Bounds of the retry delay of a refused search.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(400));
 
-/// The longest time that a queue is taken to last when a caller is told when to come back.
+/// Maximum excess over the objective, in seconds, that is used as a retry delay.
 const MAX_EXCESS_S: f64 = 1.0;
 
-/// What a search needs.
+/// What a search requires of its shards.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements {
-    /// The time in which an answer is worth most.
+    /// Time left within which an answer is worth most.
     pub objective_left: Duration,
-    /// The time left in all.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// How many parts an answer must have at least.
+    /// Minimum number of parts in an answer.
     pub min_parts: usize,
-    /// By what the expected time at a replica without a free slot is multiplied.
+    /// Factor on the expected reply time of a replica without a free slot.
     pub margin: f64,
 }
 
-/// What is to be expected of a request to a service.
+/// Prediction for a request to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Prediction {
-    /// Its reply is expected in time.
+    /// The reply is expected in time.
     InTime,
-    /// Its reply is expected too late, as its replicas are slow or answer nothing.
+    /// The reply is expected too late, as the replicas are slow or do not respond.
     TooSlow,
-    /// Its reply is expected too late, as too many requests wait at its replicas.
+    /// The reply is expected too late, as too many requests are queued at the replicas.
     Congested,
 }
 
 impl Prediction {
-    /// What is to be expected of the best replica of a service.
+    /// Predicts the reply time of a service from the rating of its best replica.
     pub fn new(best: &Rating, requirements: &Requirements) -> Prediction {
         let left = requirements.objective_left.as_secs_f64();
         if best.rank >= SUSPECT_RANK || best.unqueued > left {
@@ -64,27 +64,27 @@
 /// A shard that is expected to be late.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LateShard {
-    /// Its place in the set.
+    /// Index of the shard in the set.
     pub index: usize,
-    /// The expected time to its part, in seconds; without replicas, endless.
+    /// Expected time to its part, in seconds; `f64::MAX` without replicas.
     pub expected: f64,
-    /// Whether too many requests wait there.
+    /// Whether it is late because too many requests are queued at its replicas.
     pub is_crowded: bool,
 }
 
-/// The shards of a search, by when their parts are expected.
+/// Shards of a search, grouped by whether their parts are expected in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Forecast {
-    /// Those expected in time, by their place in the set.
+    /// Shards expected in time, by index in the set.
     pub in_time: Vec<usize>,
-    /// Those without which there are too few for an answer, the soonest first.
+    /// Late shards that are required to reach the minimum number of parts, the earliest first.
     pub needed: Vec<LateShard>,
-    /// The other late ones.
+    /// Remaining late shards.
     pub optional: Vec<LateShard>,
 }
 
 impl Forecast {
-    /// Sorts shards by their best replicas; one without replicas has none.
+    /// Groups shards by the ratings of their best replicas; `None` for a shard without replicas.
     pub fn new(
         best: impl IntoIterator<Item = Option<Rating>>,
         requirements: &Requirements,
@@ -110,17 +110,17 @@
         Forecast { in_time, needed: late, optional }
     }
 
-    /// When the caller is to come back, if shards without a replica leave too few others.
+    /// Returns the retry delay if shards without replicas leave too few others for an answer.
     ///
-    /// After an outage of the store in which entries lapsed, replicas are known again one by
-    /// one within two seconds. A search that ran on those known already would fail for
-    /// certain, and its caller could not be told that it has not run.
+    /// When store entries expire during an outage, replicas are discovered again one by one within
+    /// two seconds. A search on those known so far would certainly fail, and its caller could not
+    /// be told that it has not run.
     pub fn unavailable_retry(&self, requirements: &Requirements) -> Option<Duration> {
         let absent = self.needed.last()?.expected == f64::MAX;
         absent.then(|| requirements.time_left.mul_f64(MAX_RETRY_PART))
     }
 
-    /// When the caller is to come back, if the search is to be refused as replicas are crowded.
+    /// Returns the retry delay if the search must be refused because replicas are overloaded.
     pub fn overload_retry(&self, requirements: &Requirements) -> Option<Duration> {
         let slowest = self.needed.last()?.expected;
         let is_crowded = self.needed.iter().any(|late| late.is_crowded);
--- a/crates/kumquatnotch-policy/src/hedge.rs
+++ b/crates/kumquatnotch-policy/src/hedge.rs
@@ -1,31 +1,30 @@
-//! When a second copy of a late call is sent.
+//! Hedging: when a second copy of a slow call is sent.
 //!
-//! A call that is later than most others gets a copy on another replica; the
-//! first answer wins and the other call is cancelled. [`QuantileHedge`] learns
-//! what "late" means from the answers of all replicas together, and pays for
-//! each copy out of a budget that grows with the calls, so that the extra load
-//! stays at a few per cent even if everything is late.
+//! A call that is slower than most others is hedged by a copy on another replica; the first answer
+//! wins and the other call is cancelled. [`QuantileHedge`] derives the hedge delay from the
+//! latencies of all replicas together. Each hedge is paid out of a budget that grows with the
+//! calls, so that the extra load stays at a few per cent even if every call is slow.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// The decision when a second copy of a call is sent.
+/// Decides when a hedge of a call is sent.
 pub trait Hedge {
-    /// A first copy was sent.
+    /// Records the first attempt of a call.
     fn on_call(&mut self);
 
-    /// A call was answered after `latency`, or was given up after it.
+    /// Records the latency of a call that was answered, or given up after it.
     fn on_latency(&mut self, latency: Duration);
 
-    /// How long a call may last before a copy is sent; `None` for never.
+    /// Time after which a call is hedged; `None` for never.
     fn delay(&self) -> Option<Duration>;
 
-    /// Whether a copy may be sent now; the budget pays for it.
+    /// Takes a hedge out of the budget; false if the budget is used up.
     fn spend(&mut self) -> bool;
 }
 
-/// No copies: the baseline.
+/// No hedges. The baseline.
 #[derive(Debug, Default)]
 pub struct NoHedge;
 
@@ -43,7 +42,7 @@
     }
 }
 
-/// Copies after a fixed delay without a budget: the second baseline.
+/// Hedges after a fixed delay without a budget. The second baseline.
 #[derive(Debug)]
 pub struct FixedHedge(pub Duration);
 
@@ -64,9 +63,9 @@
 /// Options of a [`QuantileHedge`].
 #[derive(Clone, Debug)]
 pub struct HedgeOptions {
-    /// The quantile of latency after which a call is late.
+    /// Latency quantile after which a call is hedged.
     pub quantile: f64,
-    /// The copies allowed for each call.
+    /// Hedges allowed per call.
     pub budget: f64,
 }
 
@@ -76,25 +75,25 @@
     }
 }
 
-/// The answers after which the older half of what was learned is forgotten.
+/// Number of answers covered by both histograms; the older half is then discarded.
 const WINDOW: u64 = 4096;
-/// The answers before the first copy, and between two readings of the quantile.
+/// Number of answers before the first hedge, and between two updates of the delay.
 const UPDATE_INTERVAL: u64 = 64;
-/// The most copies saved up.
+/// Maximum number of hedges saved up.
 ///
-/// It pays for the calls that a whole data centre holds when it is cut off.
+/// It covers the calls in flight to a whole data centre when it is cut off.
 const MAX_TOKENS: f64 = 100.0;
-/// The longest delay, as a multiple of the median.
+/// Maximum delay, as a multiple of the median.
 ///
-/// If more replicas are slow than the quantile leaves out, the quantile is
-/// their latency and copies would come too late to help.
+/// If more replicas are slow than the quantile leaves out, the quantile is their latency and hedges
+/// would be too late to help.
 const MAX_MEDIANS: u32 = 4;
-/// The shortest delay.
+/// Minimum delay.
 const MIN_DELAY: Duration = Duration::from_millis(1);
-/// The longest latency that is told apart, in microseconds.
+/// Maximum recorded latency, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Copies after a learned quantile, out of a budget.
+/// Hedges after a latency quantile, within a budget.
 #[derive(Debug)]
 pub struct QuantileHedge {
     options: HedgeOptions,
@@ -112,7 +111,7 @@
 }
 
 impl QuantileHedge {
-    /// A hedge that has learned nothing yet.
+    /// Creates a hedge without recorded latencies.
     pub fn new(options: HedgeOptions) -> QuantileHedge {
         QuantileHedge {
             options,
--- a/crates/kumquatnotch-policy/src/hedge_timing.rs
+++ b/crates/kumquatnotch-policy/src/hedge_timing.rs
@@ -1,8 +1,8 @@
-//! When a second copy of a request is sent, and to which replicas.
+//! When a request is hedged, and on which replicas.
 //!
-//! Replicas stand still now and then, and a caller gets most from an answer that is in
-//! time. A copy costs the work of a replica and a repeat of the budget, so it is sent as
-//! late as it still helps, and not at all where it would only add to a queue.
+//! Replicas stall from time to time, and an answer is worth most in time. A hedge costs the work of
+//! a replica and a part of the retry budget, so it is sent as late as it can still help, and not at
+//! all if it would only lengthen a queue.
 
 use std::time::{Duration, Instant};
 
@@ -12,18 +12,18 @@
     rating::Rating,
 };
 
-/// The least part of the usual time after which a copy is sent.
+/// Minimum hedge delay, as a multiple of the usual time.
 ///
-/// Before that, most replies are still to come and the copy would be wasted.
+/// Before that most replies are still outstanding, and the hedge would be wasted.
 const MIN_DELAY_FACTOR: f64 = 1.5;
 
-/// After which time a copy is sent of a request to `first` that is due in `left`.
+/// Returns the hedge delay of a request to `first` that is due in `left`.
 ///
-/// A copy that is sent when the reply is late may itself come too late, as the
-/// other replica may be far away. So it is sent sooner if that is the last moment
-/// at which it still helps, but not before a reply was to be expected.
+/// A hedge sent only when the reply is late may itself be too late, as the other replica may be far
+/// away. It is therefore sent at the last moment at which it can still help, if that is earlier,
+/// but not before a reply could be expected.
 ///
-/// `other` is the expected time of the replica that would get the copy, in seconds.
+/// `other` is the expected reply time of the replica that would get the hedge, in seconds.
 pub fn delay(
     first: &Observed,
     other: Option<f64>,
@@ -41,11 +41,11 @@
     left.saturating_sub(needed).clamp(soonest.min(late), late)
 }
 
-/// Whether a copy to `other` is worth sending for a request that is due in `left`.
+/// Whether to hedge on `other` a request that is due in `left`.
 ///
-/// It is if it can still be in time and takes nothing from others, as a slot is
-/// free. Otherwise only if all that were asked so far seem lost: where replicas are
-/// slow or crowded, copies make them more so.
+/// A hedge is sent if it can be in time and there is a free slot, so that it delays no others.
+/// Otherwise it is sent only if all previous attempts appear to be lost: where replicas are slow or
+/// overloaded, hedges would make them more so.
 pub fn is_worthwhile(other: &Rating, left: Duration, are_lost: impl FnOnce() -> bool) -> bool {
     if !other.is_healthy() {
         return false;
@@ -57,15 +57,14 @@
     (other.expected <= left || left == 0.0) && are_lost()
 }
 
-/// Whether the reply to an attempt is soon there whose request has its answer by now.
+/// Whether to wait for the reply of a losing attempt instead of dropping it.
 ///
-/// Dropping it closes the connection, and the next copy to this replica has to open one
-/// first: a way there and back more, which to another region is too late for it to help.
-/// So the reply is waited for as long as it isn't late. Measured on calm days of three
-/// customers, where copies are for replicas that stand still for 0.3 s: answers leave out
-/// 16 to 22 in a hundred parts less. A replica that answers nothing is left at once, and one
-/// that is full is spared the work: on the heaviest days of a customer whose replicas are
-/// busy half of their time, that brings 48 to 198 more answers of 6,000 in time.
+/// Dropping the attempt closes its connection, and the next hedge to this replica first has to open
+/// one: with the additional round trip to another region it is too late to help. The reply is
+/// therefore awaited as long as it is not late. Where hedges cover replicas that stall for 0.3 s,
+/// this leaves out 16 to 22 per cent fewer parts. An unresponsive replica is abandoned at once, and
+/// a full one is spared the work: where replicas are busy half of their time, that brings 48 to 198
+/// more of 6,000 answers in time.
 pub fn should_await_loser(
     observed: &Observed,
     usual: Duration,
--- a/crates/kumquatnotch-policy/src/observed.rs
+++ b/crates/kumquatnotch-policy/src/observed.rs
@@ -1,8 +1,8 @@
-//! What one node has learned of a replica, from its replies and by its own word.
+//! The state of a replica as learned by this node, from its replies and its own reports.
 //!
-//! A node sees only its own share of what a replica does. What the replica tells of its
-//! load includes the rest, but is as old as its last reply; so what was told is taken to
-//! have been worked off since, and what was measured is believed less the older it is.
+//! A node sees only its own part of a replica's load. The load reported by a replica includes the
+//! rest, but is as old as its last reply, so the reported requests are assumed to have been worked
+//! off since then, and measurements lose weight with age.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,78 +15,78 @@
 /// Whether requests are sent to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fitness {
-    /// They are.
+    /// Requests are sent.
     Fit,
-    /// Only if there is no other: it broke connections or stood still.
+    /// Requests are sent only without an alternative: it broke connections or stalled.
     Suspect,
-    /// Never: its address belongs to another one by now.
+    /// No requests are sent: its address now belongs to another replica.
     Replaced,
 }
 
-/// The weight of a new measurement of speed.
+/// Weight of a new speed measurement.
 const SPEED_WEIGHT: f64 = 0.2;
 
-/// The bounds of the slowness of a replica.
+/// Bounds of the slowness factor of a replica.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.25, 60.0);
 
-/// The time after which only a third of a measured slowness is believed.
+/// Time constant with which a measured slowness decays (to a third after this time).
 ///
-/// A slow replica gets no requests, so it could never show that it has recovered.
+/// A slow replica gets no requests, so it could otherwise never show that it has recovered.
 const SLOWNESS_DECAY: Duration = Duration::from_secs(3);
 
-/// The bounds of how many times as long as usual a machine is believed to take.
+/// Bounds of the slowdown factor of a machine.
 const SLOWDOWN_BOUNDS: (f64, f64) = (0.25, 60.0);
 
-/// The time after which only a third of what a machine told is believed.
+/// Time constant with which a reported machine slowdown decays (to a third after this time).
 ///
-/// Measured on replicas that share machines: what was told up to 0.2 s ago goes with the
-/// time of the next request (correlation 0.7), after half a second hardly. To use it
-/// leaves out a tenth fewer parts.
+/// Where replicas share machines, a slowdown reported up to 0.2 s ago predicts the time of the next
+/// request (correlation 0.7); after half a second it hardly does. Using it leaves out a tenth fewer
+/// parts.
 const SLOWDOWN_DECAY: Duration = Duration::from_millis(300);
 
-/// The work on a request that is assumed before any was measured, in seconds.
+/// Service time assumed before the first measurement, in seconds.
 const INITIAL_SERVICE_TIME_S: f64 = 0.01;
 
-/// The weight of a new measurement of the work on a request.
+/// Weight of a new service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-/// After how long an attempt is taken to fail before one did, in seconds.
+/// Time after which an attempt is assumed to fail before the first failure, in seconds.
 ///
-/// About what a request takes. It counts only for the first few failures of a replica.
+/// About the duration of a request. It matters only for the first few failures of a replica.
 const INITIAL_FAILED_AFTER_S: f64 = 0.02;
 
-/// The weight of a new failure or success.
+/// Weight of a new success or failure.
 const FAILURE_WEIGHT: f64 = 0.15;
 
-/// The most of a share of failures that is still held against a replica that is fit again.
+/// Maximum failure rate that is kept when a replica becomes fit again.
 const MAX_RECOVERED_FAILURES: f64 = 0.3;
 
-/// What one node has learned of one incarnation of a replica.
+/// What this node has learned of one incarnation of a replica.
 #[derive(Debug)]
 pub struct Observed {
     slots: Cell<u32>,
     fitness: Cell<Fitness>,
-    /// The way there and back, from the quickest opening of a connection.
+    /// Shortest time to open a connection.
     round_trip: Cell<Option<Duration>>,
-    /// The way to its data centre.
+    /// Distance to its data centre.
     distance: Rc<Distance>,
     slowness: Cell<f64>,
     failures: Cell<f64>,
-    /// How long after it is sent an attempt fails, if it does, in seconds.
+    /// Time from sending an attempt to its failure, in seconds.
     failed_after: Cell<f64>,
     measured: Cell<Instant>,
-    /// When the requests that it has not answered yet were sent.
+    /// When the unanswered requests were sent.
     sent: RefCell<Vec<Instant>>,
     last_reply: Cell<Instant>,
     asked: Cell<u64>,
     load: Cell<(u32, Instant)>,
     machine_slowdown: Cell<(f64, Instant)>,
-    /// How long it works on a request of the usual mixture, in seconds.
+    /// Average service time of a request, in seconds.
     service_time: Cell<f64>,
 }
 
 impl Observed {
-    /// Nothing learned yet of a replica that runs so many requests at once.
+    /// Creates the initial state of a replica that runs up to `slots` requests at once.
     pub fn new(slots: u32, distance: Rc<Distance>, now: Instant) -> Observed {
         Observed {
             slots: Cell::new(slots),
@@ -106,12 +106,12 @@
         }
     }
 
-    /// How many requests it runs at once.
+    /// Number of requests that it runs at once.
     pub fn slots(&self) -> f64 {
         f64::from(self.slots.get().max(1))
     }
 
-    /// Sets how many requests it runs at once.
+    /// Sets the number of requests that it runs at once.
     pub fn set_slots(&self, slots: u32) {
         self.slots.set(slots);
     }
@@ -121,7 +121,7 @@
         self.fitness.get()
     }
 
-    /// Sets whether requests are sent to it; gives what was so before.
+    /// Sets whether requests are sent to it; returns the previous value.
     pub fn set_fitness(&self, fitness: Fitness) -> Fitness {
         if fitness == Fitness::Fit {
             self.failures.set(self.failures.get().min(MAX_RECOVERED_FAILURES));
@@ -129,15 +129,14 @@
         self.fitness.replace(fitness)
     }
 
-    /// Notes how long a connection took to open.
+    /// Records the time to open a connection.
     pub fn note_connect(&self, took: Duration) {
         let known = self.round_trip.get().unwrap_or(Duration::MAX);
         self.round_trip.set(Some(known.min(took)));
         self.distance.note(took);
     }
 
-    /// The way there and back, by what is known of its data centre before the first
-    /// connection.
+    /// Round trip to the replica; before the first connection, that to its data centre.
     pub fn round_trip(&self) -> Duration {
         self.round_trip.get().unwrap_or_else(|| self.distance.round_trip())
     }
@@ -147,53 +146,53 @@
         self.distance.is_far()
     }
 
-    /// The way there and back, if it was measured.
+    /// Measured round trip, if any.
     pub fn measured_round_trip(&self) -> Option<Duration> {
         self.round_trip.get()
     }
 
-    /// How many times longer than usual it takes, by what was measured and told lately.
+    /// How many times slower than usual it is, from recent measurements and reports.
     pub fn slowness(&self, now: Instant) -> f64 {
         self.own_slowness(now) * self.machine_slowdown(now)
     }
 
-    /// The same without what comes of its machine.
+    /// Slowness without the slowdown of its machine.
     fn own_slowness(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.measured.get()).as_secs_f64();
         let faded = (-age / SLOWNESS_DECAY.as_secs_f64()).exp();
         1.0 + (self.slowness.get() - 1.0) * faded
     }
 
-    /// Notes how many times as long as usual its machine takes, by its own word.
+    /// Records how many times slower than usual its machine is, as reported by the replica.
     pub fn note_machine_slowdown(&self, times: f64, now: Instant) {
         self.machine_slowdown.set((times.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1), now));
     }
 
-    /// How many times as long as usual its machine takes, as far as is known.
+    /// Estimated factor by which its machine is slower than usual.
     pub fn machine_slowdown(&self, now: Instant) -> f64 {
         let (told, at) = self.machine_slowdown.get();
         let age = now.saturating_duration_since(at).as_secs_f64();
         1.0 + (told - 1.0) * (-age / SLOWDOWN_DECAY.as_secs_f64()).exp()
     }
 
-    /// The share of requests that failed lately.
+    /// Recent failure rate.
     pub fn failures(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.measured.get()).as_secs_f64();
         self.failures.get() * (-age / SLOWNESS_DECAY.as_secs_f64()).exp()
     }
 
-    /// How many requests were sent to it.
+    /// Number of requests sent to it.
     pub fn asked(&self) -> u64 {
         self.asked.get()
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub fn note_sent(&self, now: Instant) {
         self.asked.set(self.asked.get() + 1);
         self.sent.borrow_mut().push(now);
     }
 
-    /// Notes the end of the request sent at `at`, with or without a reply.
+    /// Records the end of the request sent at `at`, with or without a reply.
     pub fn note_end(&self, at: Instant, replied: Option<Instant>) {
         let mut sent = self.sent.borrow_mut();
         if let Some(index) = sent.iter().position(|other| *other == at) {
@@ -204,7 +203,7 @@
         }
     }
 
-    /// Notes that a request took `took` where `usual` is usual, both without the way.
+    /// Records that a request took `took` instead of `usual`, both without the round trip.
     pub fn note_speed(&self, took: Duration, usual: Duration, now: Instant) {
         let sample = took.as_secs_f64() / usual.as_secs_f64().max(1e-4);
         let sample = sample.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
@@ -214,15 +213,15 @@
         self.measured.set(now);
     }
 
-    /// Notes how long the replica worked on a request.
+    /// Records a service time.
     pub fn note_service_time(&self, took: Duration) {
         let before = self.service_time.get();
         self.service_time.set(before + SERVICE_TIME_WEIGHT * (took.as_secs_f64() - before));
     }
 
-    /// Notes that a request was given up after `took` without a reply.
+    /// Records that a request was given up after `took` without a reply.
     ///
-    /// It would have taken longer still, so it counts only against the replica.
+    /// It would have taken even longer, so it is recorded only if it raises the slowness.
     pub fn note_unanswered(&self, took: Duration, usual: Duration, now: Instant) {
         let least = took.as_secs_f64() / usual.as_secs_f64().max(1e-4);
         if least > self.slowness(now) {
@@ -230,18 +229,18 @@
         }
     }
 
-    /// Notes how long after it was sent an attempt failed.
+    /// Records the time from sending an attempt to its failure.
     pub fn note_failed_after(&self, took: Duration) {
         let before = self.failed_after.get();
         self.failed_after.set(before + FAILURE_WEIGHT * (took.as_secs_f64() - before));
     }
 
-    /// How long after it is sent an attempt fails, if it does, in seconds.
+    /// Average time from sending an attempt to its failure, in seconds.
     pub fn failed_after(&self) -> f64 {
         self.failed_after.get()
     }
 
-    /// Notes a success or a failure.
+    /// Records a success or failure.
     pub fn note_outcome(&self, failed: bool, now: Instant) {
         let sample = if failed { 1.0 } else { 0.0 };
         let before = self.failures(now);
@@ -250,15 +249,15 @@
         self.measured.set(now);
     }
 
-    /// Notes the load that the replica told: the requests that ran and waited there.
+    /// Records the reported load: the requests running and queued at the replica.
     pub fn note_load(&self, load: u32, now: Instant) {
         self.load.set((load, now));
     }
 
-    /// The requests that run and wait there, as far as is known.
+    /// Estimated number of requests running and queued at the replica.
     ///
-    /// What it told includes those of other nodes. It is taken to have worked off as
-    /// many since as it can; that more have come will show in its next reply.
+    /// The reported load includes requests of other nodes. The replica is assumed to have worked
+    /// off as many of them as it can since then; newly arrived ones appear in its next reply.
     pub fn load(&self, now: Instant) -> f64 {
         let own = self.unanswered() as f64;
         let (told, at) = self.load.get();
@@ -267,17 +266,17 @@
         own.max(f64::from(told) - done)
     }
 
-    /// Whether all its slots are taken, as far as is known.
+    /// Whether all its slots are estimated to be taken.
     pub fn is_full(&self, now: Instant) -> bool {
         self.load(now) >= self.slots()
     }
 
-    /// How long it works on a request of the usual mixture, in seconds.
+    /// Average service time of a request, in seconds.
     pub fn service_time(&self) -> f64 {
         self.service_time.get()
     }
 
-    /// How long it has answered nothing although requests wait.
+    /// How long it has not replied although requests are outstanding.
     pub fn silence(&self, now: Instant) -> Duration {
         let sent = self.sent.borrow();
         let Some(oldest) = sent.iter().min() else {
@@ -286,12 +285,12 @@
         now.saturating_duration_since((*oldest).max(self.last_reply.get()))
     }
 
-    /// Whether it has answered a request since then.
+    /// Whether it has replied to a request after `then`.
     pub fn has_replied_since(&self, then: Instant) -> bool {
         self.last_reply.get() > then
     }
 
-    /// How many requests it has not answered yet.
+    /// Number of requests that it has not answered yet.
     pub fn unanswered(&self) -> usize {
         self.sent.borrow().len()
     }
--- a/crates/kumquatnotch-policy/src/rating.rs
+++ b/crates/kumquatnotch-policy/src/rating.rs
@@ -1,8 +1,8 @@
-//! From which replica of a service the reply is expected first.
+//! Rates the replicas of a service by their expected reply times.
 //!
-//! The replica from which the reply is expected first is taken, by this node's
-//! own measurements. A replica in another region is farther by the way there and
-//! back, so it is taken only if those nearby are slow, stand still or fail.
+//! The replica with the shortest expected reply time is chosen, based on this node's own
+//! measurements. The expected time includes the round trip, so a replica in another region is
+//! chosen only if those nearby are slow, stalled or failing.
 
 use std::time::{Duration, Instant};
 
@@ -12,61 +12,61 @@
     observed::{Fitness, Observed},
 };
 
-/// The part of the budget of repeats from which on a repeat costs more than its time.
+/// Spent fraction of the retry budget from which a retry has a cost besides its time.
 ///
-/// A failure that can't be repeated costs the whole objective. With none of it counted, one
-/// replica of each shard that rejects six of ten requests takes all repeats within seconds,
-/// and one request in twenty fails.
+/// A failed request that cannot be retried costs the whole objective. Without this cost, a single
+/// replica per shard that rejects six of ten requests uses up the retry budget within seconds, and
+/// one request in twenty fails.
 const SCARCITY_START: f64 = 0.25;
 
-/// What the way to another region counts at least, as a part of the objective.
+/// Minimum cost of a replica in another region, as a part of the objective.
 ///
-/// Bytes between regions are dear, and a reply within the objective is as good as
-/// a quicker one.
+/// Traffic between regions is expensive, and a reply within the objective is as good as an earlier
+/// one.
 const MIN_FAR_PART: f64 = 0.2;
 
-/// The reluctance to take a replica that broke connections or stood still.
+/// Rank of a replica that broke connections or stalled.
 pub const SUSPECT_RANK: u8 = 2;
 
-/// The reluctance to take a replica that has probably left.
+/// Rank of a replica that has probably left.
 ///
-/// Greater than for one that may only be slow: a replica that has left ends soon.
+/// Worse than that of a replica that may only be slow, as one that has left will soon terminate.
 pub const DEPARTED_RANK: u8 = 3;
 
-/// What is known of a request for the choice of its replica.
+/// Properties of a request that decide which replica is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProfile {
-    /// How long it usually takes, without the way.
+    /// Usual duration, without the round trip.
     pub usual: Duration,
-    /// The time within which an answer is worth most.
+    /// Time within which an answer is worth most.
     pub objective: Duration,
-    /// Which part of the budget of repeats of its service is spent, up to one.
+    /// Spent fraction of the retry budget of its service, at most one.
     pub spent: f64,
-    /// What is in use of that by which replicas are told apart.
+    /// Mechanisms in use for rating replicas.
     pub mechanisms: Mechanisms,
 }
 
 /// A replica that could get a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// What was learned of it.
+    /// What this node has learned of it.
     pub observed: &'a Observed,
-    /// How many requests of this node wait to be sent to it.
+    /// Number of requests of this node that wait to be sent to it.
     pub waiting: usize,
-    /// How many requests of this node may be with it at once.
+    /// Maximum number of requests of this node at it at once.
     pub limit: u32,
 }
 
-/// What is to be expected of a replica.
+/// The rating of a replica for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rating {
-    /// Zero if nothing speaks against it.
+    /// Preference rank: zero for a healthy replica, higher is worse.
     pub rank: u8,
-    /// The expected time to its reply, in seconds.
+    /// Expected time to its reply, in seconds.
     pub expected: f64,
-    /// The same if nothing waited there.
+    /// Expected time to its reply with empty queues, in seconds.
     pub unqueued: f64,
-    /// The expected time, with what its distance costs besides time.
+    /// Expected time plus the cost of its distance, in seconds.
     pub cost: f64,
     /// Whether all its slots are taken.
     pub is_full: bool,
@@ -86,34 +86,34 @@
         }
     }
 
-    /// The same for a replica that has probably left.
+    /// Marks the rating as that of a replica that has probably left.
     pub fn departed(self) -> Rating {
         Rating { rank: DEPARTED_RANK, ..self }
     }
 
-    /// Whether nothing speaks against it.
+    /// Whether nothing speaks against the replica.
     pub fn is_healthy(&self) -> bool {
         self.rank == 0
     }
 
-    /// The order in which replicas are taken.
+    /// Compares by preference, the best first.
     fn order(&self, other: &Rating) -> std::cmp::Ordering {
         let order = self.rank.cmp(&other.rank);
         order.then(self.cost.total_cmp(&other.cost))
     }
 }
 
-/// The best of these, by its place.
+/// Returns the index of the best rating.
 pub fn best(ratings: &[Rating]) -> Option<usize> {
     let places = ratings.iter().enumerate();
     places.min_by(|(_, one), (_, other)| one.order(other)).map(|(place, _)| place)
 }
 
-/// The expected time to a reply, in seconds.
+/// Expected time to a reply, in seconds.
 ///
-/// Where some attempts fail, it counts what passes until that shows and another attempt,
-/// and what the repeat is worth to others. Replicas that reject at once are still of use
-/// while repeats are plenty: they spare the sound ones, which would be crowded alone.
+/// For a failing replica it includes the time until a failure is detected, that of another attempt,
+/// and the cost of the spent retry budget. Replicas that reject requests immediately are still used
+/// while the budget is ample: they relieve the healthy ones, which could not bear the load alone.
 fn expected(candidate: Candidate<'_>, need: RequestProfile, now: Instant) -> f64 {
     let Candidate { observed, waiting, limit } = candidate;
     let slots = observed.slots().min(f64::from(limit.max(1)));
@@ -129,14 +129,14 @@
     unqueued + queue + observed.failures(now) * failure
 }
 
-/// The same if nothing waited there, in seconds.
+/// Expected time to a reply with empty queues, in seconds.
 fn unqueued(observed: &Observed, need: RequestProfile, now: Instant) -> f64 {
     let uses = need.mechanisms.uses(Mechanism::Slowness);
     let slowness = if uses { observed.slowness(now) } else { 1.0 };
     observed.round_trip().as_secs_f64() + need.usual.as_secs_f64() * slowness
 }
 
-/// What the distance of a replica costs besides time, in seconds.
+/// Cost of a replica's distance in addition to its round trip, in seconds.
 fn far_cost(observed: &Observed, need: RequestProfile) -> f64 {
     if !observed.is_far() || !need.mechanisms.uses(Mechanism::FarCost) {
         return 0.0;
@@ -145,7 +145,7 @@
     (least - observed.round_trip().as_secs_f64()).max(0.0)
 }
 
-/// How readily a replica is taken; less is better.
+/// Preference rank of a replica; lower is better.
 fn rank(observed: &Observed, usual: Duration, now: Instant) -> u8 {
     match observed.fitness() {
         Fitness::Fit if !lateness::is_silent(observed, usual, now) => 0,
--- a/crates/kumquatnotch-policy/src/replica.rs
+++ b/crates/kumquatnotch-policy/src/replica.rs
@@ -1,9 +1,8 @@
-//! What this node has observed of a replica.
+//! The state of a replica as observed by this node.
 //!
-//! Own observations come first: how calls ended, how long they took, whether a
-//! probe got through. What the target reports of itself is a hint. Only a
-//! report against itself (draining, cold) is believed, and "cold" only until
-//! enough of its own answers are in.
+//! Local observations take precedence: how calls ended, how long they took, whether a probe
+//! succeeded. What the target reports about itself is a hint. Only unfavourable reports (draining,
+//! cold) are trusted, and "cold" only until the target has answered enough calls.
 
 use std::time::{Duration, Instant};
 
@@ -13,33 +12,33 @@
     target::{HeldVersion, Phase, TargetStatus},
 };
 
-/// The weight of a new latency in the moving mean.
+/// Weight of a new latency in the moving average.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// The same after a pause, when the mean tells of other times.
+/// Weight of a new latency after a pause, when the average is outdated.
 const STALE_WEIGHT: f64 = 0.5;
-/// The pause after which the mean is stale.
+/// Time without answers after which the average is outdated.
 const STALE_AFTER: Duration = Duration::from_secs(1);
-/// The longest latency that is believed, in seconds.
+/// Maximum latency recorded for a cancelled call, in seconds.
 const MAX_LATENCY_S: f64 = 2.0;
-/// The time after the first failure to connect until the next trial.
+/// Backoff after the first failure to connect.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest time between two trials.
+/// Maximum backoff.
 ///
-/// After a mass restart a target that is back stands idle until its next trial,
-/// while all others are overrun; a trial that is refused costs next to nothing.
+/// After a mass restart, a recovered target stays idle until its next connection attempt while all
+/// others are overloaded. A refused connection attempt is cheap by comparison.
 const MAX_BACKOFF: Duration = Duration::from_millis(150);
-/// The answers after which a replica that restarted counts as warm.
+/// Number of answers after which a restarted replica counts as warm.
 pub const WARM_ANSWERS: u32 = 32;
 
-/// The answers after which the latency of a replica that restarted tells of its slots.
+/// Number of answers after which the latency of a restarted replica reflects its slots.
 const SETTLED_ANSWERS: u32 = 64;
 
-/// Whether a replica may be given a call.
+/// Whether a replica can be given a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fitness {
-    /// It may.
+    /// It can.
     Ready,
-    /// It takes no new work.
+    /// It accepts no new work.
     Draining,
     /// It could not be reached.
     Down,
@@ -47,7 +46,7 @@
     Shedding(Instant),
 }
 
-/// What is known of one replica.
+/// Observed state of one replica.
 #[derive(Clone, Debug)]
 pub struct Replica {
     in_flight: u32,
@@ -86,7 +85,7 @@
 }
 
 impl Replica {
-    /// Whether it may be given a call now.
+    /// Returns whether it can be given a call now.
     pub fn fitness(&self, now: Instant) -> Fitness {
         if self.phase == Phase::Draining {
             return Fitness::Draining;
@@ -100,13 +99,13 @@
         }
     }
 
-    /// Whether it serves `shard` at `version`; `None` before it was probed.
+    /// Whether it serves `shard` at `version`; `None` before the first probe.
     pub fn holds(&self, shard: &ShardName, version: IndexVersion) -> Option<bool> {
         let held = self.held.as_ref()?;
         Some(held.iter().any(|held| held.version == version && held.shard == *shard))
     }
 
-    /// Whether it serves `shard` at any version; `None` before it was probed.
+    /// Whether it serves `shard` at any version; `None` before the first probe.
     pub fn serves(&self, shard: &ShardName) -> Option<bool> {
         let held = self.held.as_ref()?;
         Some(held.iter().any(|held| held.shard == *shard))
@@ -117,7 +116,7 @@
         self.held.as_deref().unwrap_or_default()
     }
 
-    /// Whether a probe has got through to it.
+    /// Whether a probe of it has succeeded.
     pub fn is_probed(&self) -> bool {
         self.held.is_some()
     }
@@ -127,12 +126,12 @@
         !self.restarted || self.answers > SETTLED_ANSWERS
     }
 
-    /// The calls in flight to it from here.
+    /// Number of calls in flight to it from this node.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The moving mean of its latency.
+    /// Moving average of its latency.
     pub fn latency(&self) -> Option<Duration> {
         self.latency.map(Duration::from_secs_f64)
     }
@@ -142,44 +141,44 @@
         self.last_start.map_or(Duration::MAX, |at| now.saturating_duration_since(at))
     }
 
-    /// When it was last heard of.
+    /// When it last answered a call or probe.
     pub fn last_answer(&self) -> Option<Instant> {
         self.last_answer
     }
 
-    /// The load by its own word.
+    /// Load reported by the target.
     pub fn reported(&self) -> u32 {
         self.reported
     }
 
-    /// The phase by its own word.
+    /// Phase reported by the target.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When it is worth trying again to reach it.
+    /// When to try to connect again.
     pub fn down_until(&self) -> Option<Instant> {
         self.down_until
     }
 
-    /// The life of its process, if it was told.
+    /// Incarnation of its process, if known.
     pub fn incarnation(&self) -> Option<u64> {
         self.incarnation
     }
 
-    /// A call started; the level it has in flight.
+    /// Records the start of a call; returns the number of calls in flight.
     pub fn on_start(&mut self, now: Instant) -> u32 {
         self.in_flight += 1;
         self.last_start = Some(now);
         self.in_flight
     }
 
-    /// A call ended, however it did.
+    /// Records the end of a call, whatever its outcome.
     pub fn on_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// A call was answered.
+    /// Records an answer.
     pub fn on_answer(&mut self, latency: Duration, reported: u32, now: Instant) {
         let stale =
             self.last_answer.is_none_or(|at| now.saturating_duration_since(at) > STALE_AFTER);
@@ -190,44 +189,44 @@
         self.add_latency(latency.as_secs_f64(), weight);
     }
 
-    /// A call was given up after `elapsed` because another replica answered first.
+    /// Records a call that was cancelled after `elapsed` because another replica answered first.
     pub fn on_cancelled(&mut self, elapsed: Duration) {
-        // Its latency would have been longer, nobody knows by how much; the mean
-        // it had is the guess, as for a service time without memory. Left out, a
-        // straggler whose calls are always won by their copies would keep its
-        // good name.
+        // The true latency is unknown, but longer than `elapsed`. The known mean is taken as the
+        // remaining time, as for an exponentially distributed (memoryless) service time. If
+        // cancelled calls were ignored, a straggler whose calls are always won by their hedges
+        // would keep its low latency.
         let elapsed = elapsed.as_secs_f64();
         let mean = self.latency.unwrap_or(elapsed);
         self.add_latency((elapsed + mean).min(MAX_LATENCY_S), LATENCY_WEIGHT);
     }
 
-    /// It refused a call for this time.
+    /// Records that it refused a call and asked to retry after this time.
     pub fn on_shed(&mut self, retry: Duration, now: Instant) {
         self.on_heard(now);
         self.shed_until = Some(now + retry);
     }
 
-    /// It, or another node, said that it is draining.
+    /// Records that it is draining, as reported by itself or another node.
     pub fn on_draining(&mut self) {
         self.phase = Phase::Draining;
     }
 
-    /// It said that it doesn't hold a version.
+    /// Records that it does not hold a version.
     pub fn on_version_gone(&mut self, shard: &ShardName, version: IndexVersion) {
         let held = self.held.get_or_insert_default();
         held.retain(|held| held.version != version || held.shard != *shard);
     }
 
-    /// It could not be reached, or crashed.
+    /// Records a failure to connect, or a crash.
     pub fn on_unreachable(&mut self, now: Instant, random: &Random) {
         let backoff = INITIAL_BACKOFF * 2u32.pow(self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
-        // All nodes see a mass restart at once; without chance they would come
-        // back in step, and each connection costs the target milliseconds.
+        // All nodes observe a mass restart at once. Without jitter they would reconnect in step,
+        // and each connection costs the target milliseconds.
         self.down_until = Some(now + random.jitter(backoff.min(MAX_BACKOFF)));
     }
 
-    /// A probe got through; whether the target has restarted since the last one.
+    /// Records a successful probe; returns whether the target has restarted since the last one.
     pub fn on_probe(&mut self, status: &TargetStatus, now: Instant) -> bool {
         let was_down = self.down_until.is_some();
         self.on_heard(now);
@@ -259,13 +258,13 @@
     }
 }
 
-/// The decision whether a replica is to be warmed in.
+/// Decides whether a replica is warming up.
 pub trait Warmup {
-    /// Whether it should get a small share of calls only.
+    /// Whether it should get only a small share of calls.
     fn is_warming(&self, replica: &Replica) -> bool;
 }
 
-/// Every replica gets its full share at once: the baseline.
+/// Gives every replica its full share at once. The baseline.
 #[derive(Debug, Default)]
 pub struct NoWarmup;
 
@@ -275,10 +274,10 @@
     }
 }
 
-/// A cold or restarted replica is warming until it has answered a few calls.
+/// Treats a cold or restarted replica as warming up until it has answered a few calls.
 ///
-/// After these its own latency says whether it is slow; a target that calls
-/// itself cold for ever is not believed for ever.
+/// After that, its latency shows whether it is slow, so a target that always reports itself as cold
+/// is not limited for ever.
 #[derive(Debug, Default)]
 pub struct GradualWarmup;
 
