--- a/crates/kumquatnotch-policy/src/advice.rs
+++ b/crates/kumquatnotch-policy/src/advice.rs
@@ -1,9 +1,8 @@
 //! Entry advice: the order in which a caller should use the nodes.
 //!
-//! Callers keep the advice for a while and use the first address that works.
-//! Giving all callers of a data centre the same first address would herd them
-//! onto one node; so nodes that are equally near come in a random order,
-//! weighted by what is known of their load.
+//! Callers keep the advice for a while and use the first address that works. If all callers of a
+//! data centre got the same first address, they would overload one node. Equally near nodes are
+//! therefore returned in random order, weighted by their known load.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,7 +15,7 @@
 /// A node that may be advised.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryNode {
-    /// Where it listens for callers.
+    /// Address at which it listens for callers.
     pub address: SocketAddr,
     /// Its data centre.
     pub centre: DataCentre,
@@ -26,11 +25,11 @@
     pub state: NodeState,
     /// Whether it has a document to serve.
     pub serving: bool,
-    /// How long requests wait there, if it is known.
+    /// Known queueing delay of requests.
     pub wait: Option<Duration>,
 }
 
-/// Where a caller is, as far as it says.
+/// Location of a caller, as far as it states it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallerLocation<'a> {
     /// Its data centre.
@@ -41,11 +40,11 @@
 
 /// Orders nodes for a caller.
 pub trait EntryPolicy {
-    /// The addresses, the first one to use first.
+    /// Returns the addresses, the preferred one first.
     fn order(&self, nodes: &[EntryNode], near: CallerLocation<'_>) -> Vec<SocketAddr>;
 }
 
-/// Near nodes first, in a weighted random order among equals.
+/// Nearest nodes first, in weighted random order among equally near ones.
 #[derive(Clone, Debug)]
 pub struct SpreadEntry {
     random: Random,
@@ -53,12 +52,13 @@
 }
 
 impl SpreadEntry {
-    /// A node where requests wait for `busy` counts as one distance_rank farther away.
+    /// Creates the policy. A node with a queueing delay of at least `busy` counts as one step
+    /// farther away.
     pub fn new(random: Random, busy: Duration) -> SpreadEntry {
         SpreadEntry { random, busy }
     }
 
-    /// Draws so that a node comes first among equals in proportion to its weight.
+    /// Random key by which a node comes first among equals in proportion to its weight.
     fn sort_key(&self, node: &EntryNode) -> f64 {
         let wait = node.wait.unwrap_or_default().as_secs_f64();
         let weight = 1.0 / (1.0 + wait / self.busy.as_secs_f64().max(f64::EPSILON));
@@ -82,7 +82,7 @@
     }
 }
 
-/// Always the nearest node in the order given; the baseline.
+/// Always the nearest node, in the given order. The baseline.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NearestEntry;
 
@@ -94,12 +94,11 @@
     }
 }
 
-/// Which nodes are advised: the first of these kinds of which there are any.
+/// Kinds of nodes that can be advised. The first kind with any nodes is used.
 ///
-/// A node that has no document yet refuses every caller, and callers keep the
-/// advice. A suspect one that serves may only be slow, so it is the better.
-/// A leaving node is never advised: a caller that keeps the advice would meet a
-/// closed port.
+/// A node without a document refuses every caller, and callers keep the advice, so a suspect node
+/// that serves is preferred: it may only be slow. A leaving node is never advised, as a caller that
+/// keeps the advice would find its port closed.
 const ELIGIBLE_KINDS: [(bool, NodeState); 4] = [
     (true, NodeState::Up),
     (true, NodeState::Suspect),
--- a/crates/kumquatnotch-policy/src/attempts.rs
+++ b/crates/kumquatnotch-policy/src/attempts.rs
@@ -1,15 +1,14 @@
 //! How often one request is sent to the replicas of a service.
 //!
-//! A request that may run more than once gets a copy when its reply is late and another
-//! try after a failure, as far as its route and the budget allow. One that may not is
-//! sent again only if it is certain that no replica has run it.
+//! A request that may run more than once is hedged when its reply is late and retried after a
+//! failure, as far as its route and the budget allow. Any other request is sent again only if it is
+//! certain that no replica has run it.
 
 use std::time::Instant;
 
-/// The most replicas that are tried without any having run the request.
+/// Maximum number of replicas that may reject a request.
 ///
-/// Each rejection costs a repeat of the budget, so this bounds what one request
-/// takes from the others.
+/// Each rejection takes a repeat out of the budget, so this bounds how much of it one request uses.
 const MAX_REJECTIONS: u32 = 3;
 
 /// What the route of a request allows.
@@ -17,26 +16,26 @@
 pub struct Allowance {
     /// Whether it may run more than once.
     pub is_idempotent: bool,
-    /// The most replicas that may run it.
+    /// Maximum number of replicas that may run it.
     pub attempts: u32,
     /// When its time is over.
     pub deadline: Instant,
 }
 
-/// How an attempt ended that brought no reply a caller can use.
+/// Outcome of an attempt without a usable reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The replica failed, and says so.
+    /// The replica reported a failure.
     Failed,
-    /// The replica did not run it, by its own word.
+    /// The replica reported that it did not run the request.
     Rejected,
     /// Nothing was sent.
     NotSent,
-    /// It was sent, and whether it has run is unknown.
+    /// The request was sent, and whether it has run is unknown.
     Lost,
 }
 
-/// What may be said of a request that got no reply a caller can use.
+/// What is known of a request without a usable reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// A replica failed.
@@ -47,10 +46,10 @@
     NotRun,
 }
 
-/// The attempts at one request.
+/// Attempts at one request.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Those that a replica may have run.
+    /// Number of attempts that a replica may have run.
     runs: u32,
     rejections: u32,
     lost: bool,
@@ -58,7 +57,7 @@
 }
 
 impl Attempts {
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn note(&mut self, ending: AttemptOutcome) {
         match ending {
             AttemptOutcome::Failed => {
@@ -79,7 +78,7 @@
         self.runs + self.rejections > 0
     }
 
-    /// Whether another one may follow now that none is running.
+    /// Whether another attempt may follow now that none is running.
     pub fn may_try_again(&self, allowed: Allowance, now: Instant) -> bool {
         if self.runs > 0 && !allowed.is_idempotent {
             return false;
@@ -87,12 +86,12 @@
         self.runs < allowed.attempts && self.rejections < MAX_REJECTIONS && now < allowed.deadline
     }
 
-    /// Whether a copy may be sent while so many are running.
+    /// Whether a hedge may be sent while this number of attempts is running.
     pub fn may_hedge(&self, allowed: Allowance, running: u32) -> bool {
         allowed.is_idempotent && self.runs + running < allowed.attempts
     }
 
-    /// What may be said of the request if no other attempt follows.
+    /// What is known of the request if no other attempt follows.
     pub fn verdict(&self) -> Verdict {
         match (self.failed, self.lost) {
             (true, _) => Verdict::Failed,
--- a/crates/kumquatnotch-policy/src/caller_rtt.rs
+++ b/crates/kumquatnotch-policy/src/caller_rtt.rs
@@ -1,38 +1,37 @@
-//! How far away the callers of a node are.
+//! Round-trip time between a node and its callers.
 //!
-//! Their time runs from when they send a request, and ends when they have the answer: the
-//! way there and back comes off what a node has. It differs from place to place and can't
-//! be known beforehand.
+//! A caller's time runs from sending a request until it has the answer, so the round trip reduces
+//! the time that a node has. It varies with location and cannot be known in advance.
 
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 
-/// How many of the last ways count.
+/// Number of recent samples.
 ///
-/// Callers look up nodes every few seconds, so these are of the last ten seconds or so.
+/// Callers look up nodes every few seconds, so these cover the last ten seconds or so.
 const WINDOW: usize = 64;
 
-/// The fewest ways that count.
+/// Minimum number of samples.
 const MIN_SAMPLES: usize = 5;
 
-/// The way that is assumed before: a few milliseconds in each direction, as within a region.
+/// Round trip assumed with fewer samples: a few milliseconds in each direction, as within a region.
 ///
-/// Too long a guess leaves out parts that would have been in time, too short a one makes
-/// answers late that would have been worth most: the second is dearer by far.
+/// If it is too long, parts are left out that would have been in time. If it is too short, answers
+/// are late that would have been worth most, which costs far more.
 const INITIAL_RTT: Duration = Duration::from_millis(8);
 
-/// The longest way that is believed.
+/// Maximum recorded round trip.
 ///
 /// A caller that takes longer to close its connection was busy.
 const MAX_RTT: Duration = Duration::from_millis(250);
 
-/// The ways to callers and back, as they were measured last.
+/// Recent round trips to callers.
 #[derive(Debug, Default)]
 pub struct CallerRtt {
     last: RefCell<VecDeque<Duration>>,
 }
 
 impl CallerRtt {
-    /// Notes a way.
+    /// Records a round trip.
     pub fn note(&self, rtt: Duration) {
         let mut last = self.last.borrow_mut();
         if last.len() == WINDOW {
@@ -41,9 +40,9 @@
         last.push_back(rtt.min(MAX_RTT));
     }
 
-    /// The way of most callers.
+    /// Round trip of a typical caller.
     ///
-    /// The median: a node that is busy sees some of its callers close late.
+    /// The median is used because a busy node sees some of its callers close late.
     pub fn usual(&self) -> Duration {
         let last = self.last.borrow();
         if last.len() < MIN_SAMPLES {
--- a/crates/kumquatnotch-policy/src/completion.rs
+++ b/crates/kumquatnotch-policy/src/completion.rs
@@ -1,35 +1,34 @@
-//! When a search is answered with the parts that are in.
+//! When a search is answered with the parts received so far.
 //!
-//! Callers get most from an answer that is whole and in time. A shard that is late costs
-//! the answer its part; waiting for it costs the whole answer its time. So an answer is
-//! given when all parts are in, or when waiting any longer would make it late and enough
-//! of them are.
+//! An answer is worth most if it is complete and in time. A late shard costs the answer one part;
+//! waiting for it makes the whole answer late. The answer is therefore given when all parts have
+//! arrived, or when further waiting would make it late and enough parts have arrived.
 
 use std::time::Duration;
 
 /// How long a late answer waits for more parts once it has enough of them.
 ///
-/// About the time that a part takes; the parts of a shard group come together. It is
-/// late already: a moment more costs nothing and makes it fuller.
+/// About the time that a part takes, as the parts of a shard group arrive together. The answer is
+/// late already: waiting a moment longer costs nothing and makes it more complete.
 const LATE_GRACE: Duration = Duration::from_millis(20);
 
-/// What a search does next.
+/// Next step of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// It waits for more parts.
+    /// Wait for more parts.
     Wait,
-    /// It is late, has enough, and waits for this much longer.
+    /// Wait this much longer: the answer is late and has enough parts.
     Grace(Duration),
-    /// It is answered.
+    /// Give the answer.
     Answer,
 }
 
-/// The end of one search.
+/// Decides when one search ends.
 #[derive(Debug)]
 pub struct Completion {
-    /// How many shards there are.
+    /// Number of shards.
     total: usize,
-    /// How many parts an answer must have at least.
+    /// Minimum number of parts in an answer.
     min_parts: usize,
     stage: Stage,
 }
@@ -38,25 +37,24 @@
 enum Stage {
     /// An answer would be in time.
     Early,
-    /// An answer would be late, and there are too few parts.
+    /// An answer would be late, and there were too few parts when it was due.
     Late,
-    /// Time is over as soon as there are enough parts.
+    /// The answer is given as soon as there are enough parts.
     Due,
 }
 
 impl Completion {
-    /// A search over `total` shards whose answer needs `min_parts` parts.
+    /// Creates the state of a search over `total` shards whose answer needs `min_parts` parts.
     pub fn new(total: usize, min_parts: usize) -> Completion {
         Completion { total, min_parts, stage: Stage::Early }
     }
 
-    /// Notes that the time is over in which the answer is worth most, or in which it
-    /// lingers.
+    /// Records that the answer is due, or that the grace period has ended.
     pub fn note_due(&mut self, parts: usize) {
         self.stage = if parts < self.min_parts { Stage::Late } else { Stage::Due };
     }
 
-    /// What comes next with so many parts.
+    /// Returns the next step with this number of parts.
     pub fn next(&mut self, parts: usize) -> Next {
         if parts >= self.total {
             return Next::Answer;
@@ -74,10 +72,10 @@
         }
     }
 
-    /// Whether shards that failed elsewhere are worth another try, with so many parts in
-    /// and so many to come.
+    /// Whether to retry shards that failed elsewhere, given the number of parts received and
+    /// outstanding.
     ///
-    /// They come too late to make an answer in time fuller, so only if there is none
+    /// They would be too late for an answer in time, so they are retried only if there is no answer
     /// without them.
     pub fn needs_retry(&self, parts: usize, to_come: usize) -> bool {
         parts + to_come < self.min_parts
--- a/crates/kumquatnotch-policy/src/containment.rs
+++ b/crates/kumquatnotch-policy/src/containment.rs
@@ -1,10 +1,9 @@
-//! Requests that crash the targets which run them.
+//! Containment of requests that crash the targets which run them.
 //!
-//! When a target crashes, every request in flight to it is a suspect. A suspect
-//! runs alone on its replica from then on, so that the next crash tells who it
-//! was and takes no innocent one along. A request that crashes a target while
-//! alone after an earlier crash is contained: it is refused until the mark
-//! expires. A suspect that the shard in question has answered is cleared.
+//! When a target crashes, every request in flight to it becomes a suspect. From then on a suspect
+//! runs alone on its replica, so that the next crash identifies the culprit and affects no other
+//! request. A request that crashes a target while alone, after an earlier crash, is contained: it
+//! is refused until the mark expires. A suspect is cleared by an answer of the shard that crashed.
 
 use std::time::{Duration, Instant};
 
@@ -16,41 +15,42 @@
 /// How a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Like any other.
+    /// Without restrictions.
     Free,
-    /// Only with nothing else in flight to the same replica.
+    /// Only with no other request in flight to the same replica.
     Alone,
-    /// Not at all for this time.
+    /// Refused for this time.
     Refused(Duration),
 }
 
 /// A request in flight to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Running {
-    /// By which the request is recognised when it is sent again.
+    /// Fingerprint by which the request is recognised when it is retried.
     pub print: Fingerprint,
-    /// The shard it asks for there.
+    /// Requested shard.
     pub shard: ShardName,
 }
 
-/// The decision which requests are kept from targets.
+/// Decides which requests are kept from targets.
 pub trait Containment {
-    /// How a request may run.
+    /// Returns how a request may run.
     fn verdict(&self, print: Fingerprint, now: Instant) -> Verdict;
 
-    /// A target crashed with these requests in flight; the one contained now.
+    /// Records a crash of a target with these requests in flight; returns the request that is
+    /// contained now.
     ///
-    /// `alone` tells whether it ran a suspect that was kept alone for this reason.
+    /// `alone` is true if the target ran a suspect in isolation.
     fn on_crash(&mut self, present: &[Running], alone: bool, now: Instant) -> Option<Fingerprint>;
 
-    /// A request was answered by a shard.
+    /// Records an answer of a shard to a request.
     fn on_answer(&mut self, print: Fingerprint, shard: &ShardName);
 
     /// How long a contained request is refused.
     fn span(&self) -> Duration;
 }
 
-/// Every request runs, whatever it has done: the baseline.
+/// Runs every request without restrictions. The baseline.
 #[derive(Debug, Default)]
 pub struct NoContainment;
 
@@ -75,16 +75,16 @@
     }
 }
 
-/// The crashes after which a request is contained.
+/// Number of crashes after which a request is contained.
 const MIN_STRIKES: u32 = 2;
 /// How long a contained request is refused.
 const CONTAINMENT_TIME: Duration = Duration::from_secs(600);
-/// How long a suspicion lasts beyond the last crash.
+/// How long a request stays suspect after the last crash.
 const SUSPICION_TIME: Duration = Duration::from_secs(3600);
-/// The most suspects kept; the oldest go first.
+/// Maximum number of suspects; the oldest are dropped first.
 const MAX_SUSPECTS: usize = 4096;
 
-/// Suspects run alone, and are contained at their second crash.
+/// Runs suspects alone and contains them at their second crash.
 #[derive(Debug, Default)]
 pub struct StrikeContainment {
     suspects: HashMap<Fingerprint, Suspect>,
@@ -125,10 +125,10 @@
                 suspect.shards.push(running.shard.clone());
             }
         }
-        // With others beside it nothing is proved: a popular request could have
-        // been beside the culprit twice, and its callers would be refused. To be
-        // there by chance with nobody else proves nothing either: a rack that is
-        // lost takes many targets at once, and each search is on all of them.
+        // A crash with several requests in flight proves nothing: a popular request could have been
+        // present twice by coincidence, and its callers would be refused. Neither does a crash with
+        // a request that was alone only by chance: the loss of a rack takes many targets at once,
+        // and each search is in flight to all of them.
         let [running] = present else {
             return None;
         };
@@ -147,8 +147,8 @@
         let Some(suspect) = self.suspects.get_mut(&print) else {
             return;
         };
-        // The other shards of the same query answer well all the while, so only
-        // the shard that crashed can clear the request.
+        // The other shards of the same query keep answering, so only the shard that crashed can
+        // clear the request.
         suspect.shards.retain(|struck| struck != shard);
         if suspect.shards.is_empty() && suspect.until.is_none() {
             self.suspects.remove(&print);
--- a/crates/kumquatnotch-policy/src/distances.rs
+++ b/crates/kumquatnotch-policy/src/distances.rs
@@ -1,9 +1,9 @@
-//! How far away each data centre is.
+//! Round-trip times to data centres.
 //!
-//! Which replica is near must be known before the first connection to it: a node
-//! that has only ever asked those beside it would take one of another region for
-//! as near as any. So what was measured to one replica of a data centre holds for
-//! the others, and before that a guess by its place.
+//! The nearest replica must be known before the first connection to it. Otherwise a node that has
+//! only used replicas nearby would treat one in another region as equally near. The round trip
+//! measured to one replica of a data centre is therefore used for the others, and before that an
+//! estimate based on its location.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,16 +16,16 @@
     ids::{DataCentre, Region},
 };
 
-/// The guess for the way there and back within the data centre.
+/// Estimated round trip within the data centre.
 const SAME_CENTRE: Duration = Duration::from_millis(1);
 
-/// The guess for another data centre of the region.
+/// Estimated round trip to another data centre of the region.
 const SAME_REGION: Duration = Duration::from_millis(3);
 
-/// The guess for another region, which the first measurement corrects.
+/// Estimated round trip to another region, which the first measurement corrects.
 const OTHER_REGION: Duration = Duration::from_millis(30);
 
-/// The way to one data centre and back.
+/// Distance to one data centre.
 #[derive(Debug)]
 pub struct Distance {
     is_far: Cell<bool>,
@@ -34,24 +34,24 @@
 }
 
 impl Distance {
-    /// Whether it leads to another region.
+    /// Whether it is in another region.
     pub fn is_far(&self) -> bool {
         self.is_far.get()
     }
 
-    /// The way there and back.
+    /// Round trip to the data centre.
     pub fn round_trip(&self) -> Duration {
         self.measured.get().unwrap_or(self.guess.get())
     }
 
-    /// Notes how long a way took; the shortest is nearest to the truth.
+    /// Records a measured round trip. The minimum is kept, as it is closest to the network delay.
     pub fn note(&self, took: Duration) {
         let known = self.measured.get().unwrap_or(Duration::MAX);
         self.measured.set(Some(known.min(took)));
     }
 }
 
-/// The ways to the data centres.
+/// Distances to the data centres.
 #[derive(Debug, Default)]
 pub struct Distances {
     home: RefCell<Option<(DataCentre, Region)>>,
@@ -60,12 +60,12 @@
 }
 
 impl Distances {
-    /// The ways from a place.
+    /// Creates the distances from a location.
     pub fn from(centre: DataCentre, region: Region) -> Distances {
         Distances { home: RefCell::new(Some((centre, region))), ..Default::default() }
     }
 
-    /// Sets in which region each data centre lies.
+    /// Sets the region of each data centre.
     pub fn set_regions(&self, regions: HashMap<DataCentre, Region>) {
         *self.regions.borrow_mut() = regions;
         for (centre, distance) in self.distances.borrow().iter() {
@@ -75,12 +75,12 @@
         }
     }
 
-    /// In which region each data centre lies.
+    /// Region of each data centre.
     pub fn regions(&self) -> std::cell::Ref<'_, HashMap<DataCentre, Region>> {
         self.regions.borrow()
     }
 
-    /// The way to a data centre.
+    /// Distance to a data centre.
     pub fn to(&self, centre: &DataCentre) -> Rc<Distance> {
         if let Some(distance) = self.distances.borrow().get(centre) {
             return distance.clone();
@@ -95,7 +95,7 @@
         distance
     }
 
-    /// The longest of the ways that were measured.
+    /// Longest measured round trip.
     pub fn max_round_trip(&self) -> Duration {
         let distances = self.distances.borrow();
         distances.values().filter_map(|distance| distance.measured.get()).max().unwrap_or_default()
--- a/crates/kumquatnotch-policy/src/fair.rs
+++ b/crates/kumquatnotch-policy/src/fair.rs
@@ -1,9 +1,9 @@
-//! The queue that serves by class, tenant and deadline.
+//! Wait queue ordered by class, tenant and deadline.
 //!
-//! Classes are served by urgency, with a small share assured to the lesser
-//! ones; within a class, tenants share by weight; within a tenant, the earliest
-//! deadline goes first. A request that would wait for too much of its time is
-//! refused at once with the time to come back.
+//! Classes are served by priority, with a small share of slots guaranteed to the lower ones. Within
+//! a class, slots are shared among tenants by weight; within a tenant, the earliest deadline goes
+//! first. A request that would wait for too large a part of its time is refused at once, with the
+//! time after which to retry.
 
 use std::{
     collections::BTreeMap,
@@ -14,29 +14,29 @@
 
 use crate::queue::{MAX_OFFERS, ServiceRate, SlotOffer, WaitQueue, Waiter};
 
-/// The slots out of a hundred assured to each class while others wait too.
+/// Fraction of slots guaranteed to each class while others wait as well.
 ///
-/// Without them a desk that never pauses would keep the audits from ever ending.
+/// Without it, continuous load of the desk would starve audits for ever.
 const GUARANTEED_SHARE: [f64; 3] = [1.0, 0.10, 0.03];
-/// The slots owed to a class at which it goes before less urgent waiters only.
+/// Deficit in slots from which a class goes before waiters of lower priority.
 const GUARANTEE_DEFICIT: f64 = 1.0;
-/// The slots owed to a class at which it goes before everyone, the desk too.
+/// Deficit in slots from which a class goes before all others, including the desk.
 ///
-/// A burst at the desk passes long before; only a desk that fills every slot for
-/// good lets the debt grow this high.
+/// A burst at the desk is over long before; only a desk that permanently fills every slot lets the
+/// deficit grow this high.
 const STARVATION_DEFICIT: f64 = 10.0;
-/// The slots that a class may have had beyond its assured ones.
+/// Maximum number of slots that a class can have received beyond its guaranteed share.
 const MAX_CREDIT: f64 = 10.0;
-/// The share of its time that a request may be expected to wait.
+/// Maximum fraction of its remaining time that a request may be expected to wait.
 const MAX_WAIT_SHARE: f64 = 0.5;
-/// The most waiters of one shard.
+/// Maximum number of waiters per shard.
 const MAX_WAITERS: usize = 4096;
-/// The weight of a new interval in the moving mean.
+/// Weight of a new interval in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.1;
-/// The shortest time that a refused caller is told to stay away.
+/// Minimum retry delay of a refused request.
 const MIN_RETRY: Duration = Duration::from_millis(20);
 
-/// Classes by urgency, tenants by weight, requests by deadline.
+/// Serves classes by priority, tenants by weight, and requests by deadline.
 #[derive(Debug)]
 pub struct FairQueue {
     classes: [ClassQueue; 3],
@@ -83,8 +83,8 @@
         let before: usize = self.classes[..rank].iter().map(|queue| queue.len).sum();
         let each = rate.service.as_secs_f64() / f64::from(rate.slots.max(1));
         let by_pace = (own + before as f64) * each;
-        // More urgent requests that are still to come show in the interval at
-        // which this class is being served, not in the queue.
+        // More urgent requests that are still to arrive are reflected in the interval at which this
+        // class is served, not in the queue.
         let by_interval = own * self.classes[rank].interval.unwrap_or(0.0);
         Duration::from_secs_f64(by_pace.max(by_interval))
     }
@@ -182,8 +182,8 @@
     fn push(&mut self, waiter: Waiter) {
         self.len += 1;
         let key = (waiter.deadline, waiter.id);
-        // A tenant that comes back starts level with the others: what it left
-        // unused is expired, so it can't claim every slot for a while.
+        // A returning tenant starts level with the others. Its unused share is not saved up, so it
+        // cannot claim every slot for a while.
         if let Some(tenant_queue) =
             self.tenants.iter_mut().find(|tenant_queue| tenant_queue.tenant == waiter.tenant)
         {
@@ -216,7 +216,7 @@
         removed
     }
 
-    /// Offers a slot to the waiters in order; the first that it fits.
+    /// Offers a slot to the waiters in order; returns the first that can use it.
     fn offer(
         &self,
         guaranteed: bool,
@@ -241,7 +241,7 @@
         None
     }
 
-    /// The place that a new request of `tenant` would have in this class.
+    /// Position that a new request of `tenant` would have in this class.
     fn position(&self, tenant: &TenantName, weight: u32) -> f64 {
         let weight = f64::from(weight.max(1));
         let own = self.tenants.iter().find(|tenant_queue| tenant_queue.tenant == *tenant);
@@ -253,7 +253,7 @@
         own + before.sum::<f64>()
     }
 
-    /// Makes `tenant` pay for a slot by its weight.
+    /// Charges `tenant` for a slot, by its weight.
     fn charge(&mut self, tenant: &TenantName) {
         if let Some(tenant_queue) =
             self.tenants.iter_mut().find(|tenant_queue| tenant_queue.tenant == *tenant)
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Learns the interval at which this class is served while it waits.
+    /// Records the interval at which this class is served while requests wait.
     fn record_interval(&mut self, now: Instant) {
         let served = self.served.replace(now);
         if self.len == 0 {
--- a/crates/kumquatnotch-policy/src/lags.rs
+++ b/crates/kumquatnotch-policy/src/lags.rs
@@ -1,33 +1,34 @@
-//! How much later than due a node gives its answers.
+//! How much later than due a node sends its answers.
 //!
-//! A node that is busy with other requests reads a request later than it comes, and sends an
-//! answer later than it is due. Both take about as long, and the second can be measured.
+//! A node that is busy with other requests reads a request later than it arrives, and sends an
+//! answer later than it is due. Both delays are about the same, and only the second can be
+//! measured.
 
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 
-/// The lag that is assumed before one was measured.
+/// Lag assumed with too few samples.
 ///
-/// Measured on nodes with a quarter of a core, at a tenth of their capacity: half of the
-/// answers that are given when they are due leave within 1.7 ms, nine of ten within 2.5 ms.
+/// On nodes with a quarter of a core, at a tenth of their capacity, half of the answers given when
+/// due are sent within 1.7 ms, and nine of ten within 2.5 ms.
 const INITIAL_LAG: Duration = Duration::from_micros(1_700);
 
-/// The longest lag that is believed; an answer that leaves later was late for lack of parts.
+/// Maximum recorded lag. An answer sent later than this was waiting for missing parts.
 const MAX_LAG: Duration = Duration::from_millis(30);
 
-/// How many of the last lags count.
+/// Number of recent samples.
 const WINDOW: usize = 32;
 
-/// The fewest lags that count.
+/// Minimum number of samples.
 const MIN_SAMPLES: usize = 8;
 
-/// How much later than due answers left the node lately.
+/// Recent lags of answers.
 #[derive(Debug, Default)]
 pub struct Lags {
     last: RefCell<VecDeque<Duration>>,
 }
 
 impl Lags {
-    /// Notes that an answer without some parts left so much later than due.
+    /// Records how much later than due an incomplete answer was sent.
     pub fn note(&self, overdue: Duration) {
         if overdue > MAX_LAG {
             return;
@@ -39,9 +40,10 @@
         last.push_back(overdue);
     }
 
-    /// The lag of most.
+    /// Typical lag.
     ///
-    /// The median: some answers leave late for lack of parts, however idle the node is.
+    /// The median is used because some answers are sent late for lack of parts, however idle the
+    /// node is.
     pub fn usual(&self) -> Duration {
         let last = self.last.borrow();
         if last.len() < MIN_SAMPLES {
--- a/crates/kumquatnotch-policy/src/lib.rs
+++ b/crates/kumquatnotch-policy/src/lib.rs
@@ -1,12 +1,13 @@
-//! The decisions of the query tier.
+//! Decision logic of the query tier.
 //!
-//! Nothing here opens a socket, starts a task or reads a clock: time and observations come in
-//! as arguments, chance from the seeded generator, and what is decided goes out as a value.
+//! This crate opens no sockets, starts no tasks and reads no clock. Time and observations are
+//! passed in as arguments, randomness comes from the seeded generator, and decisions are returned
+//! as values.
 //!
-//! The decisions of the product's own interface stand behind traits, with the naive form that
-//! each is measured against beside it. Those of the platform's nodes are plain functions and
-//! small records of what was learned; [`mechanisms`] lists what can be switched off there, and
-//! what takes its place. docs/DESIGN.md shows where a request meets each of them.
+//! The decisions of the product's own interface are traits, each with a naive implementation as a
+//! baseline. Those of the platform's nodes are plain functions and small records of observations;
+//! [`mechanisms`] lists which of them can be switched off, and what replaces them. docs/DESIGN.md
+//! shows where a request meets each of them.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatnotch-policy/src/limit.rs
+++ b/crates/kumquatnotch-policy/src/limit.rs
@@ -1,27 +1,26 @@
-//! How many calls may be in flight to a replica.
+//! Concurrency limit per replica.
 //!
-//! A replica has a few slots; how many is not told, differs between vendors and
-//! changes. [`LearnedLimit`] finds it from latencies alone. As long as there is
-//! a free slot, a call takes as long as it would alone; past the slots, the
-//! `n`th call is_queueing, and latency grows by a factor of `n / (n - 1)` for each
-//! level. So the mean latency is kept for each level of in-flight calls, and
-//! the limit is the last level before that growth. A replica that is slow at
-//! every level keeps its limit, which a plain bound on latency would shrink.
+//! A replica has a few slots. Their number is not reported, differs between vendors and changes.
+//! [`LearnedLimit`] derives it from latencies alone. While there is a free slot, a call takes as
+//! long as it would alone. Beyond the slots, the `n`th call is queued, and latency grows by a
+//! factor of `n / (n - 1)` per level. The mean latency is therefore tracked for each level of
+//! in-flight calls, and the limit is the last level before that growth. A replica that is slow at
+//! every level keeps its limit, which a plain latency threshold would reduce.
 
 use std::time::{Duration, Instant};
 
-/// A bound on the calls in flight to one replica.
+/// Limit on the calls in flight to one replica.
 pub trait Limit {
-    /// The most calls that may be in flight, the next one included.
+    /// Maximum number of calls in flight, including the next one.
     fn allowed(&self) -> u32;
 
-    /// A call started and became the `level`th in flight.
+    /// Records the start of a call that became the `level`th in flight.
     fn on_start(&mut self, level: u32);
 
-    /// A call that started as the `level`th was answered after `latency`.
+    /// Records an answer to a call that started as the `level`th, after `latency`.
     fn on_answer(&mut self, level: u32, latency: Duration, now: Instant);
 
-    /// The replica refused a call that would have been the `level`th.
+    /// Records that the replica refused a call that would have been the `level`th.
     fn on_shed(&mut self, level: u32, now: Instant);
 }
 
@@ -30,7 +29,7 @@
     (allowed / holders.max(1)).max(1)
 }
 
-/// No bound: the baseline.
+/// No limit. The baseline.
 #[derive(Debug, Default)]
 pub struct NoLimit;
 
@@ -46,7 +45,7 @@
     fn on_shed(&mut self, _level: u32, _now: Instant) {}
 }
 
-/// A bound that an operator guessed: the second baseline.
+/// A fixed limit set by an operator. The second baseline.
 #[derive(Debug)]
 pub struct FixedLimit(pub u32);
 
@@ -62,30 +61,30 @@
     fn on_shed(&mut self, _level: u32, _now: Instant) {}
 }
 
-/// The limit of a replica that nothing is known of.
+/// Initial limit of an unknown replica.
 const INITIAL_LIMIT: u32 = 2;
-/// The highest limit that is ever learned.
+/// Maximum limit.
 const MAX_LIMIT: u32 = 64;
-/// How many answers lie between two trials of a neighbouring level.
+/// Number of answers between two probes of a neighbouring level.
 const PROBE_INTERVAL: u32 = 64;
-/// The longest memory of a level, in answers.
+/// Maximum number of answers in the mean of a level.
 const MAX_MEMORY: f64 = 512.0;
-/// The memory of the fast mean, in answers.
+/// Number of answers in the fast mean.
 const FAST_MEMORY: f64 = 32.0;
-/// The rise of the fast mean over the slow one that starts the learning afresh.
+/// Ratio of the fast to the slow mean that restarts learning.
 const JUMP_FACTOR: f64 = 1.35;
-/// The time after which a level's mean counts for half.
+/// Half-life of a level's mean.
 const HALF_LIFE: Duration = Duration::from_secs(10);
-/// The time after which a level that was not met is tried on purpose.
+/// Time without samples after which a level is probed.
 const STALE_AFTER: Duration = Duration::from_secs(2);
-/// The time without trials after the replica refused a call.
+/// Time without probes after the replica refused a call.
 const SHED_PAUSE: Duration = Duration::from_secs(5);
-/// The time between two cuts for refusals, as several come at once.
+/// Minimum time between two reductions after refusals, as several arrive at once.
 const SHED_GAP: Duration = Duration::from_millis(100);
-/// The longest sample taken, as a multiple of the mean, so that a stall isn't learned.
+/// Maximum sample as a multiple of the mean, so that a stall is not learned.
 const CLIP_FACTOR: f64 = 4.0;
 
-/// A limit that is learned from answers.
+/// A limit learned from latencies.
 #[derive(Debug)]
 pub struct LearnedLimit {
     limit: u32,
@@ -149,7 +148,7 @@
     }
 
     fn on_start(&mut self, level: u32) {
-        // One call at the neighbouring level is enough for a trial.
+        // A single call at the neighbouring level completes a probe.
         let done = match self.probe {
             Probe::None => false,
             Probe::Up => level > self.limit,
@@ -205,11 +204,11 @@
         self.levels[index].at = Some(now);
     }
 
-    /// Starts afresh once latency at the usual level has jumped.
+    /// Restarts learning after a jump of the latency at the current limit.
     ///
-    /// Slots that a target loses show as a jump at the level we hold it at. The
-    /// lower levels, by which the slots are told, aren't met under load, so the
-    /// old means would keep the limit too high for minutes.
+    /// Slots lost by a target appear as such a jump. The lower levels, which would reveal the
+    /// number of slots, do not occur under load, so the old means would keep the limit too high for
+    /// minutes.
     fn reset_on_jump(&mut self, level: u32, sample: f64, now: Instant) {
         if level > self.limit {
             return;
@@ -228,7 +227,7 @@
         *self = LearnedLimit { limit, shed_at, ..LearnedLimit::default() };
     }
 
-    /// Raises the limit level by level until calls begin to wait.
+    /// Raises the limit level by level until calls queue.
     fn climb(&mut self, now: Instant) {
         let count = self.levels.get(self.limit as usize).map_or(0.0, |level| level.mean.count);
         if count < min_samples(self.limit) {
@@ -241,15 +240,15 @@
             }
             Some(false) if self.limit < MAX_LIMIT => self.limit += 1,
             Some(false) => self.climbing = false,
-            // The level below was never met, so nothing can be told yet.
+            // The level below never occurred, so queueing cannot be detected yet.
             None if self.limit == 1 => self.limit = 2,
             None => self.probe = Probe::Down,
         }
     }
 
-    /// Moves the limit by one if the means of its neighbours say so.
+    /// Moves the limit by one if the means of the neighbouring levels require it.
     fn adjust(&mut self, now: Instant) {
-        // The two bounds differ, so that noise doesn't move the limit to and fro.
+        // The thresholds differ, so that noise does not make the limit oscillate.
         if self.is_queueing(self.limit, 0.65, now) == Some(true) {
             self.limit = (self.limit - 1).max(1);
             return;
@@ -269,18 +268,18 @@
         };
     }
 
-    /// Whether `level` was not met lately.
+    /// Whether `level` has not occurred recently.
     ///
-    /// Holding calls back to meet it costs them time, so that is left to loads
-    /// under which it never comes about by itself.
+    /// A probe downwards delays calls, so it is reserved for loads under which the level never
+    /// occurs by itself.
     fn is_stale(&self, level: u32, now: Instant) -> bool {
         let at = self.levels.get(level as usize).and_then(|level| level.at);
         at.is_none_or(|at| now.saturating_duration_since(at) > STALE_AFTER)
     }
 
-    /// Whether calls at `level` wait for a slot; `None` if that can't be told yet.
+    /// Whether calls at `level` queue for a slot; `None` if that is not known yet.
     ///
-    /// `bound` is the part of the growth by waiting that counts as waiting.
+    /// `bound` is the fraction of the growth by queueing that counts as queueing.
     fn is_queueing(&self, level: u32, bound: f64, now: Instant) -> Option<bool> {
         let top = self.levels.get(level as usize)?;
         if level < 2 || top.mean.count < min_samples(level) {
@@ -291,7 +290,7 @@
         Some(top.mean.value > baseline * (1.0 + bound * growth))
     }
 
-    /// The mean latency below `level`, recent levels counting more.
+    /// Mean latency below `level`, weighted towards recent levels.
     fn baseline(&self, level: u32, now: Instant) -> Option<f64> {
         let mut sum = 0.0;
         let mut weight = 0.0;
@@ -309,10 +308,10 @@
     }
 }
 
-/// The answers at `level` after which its mean is trusted.
+/// Number of answers at `level` after which its mean is reliable.
 ///
-/// Waiting adds a part of `1 / (level - 1)`, so the error of the mean has to
-/// shrink with the level; it shrinks with the root of the answers.
+/// Queueing adds a fraction of `1 / (level - 1)`, so the error of the mean must shrink as the level
+/// grows; it shrinks with the square root of the number of answers.
 fn min_samples(level: u32) -> f64 {
     let gap = f64::from(level.max(2) - 1);
     (8.0 * gap * gap).clamp(16.0, MAX_MEMORY)
--- a/crates/kumquatnotch-policy/src/mechanisms.rs
+++ b/crates/kumquatnotch-policy/src/mechanisms.rs
@@ -1,8 +1,8 @@
-//! The mechanisms that can be switched off, to measure what each is worth.
+//! Mechanisms that can be switched off, to measure the effect of each.
 //!
-//! Each has a plain form that takes its place: none, fixed, or all alike. They are for
-//! experiments only; the promises to callers and replicas hold without them unless the
-//! description of a mechanism says otherwise.
+//! Each is replaced by a simple form: none, a fixed value, or equal treatment. This is for
+//! experiments only. The guarantees to callers and replicas hold without a mechanism unless its
+//! description says otherwise.
 
 use std::{fmt, str::FromStr};
 
@@ -10,58 +10,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mechanism {
-    /// Second copies of late requests; off: none.
+    /// Hedges of late requests; off: none.
     Copies,
-    /// Copies as late as they still help; off: when the reply is late.
+    /// Hedges sent as late as they can still help; off: when the reply is late.
     CopyTime,
-    /// Copies that lost keep their connections; off: they are dropped at once.
+    /// Losing attempts keep their connections; off: they are dropped at once.
     KeptConnections,
-    /// Searches that crowded replicas can't answer are refused; off: all are let in.
+    /// Searches that overloaded replicas cannot answer are refused; off: all are admitted.
     Refusals,
-    /// Caution that grows with the share of late searches; off: the least caution.
+    /// A safety margin that grows with the share of late searches; off: the minimum margin.
     Strain,
-    /// Late callers wait for room; off: they are let in like others.
+    /// Late callers wait for capacity; off: they are admitted like others.
     WaitingCallers,
-    /// When callers come again follows from how crowded replicas are; off: a fixed time.
+    /// Retry delays depend on the load of the replicas; off: a fixed delay.
     RetryTimes,
-    /// Nodes beside the replicas gather their parts; off: each node asks all itself.
+    /// Nodes close to the replicas gather their parts; off: each node queries all of them itself.
     Relays,
-    /// Another region costs more than its way; off: its way only.
+    /// Another region costs more than its round trip; off: only the round trip.
     FarCost,
-    /// The load that replicas tell; off: that of this node only.
+    /// The load reported by replicas; off: only the load caused by this node.
     ToldLoad,
-    /// What replicas tell of the speed of their machines; off: nothing.
+    /// The machine slowdown reported by replicas; off: ignored.
     ToldBurden,
-    /// How much slower than others a replica is; off: all alike.
+    /// The slowness of a replica relative to others; off: all are equal.
     Slowness,
-    /// What failures of a replica cost; off: nothing.
+    /// The expected cost of failures of a replica; off: none.
     FailureCost,
     /// Replicas that are silent or broke connections are probed; off: they are used.
     Suspicion,
-    /// How far away callers are; off: a fixed way.
+    /// The measured round trip to callers; off: a fixed one.
     CallerTrips,
-    /// How late answers leave; off: a fixed lag.
+    /// The measured lag of answers; off: a fixed one.
     Lags,
-    /// A node that has just started takes a small part; off: its part of the nodes it knows.
+    /// A node that has just started takes a small part of shared limits; off: its part among the
+    /// nodes that it knows.
     SettleTime,
-    /// Connections are shared out among nodes; off: each opens the most.
+    /// Connections are divided among nodes; off: each opens the maximum.
     ConnectionShares,
-    /// Callers are advised nodes beside the replicas; off: all nodes.
+    /// Callers are advised to use nodes close to the replicas; off: all nodes.
     Placement,
     /// A few nodes watch the store and the others follow; off: all watch it.
     Followers,
-    /// Small nodes beside larger ones announce themselves only when needed; off: all do.
+    /// Small nodes next to larger ones announce themselves only when needed; off: all do.
     Standby,
-    /// Entries that vanish in an outage are kept for a while; off: dropped at once.
+    /// Entries that disappear during an outage are kept for a while; off: they are dropped at once.
     LapseCaution,
-    /// A node that starts in an outage learns from others; off: it waits for the store.
+    /// A node that starts during an outage learns from others; off: it waits for the store.
     Visitors,
-    /// Requests that crash replicas are kept from them; off: they run. Breaks a promise.
+    /// Requests that crash replicas are refused; off: they run, which breaks a guarantee.
     Containment,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Mechanism; 24] = [
         Mechanism::Copies,
         Mechanism::CopyTime,
@@ -115,14 +116,14 @@
     }
 }
 
-/// The mechanisms that are in use: all but those that were switched off.
+/// The mechanisms in use: all except those that were switched off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
     off: u32,
 }
 
 impl Mechanisms {
-    /// All but these.
+    /// All mechanisms except these.
     pub fn without(off: &[Mechanism]) -> Mechanisms {
         Mechanisms { off: off.iter().fold(0, |bits, mechanism| bits | bit(*mechanism)) }
     }
@@ -132,7 +133,7 @@
         self.off & bit(mechanism) == 0
     }
 
-    /// Whether all are.
+    /// Whether all mechanisms are in use.
     pub fn all_enabled(self) -> bool {
         self.off == 0
     }
--- a/crates/kumquatnotch-policy/src/placement.rs
+++ b/crates/kumquatnotch-policy/src/placement.rs
@@ -1,46 +1,46 @@
 //! Which nodes the callers of a region are advised to use.
 //!
-//! A search asks a replica of each shard, and what these send to a node elsewhere
-//! is by far the most that crosses regions and data centres. The way of a caller
-//! to a node costs the same delay once. So callers are advised to use nodes beside
-//! the replicas: of their own region if it holds most shards, and there of the
-//! data centres that do. A search to many shards takes a small node longer than
-//! a large one, so the large ones are preferred among them.
+//! A search queries a replica of each shard, and the replies to a node elsewhere make up by far the
+//! most traffic between regions and data centres. The route from a caller to a distant node adds
+//! the same delay only once. Callers are therefore advised to use nodes close to the replicas:
+//! nodes of their own region if it holds most shards, and there those of the data centres that do.
+//! A search of many shards takes longer on a small node than on a large one, so large nodes are
+//! preferred.
 
 use kumquatnotch_core::{
     collections::HashMap,
     ids::{DataCentre, Region},
 };
 
-/// By how much a nearer place may hold fewer shards than the best one.
+/// Fraction of the shards by which a nearer location may fall short of the best one.
 const PROXIMITY_BONUS: f64 = 0.25;
 
-/// The part of the largest capacity that a node must have to be advised.
+/// Minimum capacity of an advised node, as a part of the largest.
 const MIN_CAPACITY_PART: f64 = 0.5;
 
-/// The fewest nodes that are advised, so that one that has just ended is no harm.
+/// Minimum number of advised nodes, so that one that has just terminated does no harm.
 const MIN_NODES: usize = 2;
 
 /// Whether a node is so small that callers are advised to use others of its data centre.
 ///
-/// `others` are the capacities of the other nodes there that are known. A node is on
-/// standby only as long as there are enough others that are advised in its place.
+/// `others` are the capacities of the other known nodes there. A node is on standby only while
+/// enough other nodes are advised in its place.
 pub fn is_standby(capacity: f64, others: impl Iterator<Item = f64>) -> bool {
     others.filter(|other| capacity < MIN_CAPACITY_PART * other).count() >= MIN_NODES
 }
 
-/// A node, as far as advice depends on it.
+/// Location and capacity of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeLocation<'a> {
     /// Its data centre.
     pub centre: &'a DataCentre,
     /// Its region.
     pub region: &'a Region,
-    /// The processor time that it has in a second, in cores.
+    /// Processor time per second, in cores.
     pub capacity: f64,
 }
 
-/// The share of the shards that each place holds.
+/// Fraction of the shards held by each region and data centre.
 #[derive(Debug, Default)]
 pub struct HeldShards {
     regions: HashMap<Region, f64>,
@@ -48,7 +48,7 @@
 }
 
 impl HeldShards {
-    /// Counts one of `total` shards, with replicas in these data centres.
+    /// Adds one of `total` shards, with replicas in these data centres.
     pub fn add_shard(
         &mut self,
         total: usize,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The nodes for callers of `region`, by their place in `nodes`.
+    /// Selects the nodes for callers of `region`; returns indices into `nodes`.
     pub fn choose(&self, region: &Region, nodes: &[NodeLocation<'_>]) -> Vec<usize> {
         let all: Vec<usize> = (0..nodes.len()).collect();
         let keep = |from: &[usize], fits: &dyn Fn(&NodeLocation<'_>) -> bool| -> Vec<usize> {
@@ -80,14 +80,14 @@
         if there.is_empty() || share(region) + PROXIMITY_BONUS < best {
             there = keep(&all, &|node| share(node.region) + PROXIMITY_BONUS >= best);
         }
-        // Those whose data centre holds the most shards.
+        // Nodes in the data centres with the most shards.
         let share = |node: &NodeLocation<'_>| self.centres.get(node.centre).copied().unwrap_or(0.0);
         let best = there.iter().map(|place| share(&nodes[*place])).fold(0.0, f64::max);
         let beside = keep(&there, &|node| share(node) + PROXIMITY_BONUS >= best);
-        // Those that are not much smaller than the largest.
+        // Nodes that are not much smaller than the largest.
         let most = beside.iter().map(|place| nodes[*place].capacity).fold(0.0, f64::max);
         let large = keep(&beside, &|node| node.capacity >= MIN_CAPACITY_PART * most);
-        // Of the narrower choices, the first that a lost node doesn't leave empty.
+        // Takes the narrowest selection that the loss of a node does not leave empty.
         let choices = [large, beside, there];
         choices.into_iter().find(|choice| choice.len() >= MIN_NODES).unwrap_or(all)
     }
--- a/crates/kumquatnotch-policy/src/plan.rs
+++ b/crates/kumquatnotch-policy/src/plan.rs
@@ -1,25 +1,25 @@
-//! By whom the shards of a search are asked.
+//! Which nodes query the shards of a search.
 //!
-//! Those with a replica in this data centre are asked from here, the others through
-//! a node beside their replicas, if there are enough of them for its message to be
-//! the shorter one.
+//! Shards with a replica in this data centre are queried by this node. The others are queried
+//! through a node close to their replicas, if there are enough of them for its message to be
+//! shorter than their parts.
 
 use kumquatnotch_core::{ids::DataCentre, random::Random};
 
 use crate::rating::{self, Rating};
 
-/// By how much later than the best a replica may be expected to reply, in seconds,
-/// for its data centre to do as well.
+/// Time in seconds by which the expected reply time of a replica may exceed the best, for its data
+/// centre to be equivalent.
 ///
-/// More than replicas of one region differ by, less than a way between regions.
+/// Larger than the differences within a region, smaller than a round trip between regions.
 const NEAR_SLACK: f64 = 0.006;
 
-/// The fewest shards for which a node of another data centre is asked.
+/// Minimum number of shards that are queried through a node of another data centre.
 ///
-/// For a single one, its message is no shorter than the part itself.
+/// With a single shard, the message of that node is no shorter than the part itself.
 const MIN_GROUP_SHARDS: usize = 2;
 
-/// The data centres with a replica that is expected to reply about as soon as the best.
+/// Data centres with a replica whose expected reply time is close to the best.
 pub fn nearest_centres<'a>(replicas: &[(&'a DataCentre, Rating)]) -> Vec<&'a DataCentre> {
     let ratings: Vec<Rating> = replicas.iter().map(|(_, rating)| *rating).collect();
     let Some(best) = rating::best(&ratings) else {
@@ -35,35 +35,35 @@
     centres
 }
 
-/// A shard, and the data centres that do equally well for it.
+/// A shard, and the data centres that are equivalent for it.
 #[derive(Clone, Debug)]
 pub struct ShardLocation<'a> {
-    /// The shard, by its place in the set.
+    /// Index of the shard in the set.
     pub index: usize,
-    /// The data centres; none if no replica is known.
+    /// The data centres; empty if no replica is known.
     pub centres: Vec<&'a DataCentre>,
 }
 
-/// Shards that are asked for through one node.
+/// Shards that are queried through one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group<P> {
     /// The node.
     pub peer: P,
-    /// The shards, by their place in the set.
+    /// Indices of the shards in the set.
     pub shards: Vec<usize>,
 }
 
-/// Which shards are asked for, and by whom.
+/// Which shards are queried by which node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan<P> {
-    /// Those that are asked for from here, by their place in the set.
+    /// Indices of the shards that this node queries.
     pub here: Vec<usize>,
-    /// Those that are asked for through nodes of other data centres.
+    /// Shards that are queried through nodes of other data centres.
     pub groups: Vec<Group<P>>,
 }
 
 impl<P> Plan<P> {
-    /// Plans a search from `home`; `peer_in` gives a node of a data centre, if there is one.
+    /// Plans a search from `home`; `peer_in` returns a node of a data centre, if there is one.
     pub fn new(
         locations: Vec<ShardLocation<'_>>,
         home: &DataCentre,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The data centre that holds most of the shards `remote`, with a node of it.
+/// Returns the data centre that holds the most of the `remote` shards, with a node in it.
 fn best_centre<'a, P>(
     remote: &[ShardLocation<'a>],
     random: &Random,
@@ -97,7 +97,7 @@
         remote.iter().flat_map(|location| location.centres.iter().copied()).collect();
     centres.sort_unstable();
     centres.dedup();
-    // Of two that hold as many, each is taken in its turn.
+    // Shuffled, so that data centres with equally many shards share the load.
     random.shuffle(&mut centres);
     let count = |centre: &DataCentre| {
         remote.iter().filter(|location| location.centres.contains(&centre)).count()
--- a/crates/kumquatnotch-policy/src/queue.rs
+++ b/crates/kumquatnotch-policy/src/queue.rs
@@ -1,7 +1,7 @@
-//! Who waits for a slot, in which order, and who is refused at once.
+//! Wait queues: the order in which requests get slots, and which are refused at once.
 //!
-//! Replicas have so few slots that the queue belongs on this side, where it can
-//! be ordered: [`crate::fair`] has the one in use.
+//! Replicas have so few slots that queueing is better done on this side, where the queue can be
+//! ordered. The implementation in use is in [`crate::fair`].
 
 use std::{
     collections::VecDeque,
@@ -13,41 +13,41 @@
 /// A request that waits for a slot.
 #[derive(Clone, Debug)]
 pub struct Waiter {
-    /// Its number, unique in the queue and growing.
+    /// Number of the request, unique in the queue and increasing.
     pub id: u64,
     /// Its class.
     pub class: Class,
     /// Its tenant.
     pub tenant: TenantName,
-    /// The share of its tenant.
+    /// Weight of its tenant.
     pub weight: u32,
-    /// When it came.
+    /// When it arrived.
     pub since: Instant,
-    /// The latest time at which it is of use.
+    /// Latest time at which it is of use.
     pub deadline: Instant,
 }
 
-/// How fast the replicas of the queue work.
+/// Service rate of the queue's replicas.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceRate {
-    /// Their slots.
+    /// Number of slots.
     pub slots: u32,
-    /// The time a call takes.
+    /// Service time of a call.
     pub service: Duration,
 }
 
-/// The place at which a waiter is offered a slot.
+/// The conditions under which a waiter is offered a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotOffer {
-    /// The waiters before it that could not use the slot.
+    /// Number of waiters before it that could not use the slot.
     pub ahead: usize,
-    /// Whether it is its class's assured share.
+    /// Whether the slot is part of the guaranteed share of its class.
     pub guaranteed: bool,
 }
 
-/// The waiters of one shard.
+/// Queue of the requests for one shard.
 pub trait WaitQueue {
-    /// The time that a request of this class and tenant would wait.
+    /// Expected wait of a request of this class and tenant.
     fn expected_wait(
         &self,
         class: Class,
@@ -56,38 +56,38 @@
         rate: ServiceRate,
     ) -> Duration;
 
-    /// Refuses `waiter` if it should not wait.
+    /// Refuses `waiter` if it should not be queued.
     fn admit(&self, waiter: &Waiter, rate: ServiceRate, now: Instant) -> Result<()>;
 
-    /// Lets `waiter` wait.
+    /// Adds `waiter` to the queue.
     fn push(&mut self, waiter: Waiter);
 
-    /// Takes the next waiter for which `fits` holds, offered in order.
+    /// Takes the first waiter, in order, for which `fits` returns true.
     fn take(
         &mut self,
         now: Instant,
         fits: &mut dyn FnMut(&Waiter, SlotOffer) -> bool,
     ) -> Option<Waiter>;
 
-    /// Removes a waiter; false if it waits no more.
+    /// Removes a waiter; false if it is not queued any more.
     fn remove(&mut self, waiter: &Waiter) -> bool;
 
-    /// Removes those whose deadline has passed.
+    /// Removes and returns the waiters whose deadline has passed.
     fn expire(&mut self, now: Instant) -> Vec<Waiter>;
 
-    /// How many wait.
+    /// Number of waiters.
     fn len(&self) -> usize;
 
-    /// Whether nobody waits.
+    /// Whether the queue is empty.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// The most waiters that are offered one slot.
+/// Maximum number of waiters that are offered one slot.
 pub(crate) const MAX_OFFERS: usize = 32;
 
-/// First come, first served, without a bound: the baseline.
+/// An unbounded FIFO queue. The baseline.
 #[derive(Debug, Default)]
 pub struct FifoQueue {
     waiters: VecDeque<Waiter>,
--- a/crates/kumquatnotch-policy/src/retry.rs
+++ b/crates/kumquatnotch-policy/src/retry.rs
@@ -1,10 +1,9 @@
-//! Whether a call that failed is tried again.
+//! Retries of failed calls.
 //!
-//! There is one budget for the whole path of a query, and it lives at the
-//! holder: a root never tries a shard again itself, so layers don't multiply
-//! attempts. [`BudgetRetry`] tries again only what is safe, and pays for it out
-//! of tokens that grow with the first attempts: when everything fails, the extra
-//! load is a fixed part of the load instead of a multiple of it.
+//! There is a single retry budget for the whole path of a query, and it is kept by the holder. A
+//! root never retries a shard itself, so layers do not multiply attempts. [`BudgetRetry`] retries
+//! only what is safe, out of tokens that accrue with first attempts: when everything fails, the
+//! extra load is a fixed fraction of the load instead of a multiple of it.
 
 use std::time::{Duration, Instant};
 
@@ -13,31 +12,31 @@
 /// A failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt<'a> {
-    /// How it failed.
+    /// Error of the attempt.
     pub error: &'a Error,
-    /// The attempts made, this one included.
+    /// Number of attempts made, including this one.
     pub tries: u32,
     /// Whether the request changes state and must run at most once.
     pub exclusive: bool,
-    /// Whether another replica could take it.
+    /// Whether another replica is available.
     pub other: bool,
-    /// The latest time at which an answer is wanted.
+    /// Latest time at which an answer is useful.
     pub deadline: Instant,
 }
 
-/// The decision whether a failed call is tried again.
+/// Decides whether a failed call is retried.
 pub trait Retry {
-    /// A first attempt was made.
+    /// Records a first attempt.
     fn on_call(&mut self);
 
-    /// The time to wait before the next attempt; `None` if there is none.
+    /// Returns the backoff before the next attempt; `None` if there is none.
     fn next(&mut self, attempt: &Attempt<'_>, now: Instant) -> Option<Duration>;
 }
 
-/// The attempts that a naive client makes.
+/// Number of attempts made by a naive client.
 const NAIVE_TRIES: u32 = 4;
 
-/// Up to four attempts at once whatever happens: the baseline.
+/// Up to four attempts without backoff, whatever the error. The baseline.
 #[derive(Debug, Default)]
 pub struct NaiveRetry;
 
@@ -52,11 +51,11 @@
 /// Options of a [`BudgetRetry`].
 #[derive(Clone, Debug)]
 pub struct RetryOptions {
-    /// The repeated attempts allowed for each first one.
+    /// Retries allowed per first attempt.
     pub budget: f64,
-    /// The most attempts saved up.
+    /// Maximum number of tokens saved up.
     pub max_tokens: f64,
-    /// The most attempts of one call.
+    /// Maximum number of attempts per call.
     pub tries: u32,
 }
 
@@ -66,7 +65,7 @@
     }
 }
 
-/// Attempts that are safe, out of a budget.
+/// Retries that are safe, within a budget.
 #[derive(Debug)]
 pub struct BudgetRetry {
     tokens: f64,
@@ -80,7 +79,7 @@
 }
 
 impl BudgetRetry {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(options: RetryOptions) -> BudgetRetry {
         BudgetRetry { tokens: options.max_tokens, options }
     }
@@ -103,7 +102,7 @@
         if attempt.tries >= self.options.tries || !is_safe(attempt.error, attempt.exclusive) {
             return None;
         }
-        // What one replica failed at it fails at again.
+        // A failure on one replica would be repeated on the same one.
         let failed = matches!(attempt.error, Error::TargetFailed { .. } | Error::Protocol { .. });
         if failed && !attempt.other {
             return None;
@@ -113,14 +112,14 @@
         if left < wait + LEAST_CALL_TIME {
             return None;
         }
-        // These tell that the replica can't be used, which is remembered, so
-        // they don't repeat themselves and cost it nothing.
+        // These errors mean that the replica cannot be used. That is remembered, so they do not
+        // recur and cost the replica nothing.
         let free = matches!(attempt.error, Error::Draining | Error::VersionGone { .. });
         (free || self.spend()).then_some(wait)
     }
 }
 
-/// Whether running the request again can do no harm.
+/// Whether running the request again is safe.
 fn is_safe(error: &Error, exclusive: bool) -> bool {
     if exclusive {
         return error.is_not_run();
@@ -138,7 +137,7 @@
     }
 }
 
-/// A shed call goes elsewhere at once, or waits as long as it was told.
+/// A shed call is sent to another replica at once, or waits as long as the replica demands.
 fn wait_before(attempt: &Attempt<'_>) -> Duration {
     match attempt.error {
         Error::Shed { .. } if !attempt.other => attempt.error.retry_after().unwrap_or_default(),
--- a/crates/kumquatnotch-policy/src/shares.rs
+++ b/crates/kumquatnotch-policy/src/shares.rs
@@ -1,53 +1,52 @@
-//! What part of the things that all nodes share a node may use.
+//! This node's part of limits that all nodes share.
 //!
-//! The connections that a replica takes and the budget of repeats are for all nodes
-//! together, and no counter is shared. Each node takes a part that it works out from the
-//! nodes that it knows.
+//! The connection limit of a replica and the retry budget apply to all nodes together, without a
+//! shared counter. Each node computes its part from the nodes that it knows.
 
 use std::time::Duration;
 
-/// The part of a replica's connections that the nodes share out among them.
+/// Part of a replica's connection limit that is divided among the nodes.
 ///
-/// The rest is for connections that the replica hasn't seen closed yet, and for
-/// nodes that have just started.
+/// The rest covers connections that the replica has not seen closed yet, and nodes that have just
+/// started.
 const SHARED_CONNECTIONS: f64 = 0.8;
 
-/// The most connections of one node to one replica.
+/// Maximum number of connections of one node to one replica.
 ///
-/// A replica runs only a few requests at once; what waits is better kept here,
-/// where a more urgent request can overtake it.
+/// A replica runs only a few requests at once. Waiting requests are better queued on this side,
+/// where more urgent ones can overtake them.
 const MAX_CONNECTIONS: u32 = 8;
 
-/// The part of what all nodes share that is for those that callers are advised to use.
+/// Part of a shared limit that is reserved for the nodes that callers are advised to use.
 const SERVING_PART: f64 = 0.85;
 
-/// How long after its start a node doesn't trust that it knows all others.
+/// Time after its start before a node assumes that it knows all others.
 ///
-/// When all start at once, each knows only those that were announced before it. If
-/// it took what they share for its own, all together would open several times the
-/// connections that a replica takes, and have most of their requests reset. Nodes
-/// are announced within a second, and heard of within another one.
+/// When all nodes start at once, each knows only those announced before it. If it took their whole
+/// limit, all nodes together would open several times as many connections as a replica accepts, and
+/// most of their requests would be reset. Nodes are announced within a second and discovered within
+/// another one.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// The most that a node takes of what all share until then.
+/// Maximum part that a node takes until then.
 const MAX_NEW_PART: f64 = 0.1;
 
-/// The nodes among which something is shared out.
+/// The nodes that share a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharingNodes {
-    /// How many there are.
+    /// Number of nodes.
     pub all: usize,
-    /// How many of them callers are advised to use.
+    /// Number of nodes that callers are advised to use.
     pub serving: usize,
-    /// Whether this node is one of these.
+    /// Whether callers are advised to use this node.
     pub is_serving: bool,
 }
 
 impl SharingNodes {
-    /// The part of this node, from zero to one.
+    /// Part of this node, from zero to one.
     ///
-    /// Most of it is for the nodes that callers are advised to use; the others may
-    /// still get requests of callers whose advice is old.
+    /// Most of the limit is for the nodes that callers are advised to use. The others may still get
+    /// requests from callers whose advice is outdated.
     pub fn part(&self) -> f64 {
         let all = self.all.max(1);
         if self.serving == 0 || self.serving >= all {
@@ -60,7 +59,7 @@
     }
 }
 
-/// What a node takes of its part, by how long it has known the others.
+/// Caps the part of a node that has not known the others for long enough.
 pub fn capped_part(part: f64, known_for: Option<Duration>) -> f64 {
     match known_for {
         Some(known_for) if known_for >= SETTLE_TIME => part,
@@ -68,7 +67,7 @@
     }
 }
 
-/// How many of the connections that a replica takes a node with this part may open.
+/// Number of connections that a node with this part may open, given the limit of the replica.
 pub fn connections(all: u32, part: f64) -> u32 {
     let own = (f64::from(all) * SHARED_CONNECTIONS * part) as u32;
     own.clamp(1, MAX_CONNECTIONS)
--- a/crates/kumquatnotch-policy/src/startup.rs
+++ b/crates/kumquatnotch-policy/src/startup.rs
@@ -1,40 +1,41 @@
-//! Starting: who goes first, and what callers of a node hear that doesn't know enough yet.
+//! Startup: the order in which nodes start, and retry delays of nodes that are not ready.
 
 use std::time::Duration;
 
-/// When callers come again to a node that has just started.
+/// Retry delay of a node that has just started.
 const NOT_READY_RETRY: Duration = Duration::from_millis(400);
 
-/// How long a start takes at most while the store answers.
+/// Maximum startup time while the store is available.
 const MAX_STARTUP_TIME: Duration = Duration::from_secs(1);
 
-/// The part of the time left after which callers come again at the latest.
+/// Maximum retry delay, as a part of the time left.
 ///
-/// They don't wait for longer than a third of it.
+/// Callers do not wait for longer than a third of it.
 pub const MAX_RETRY_PART: f64 = 1.0 / 3.0;
 
-/// How long a node with a whole core lets others go first, when all start.
+/// Start delay of a node with one core, when all nodes start.
 ///
-/// A node of an eighth of a core reads a second after one of a half then, which leaves
-/// time for the entry of the larger one to be in a lagging snapshot.
+/// With it, a node with an eighth of a core reads the store a second after one with half a core,
+/// which leaves time for the entry of the larger node to appear in a lagging snapshot.
 const BASE_START_DELAY: Duration = Duration::from_millis(150);
 
-/// The longest that a node lets others go first.
+/// Maximum start delay.
 const MAX_START_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How long a node waits before it reads the store, when all start for the first time.
+/// How long a node waits before it reads the store, when all nodes start for the first time.
 ///
-/// No node is known then. The larger ones announce themselves first, so that the others
-/// learn with their first reading that they need not. Nobody calls before all have started.
+/// No node is known at that point. The larger nodes announce themselves first, so that the others
+/// learn from their first read that they need not. There are no callers before all nodes have
+/// started.
 pub fn start_delay(capacity: f64) -> Duration {
     MAX_START_DELAY.min(BASE_START_DELAY.div_f64(capacity.max(0.01)))
 }
 
-/// When a caller with `left` is to come again to a node of this age that isn't ready.
+/// Retry delay for a caller with `left` remaining, at a node of this age that is not ready.
 ///
-/// A node that has just started is ready in a moment, and others may be already. One
-/// that isn't for longer waits for the store, and so do those that started with it:
-/// the later its callers come again, the more of them are served then.
+/// A node that has just started will be ready soon, and others may be ready already. A node that is
+/// not ready for longer waits for the store, and so do those started with it: the later its callers
+/// retry, the more of them are served.
 pub fn retry_after(age: Duration, left: Duration) -> Duration {
     let later = if age > MAX_STARTUP_TIME { left.mul_f64(MAX_RETRY_PART) } else { Duration::ZERO };
     later.max(NOT_READY_RETRY)
--- a/crates/kumquatnotch-policy/src/stop.rs
+++ b/crates/kumquatnotch-policy/src/stop.rs
@@ -1,49 +1,48 @@
-//! The stop rule: when a query stops waiting for its last shards.
+//! Stop rule: when a query stops waiting for its last shards.
 //!
-//! The slowest shard sets the latency of a query. A tenant states after which
-//! share of the deadline an answer that covers enough is worth more to it than
-//! the shards still open; the answer then says that it was stopped, and what is
-//! missing.
+//! The slowest shard determines the latency of a query. A tenant specifies the share of the
+//! deadline after which it prefers an answer with enough coverage to waiting for the remaining
+//! shards. The answer then states that it was stopped early, and what is missing.
 
 use std::time::Duration;
 
 use kumquatnotch_core::document::StopSpec;
 
-/// How far a query has come.
+/// Progress of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// The time since it was taken in.
+    /// Time since it was admitted.
     pub elapsed: Duration,
-    /// The time it has in all.
+    /// Time that it has in total.
     pub deadline: Duration,
-    /// How many shards it must be asked for.
+    /// Number of shards to query.
     pub asked: u32,
-    /// How many of them answered.
+    /// Number of shards that answered.
     pub covered: u32,
-    /// How many of them may still answer.
+    /// Number of shards that may still answer.
     pub open: u32,
 }
 
 /// Decides when a query stops waiting.
 pub trait StopRule {
-    /// When, after its start, partial answers are first of use.
+    /// Time after the start from which a partial answer is useful.
     fn patience(&self, spec: &StopSpec, deadline: Duration) -> Duration;
 
-    /// Whether the query ends with what it has.
+    /// Whether the query ends with the parts that it has.
     fn is_enough(&self, spec: &StopSpec, progress: &Progress) -> bool;
 
-    /// Whether the query could still end with enough, if all that is open answers.
+    /// Whether the coverage could still suffice if all open shards answered.
     fn can_suffice(&self, spec: &StopSpec, progress: &Progress) -> bool;
 }
 
-/// Stops by the tenant's own trade of coverage against time.
+/// Stops according to the tenant's trade-off between coverage and time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TenantStop;
 
 impl StopRule for TenantStop {
     fn patience(&self, spec: &StopSpec, deadline: Duration) -> Duration {
-        // A tenant that wants every shard has no use for a partial answer before
-        // its deadline, and holders then need not cut theirs short.
+        // A tenant that requires every shard cannot use a partial answer before its deadline, so
+        // holders need not shorten theirs.
         if required_coverage(spec) >= 1.0 {
             return deadline;
         }
@@ -66,7 +65,7 @@
     }
 }
 
-/// Waits for every shard until the deadline; the baseline.
+/// Waits for every shard until the deadline. The baseline.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WaitForAll;
 
@@ -88,7 +87,8 @@
     clamp_fraction(spec.enough)
 }
 
-/// Operators' numbers are checked on acceptance; a wrong one must not panic here.
+/// Limits a fraction to its range. Documents are validated on acceptance; an invalid value must not
+/// panic here.
 fn clamp_fraction(value: f64) -> f64 {
     if value.is_nan() { 1.0 } else { value.clamp(0.0, 1.0) }
 }
--- a/crates/kumquatnotch-policy/src/weights.rs
+++ b/crates/kumquatnotch-policy/src/weights.rs
@@ -1,7 +1,7 @@
-//! Sharing out requests among services by weight.
+//! Weighted distribution of requests among services.
 //!
-//! Each request goes to the service that is furthest behind its share, so that
-//! the shares hold over any few dozen requests and not only on average.
+//! Each request goes to the service that is furthest behind its share, so that the shares hold over
+//! any few dozen requests and not only on average.
 
 use std::cell::RefCell;
 
@@ -10,23 +10,23 @@
     ids::{RouteName, ServiceName},
 };
 
-/// One of the services among which requests are shared out.
+/// A service with its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
     /// The service.
     pub name: ServiceName,
-    /// Its weight, of any unit.
+    /// Weight, relative to the other services.
     pub weight: f64,
 }
 
-/// How far each service of each route is behind its share.
+/// Deficit of each service of each route against its share.
 #[derive(Debug, Default)]
 pub struct Weights {
     deficits: RefCell<HashMap<(RouteName, ServiceName), f64>>,
 }
 
 impl Weights {
-    /// The service for the next request of a route; `None` if no weight is positive.
+    /// Selects the service for the next request of a route; `None` if no weight is positive.
     pub fn pick<'a>(
         &self,
         route: &RouteName,
