--- a/crates/kumquatnotch-policy/tests/admission.rs
+++ b/crates/kumquatnotch-policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission under overload.
+//! Tests of admission control under overload.
 
 use std::{
     collections::VecDeque,
@@ -12,10 +12,11 @@
 use yare::parameterized;
 
 const MAX_WAIT: Duration = Duration::from_millis(150);
-/// Requests that the simulated targets end in a millisecond, and how long each takes.
+/// Number of requests that the simulated targets complete per millisecond, and the duration of
+/// each.
 const SERVICE_RATE: usize = 4;
 const SERVICE_MS: u64 = 10;
-/// After this time in the queue a request is dropped.
+/// Time in the queue after which a request is dropped.
 const DEADLINE_MS: u64 = 300;
 const SPAN_MS: u64 = 10_000;
 
@@ -27,7 +28,7 @@
     AdmissionRequest { tenant: TenantName::from(tenant), weight: 1, class, max_wait: MAX_WAIT }
 }
 
-/// How many of `count` requests enter; none of them leaves.
+/// Number of `count` requests that are admitted; none of them leaves.
 fn entered(
     admission: &dyn Admission,
     now: Instant,
@@ -37,7 +38,7 @@
     (0..count).filter(|_| admission.enter(now, request).is_ok()).count()
 }
 
-/// How many of a thousand requests enter, each of which leaves at once.
+/// Number of a thousand requests that are admitted; each leaves at once.
 fn passing(admission: &dyn Admission, now: Instant, request: &AdmissionRequest) -> usize {
     let enter = || admission.enter(now, request).inspect(|()| admission.leave(request));
     (0..1_000).filter(|_| enter().is_ok()).count()
@@ -50,8 +51,8 @@
     assert_eq!(count, 1_000);
 }
 
-/// What the callers see: audits refused first, the desk last.
-/// Order: every class waits 40 ms of the 150 that a request can.
+/// Every class waits 40 ms of the 150 ms that a request can wait. Audits must be refused first and
+/// the desk last.
 #[test]
 fn the_desk_is_the_last_to_be_refused() {
     let (admission, now) = (graded(1), Instant::now());
@@ -63,9 +64,9 @@
     assert!(counts[0] > counts[1] && counts[1] > counts[2], "{counts:?}");
 }
 
-/// What the callers see: the quiet tenant's requests enter, the loud one's are
-/// refused. Order: one tenant has forty requests in flight, the other four; both
-/// have the same weight. Why: a rival's flood must not keep others out.
+/// One tenant has forty requests in flight, another four, with equal weights. The requests of the
+/// small tenant must be admitted and those of the large one refused, so that a flood of one tenant
+/// does not keep others out.
 #[test]
 fn a_tenant_above_its_share_is_refused_first() {
     let (admission, now) = (graded(1), Instant::now());
@@ -79,9 +80,8 @@
     assert!(quiet > 840 && loud < 600, "{quiet} {loud}");
 }
 
-/// What the callers see: refused at first, taken in again later.
-/// Order: a long wait is seen; everything is refused, so nobody brings news.
-/// Why: without fading the class would stay shut for good.
+/// A long wait is observed and everything is refused, so no new waits are observed. Without decay
+/// the class would stay closed for ever; callers must be refused at first and admitted later.
 #[test]
 fn an_observed_wait_decays() {
     let (admission, now) = (graded(1), Instant::now());
@@ -96,8 +96,8 @@
     assert!(later.is_ok());
 }
 
-/// What the callers see: refusals beyond the room of their class, at once.
-/// Why: an unbounded number in flight would use up the memory of the node.
+/// Requests beyond the capacity of their class are refused at once. An unlimited number in flight
+/// would exhaust the memory of the node.
 #[test]
 fn the_number_in_flight_is_bounded() {
     let (admission, now) = (graded(1), Instant::now());
@@ -109,7 +109,7 @@
     assert_eq!((audits, audits + desks), (most / 2, most));
 }
 
-/// Ends three requests of the desk in each tenth of a second of `span`.
+/// Ends three desk requests in each tenth of a second of `span`.
 fn end_evenly(admission: &dyn Admission, start: Instant, span: (u64, u64), starved: bool) {
     for tenth in span.0..span.1 {
         for _ in 0..3 {
@@ -119,10 +119,10 @@
     }
 }
 
-/// What the callers see: refusals while a shard is short of slots, and for three
-/// seconds after at most. Order: one replica drains and the other is a straggler,
-/// each answer lacks the shard; two seconds later both are well. Why: the gate,
-/// closed within a second, took ten to open, and refused with idle targets.
+/// One replica of a shard drains and the other is a straggler, so every answer lacks the shard; two
+/// seconds later both have recovered. A gate that closes within a second but takes ten to open
+/// would refuse requests while targets are idle. Callers must be refused during the shortage and
+/// for at most three seconds after it.
 #[test]
 fn the_gate_reopens_within_seconds_after_a_shortage() {
     let (admission, start) = (graded(1), Instant::now());
@@ -137,9 +137,8 @@
     assert_eq!(after, 1_000);
 }
 
-/// What the callers see: nothing, or few refusals.
-/// Order: a request that is alone in its tenth of a second starves.
-/// Why: one of one was taken for a share of all, and half were refused.
+/// The only request in a tenth of a second starves. If one of one counted as the full share, the
+/// gate would refuse half of the requests; callers must see few refusals or none.
 #[test]
 fn one_starved_request_barely_closes_the_gate() {
     let (admission, now) = (graded(1), Instant::now());
@@ -152,9 +151,8 @@
     assert!(count > 900, "{count}");
 }
 
-/// What the callers see: they are taken in again, though all were refused meanwhile.
-/// Order: the gate is all but closed; none of the few that come is let in.
-/// Why: the gate moved with the end of a request only, and none ended.
+/// The gate is almost closed and refuses the few requests that arrive. If it moved only at the end
+/// of a request, it would never open, as none ends; callers must be admitted again.
 #[test]
 fn the_gate_opens_while_no_request_ends() {
     let (admission, start) = (graded(1), Instant::now());
@@ -174,11 +172,11 @@
     desk_p99_ms: u64,
 }
 
-/// Offers `factor` times what the targets can do, a quarter each at the desk and by
-/// audits, and counts the answers within patience.
+/// Offers `factor` times the capacity of the targets, a quarter each at the desk and by audits, and
+/// counts the answers within the maximum wait.
 ///
-/// Holders foretell the wait from the requests ahead, or, if they are `accurate`,
-/// from the intervals at which the class is being served.
+/// The reported wait is based on the number of requests ahead or, if `accurate`, also on the
+/// intervals at which the class is being served.
 fn simulate(admission: &dyn Admission, seed: u64, factor: f64, accurate: bool) -> Run {
     let random = Random::with_seed(seed);
     let start = Instant::now();
@@ -243,16 +241,16 @@
     }
 }
 
-/// What the callers see: as many answers in time at three times the capacity as at
-/// its peak, and the desk in time as well.
-/// Order: requests wait in a queue by class; one that is served too late is lost
-/// work. Why: taking everything in, all but the desk wait longer than they can.
+/// Requests wait in a queue by class, and those served too late are lost work. Without admission
+/// control all classes but the desk wait too long under overload. At up to six times the capacity,
+/// the number of answers in time must stay close to that at the capacity, with the desk in time as
+/// well.
 #[parameterized(
     half_more = { 1.5, true, 0.9 },
     three_times = { 3.0, true, 0.9 },
     desk_alone_too_much = { 6.0, true, 0.9 },
     half_more_underestimated = { 1.5, false, 0.9 },
-    // Here the gate alone must find out that batch work starves.
+    // Only the gate can detect here that batch requests starve.
     three_times_underestimated = { 3.0, false, 0.85 },
     desk_alone_underestimated = { 6.0, false, 0.9 },
 )]
--- a/crates/kumquatnotch-policy/tests/advice.rs
+++ b/crates/kumquatnotch-policy/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Entry advice.
+//! Tests of entry advice.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -12,7 +12,7 @@
 };
 use yare::parameterized;
 
-/// Three nodes in each of three data centres, two of them in the south.
+/// Three nodes in each of three data centres, two of which are in the south.
 fn nodes() -> Vec<EntryNode> {
     let node = |number: u16| EntryNode {
         address: SocketAddr::from(([127, 0, 0, 1], number)),
@@ -29,14 +29,14 @@
     SpreadEntry::new(Random::with_seed(7), Duration::from_millis(50))
 }
 
-/// The ports in the order for a caller in dc1 of the south.
+/// Ports in the order advised to a caller in dc1 of the south.
 fn order(policy: &dyn EntryPolicy, nodes: &[EntryNode]) -> Vec<u16> {
     let (centre, region) = (DataCentre::from("dc1"), Region::from("south"));
     let near = CallerLocation { centre: Some(&centre), region: Some(&region) };
     policy.order(nodes, near).iter().map(SocketAddr::port).collect()
 }
 
-/// How often each node came first for 900 callers, by port.
+/// How often each node is first for 900 callers, by port.
 fn firsts(policy: &dyn EntryPolicy, nodes: &[EntryNode]) -> BTreeMap<u16, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..900 {
@@ -52,9 +52,9 @@
     assert_eq!(centres, [1, 1, 1, 2, 2, 2, 0, 0, 0]);
 }
 
-/// What the callers see: each gets another node of its data centre first.
-/// Order: 900 callers ask; they keep the answer and use its first address.
-/// Why: the same first address for all would put 900 on one node of three.
+/// Callers keep the advice and use its first address. The same first address for all 900 callers
+/// would overload one node of three; each node of the data centre must be first about equally
+/// often.
 #[test]
 fn callers_of_one_data_centre_are_spread() {
     let spread = firsts(&policy(), &nodes());
@@ -65,8 +65,8 @@
     assert_eq!(herded, BTreeMap::from([(3, 900)]));
 }
 
-/// What the callers see: a loaded node less often first; a busy one after the next
-/// data centre's. Why: half a millisecond more costs less than a queue.
+/// A loaded node must be first less often, and a busy one must come after the nodes of the next
+/// data centre: half a millisecond of delay costs less than a queue.
 #[test]
 fn loaded_nodes_come_first_less_often() {
     let mut nodes = nodes();
@@ -94,8 +94,8 @@
     assert!(!order.contains(&4));
 }
 
-/// What the caller sees: suspect nodes if there is no other, and never leaving ones.
-/// Order: this node is cut off, so that it suspects all others.
+/// A node that is cut off suspects all others. It must still advise suspect nodes, but never a
+/// leaving one.
 #[test]
 fn suspect_nodes_are_better_than_none() {
     let mut nodes = nodes();
@@ -105,9 +105,8 @@
     assert_eq!(order(&policy(), &nodes).len(), 8);
 }
 
-/// What the callers see: no refusal by a node that has only just started.
-/// Order: a node joins, is up, and fetches its document; callers ask meanwhile.
-/// Why: it answers its peers before it can serve, and being up was all that counted.
+/// A node that has joined is up before it has fetched its document. If being up were enough to be
+/// advised, callers would be refused by it.
 #[test]
 fn nodes_that_do_not_serve_yet_are_not_advised() {
     let mut nodes = nodes();
@@ -119,8 +118,8 @@
     assert!(!order.contains(&4));
 }
 
-/// What the callers see: suspect nodes that serve before up ones that don't, and
-/// those if nobody serves, as they may by the time that the caller comes.
+/// Suspect nodes that serve are preferred to nodes that are up but do not serve. If no node serves,
+/// the latter are advised, as they may serve by the time that the caller arrives.
 #[parameterized(
     one_suspect_serves = { Some(4), &[4] },
     none_serves = { None, &[3, 4, 5, 6, 7, 8, 0, 1, 2] },
--- a/crates/kumquatnotch-policy/tests/answer_time.rs
+++ b/crates/kumquatnotch-policy/tests/answer_time.rs
@@ -1,9 +1,8 @@
-//! For how long an answer is waited for, at callers and nodes of any kind.
+//! Tests of the time that an answer is waited for.
 //!
-//! The pattern: callers 0.5 to 40 ms away, who look up nodes before most requests; nodes that
-//! are idle or busy. An answer is given when it would otherwise be late for its caller. What
-//! is reserved for the ways and the node must follow what was measured, by a factor of ten in
-//! each direction from what is assumed at first.
+//! Callers are 0.5 to 40 ms away and look up nodes before most requests; nodes are idle or busy.
+//! The time reserved for round trips and for the lag of the node must follow the measurements, up
+//! to a factor of ten in each direction from the initial assumptions.
 
 use std::time::Duration;
 
@@ -43,7 +42,7 @@
     assert_eq!(caller_rtt(&[ms(1); 4]).usual(), caller_rtt(&[]).usual());
 }
 
-/// Callers move: the way of before is forgotten after the last sixty-four of them.
+/// When callers move, the old round trip must be forgotten after sixty-four samples.
 #[test]
 fn a_changed_round_trip_replaces_the_old_one() {
     let measured: Vec<Duration> = [[ms(2); 100], [ms(30); 100]].concat();
@@ -57,7 +56,7 @@
     let lag = Duration::from_micros(lag_us);
 
     (0..100).for_each(|_| lags.note(lag));
-    // Late for lack of parts, which says nothing of the node.
+    // Late for lack of parts, which does not reflect the lag of the node.
     (0..100).for_each(|_| lags.note(ms(200)));
 
     assert_eq!(lags.usual(), lag);
@@ -85,8 +84,8 @@
     assert_eq!(answer_time::time_to_answer(ms(objective), origin), ms(waited));
 }
 
-/// A caller comes again after most of its time: the answer can't be in time any more, and
-/// gets as long as that of a caller that comes first.
+/// A caller that retries after most of its time cannot be answered in time any more; it is given as
+/// long as a first-time caller.
 #[parameterized(
     first = { 0, 200, false },
     a_little_later = { 60, 140, false },
--- a/crates/kumquatnotch-policy/tests/budget.rs
+++ b/crates/kumquatnotch-policy/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats, over all nodes without a shared counter.
+//! Tests of the retry budget of all nodes without a shared counter.
 
 use std::time::{Duration, Instant};
 
@@ -45,8 +45,8 @@
     assert_eq!((before, count, half, all, later), (0.0, 17, 0.5, 1.0, 0.0));
 }
 
-/// The window slides: no span of its length may hold more than the allowance,
-/// also if repeats are spent at the end of one and the start of the next.
+/// The window slides: no period of its length may contain more repeats than the allowance, even if
+/// they are spent at the end of one window and the start of the next.
 #[test]
 fn no_window_holds_more_than_the_allowance() {
     let mut now = Instant::now();
--- a/crates/kumquatnotch-policy/tests/callers.rs
+++ b/crates/kumquatnotch-policy/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What is learned of callers: how long they have waited, and what became of their searches.
+//! Tests of the waiting time of callers and of the margin for admitting searches.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,8 @@
     overload::{Overload, SearchOutcome},
 };
 
-/// Many searches were late or refused, and then none came for a while. Caution is over.
+/// Many searches are late or refused, and then none arrive for a while. The margin must return to
+/// its minimum; otherwise a node with few searches would stay cautious long after an overload.
 #[test]
 fn margin_decays_without_searches() {
     let (overload, route) = (Overload::default(), RouteName::from("route"));
@@ -34,9 +35,9 @@
     assert_eq!(waited, expected);
 }
 
-/// All nodes were lost, and are back. The first callers of a node come again, with half of
-/// their time gone; it has seen nobody else, and must not take them for callers that come
-/// for the first time.
+/// All nodes were lost and have restarted. The first callers of a node are retrying with half of
+/// their time gone. The node has seen no other callers and must not take them for first-time
+/// callers.
 #[test]
 fn a_new_node_compares_callers_with_the_route_timeout() {
     let timeouts = CallerTimeouts::default();
@@ -48,8 +49,8 @@
     assert_eq!(waited, [Duration::from_millis(400); 5]);
 }
 
-/// The operators' timeout is far longer than any caller waits. After a while callers are
-/// compared with each other.
+/// The configured timeout is far longer than any caller waits. After the first callers, they are
+/// compared with each other instead.
 #[test]
 fn the_route_timeout_applies_to_the_first_callers_only() {
     let timeouts = CallerTimeouts::default();
--- a/crates/kumquatnotch-policy/tests/calls.rs
+++ b/crates/kumquatnotch-policy/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions about single calls: choice, hedges, retries, containment.
+//! Tests of the decisions about single calls: replica selection, hedges, retries, containment.
 
 use std::time::{Duration, Instant};
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The share of a thousand calls that goes to the second candidate.
+/// Fraction of a thousand calls that goes to the second candidate.
 fn share_of_second(choice: &dyn Choice, candidates: &[Candidate]) -> f64 {
     let random = Random::with_seed(1);
     let picks = (0..1_000).map(|_| choice.pick(candidates, CallProfile::default(), &random));
@@ -66,8 +66,7 @@
     assert_eq!(LeastTime.pick(&candidates, need, &Random::with_seed(1)), Pick::Take(1));
 }
 
-// A target reports no load whatever it does, and is slow. By reports alone all
-// calls flock to it.
+// A slow target always reports zero load. Selection by reported load would send all calls to it.
 #[test]
 fn false_load_report_attracts_no_calls() {
     let misreporting = Candidate { reported: 0, ..candidate(1, 60) };
@@ -115,8 +114,8 @@
     assert!(!GradualWarmup.is_warming(&replica));
 }
 
-// Every call to a straggler is won by its copy, so it never answers at all. If
-// dropped calls told nothing, its latency would stay that of its good days.
+// Every call to a straggler is won by its hedge, so it never answers. If cancelled calls were
+// ignored, its latency would stay as low as before it became slow.
 #[test]
 fn cancelled_calls_raise_the_latency() {
     let now = Instant::now();
@@ -137,8 +136,8 @@
     assert_eq!(replica.fitness(Instant::now()), Fitness::Draining);
 }
 
-// A hundred targets restart at once. Trials in step would come back as a storm
-// of connections, each of which costs the target milliseconds.
+// A hundred targets restart at once. Reconnects in step would cause a burst of connections, each of
+// which costs the target milliseconds.
 #[test]
 fn reconnects_after_a_mass_restart_are_spread() {
     let now = Instant::now();
@@ -155,7 +154,7 @@
     assert!(delays[90] - delays[10] > 100 * MS);
 }
 
-/// The copies that a thousand late calls cause.
+/// Number of hedges for a thousand late calls.
 fn hedges(hedge: &mut dyn Hedge) -> usize {
     (0..1_000)
         .filter(|_| {
@@ -165,8 +164,8 @@
         .count()
 }
 
-// Everything is late at once. Without a budget each call would be sent twice,
-// just when the targets have the least room.
+// All calls are late at once. Without a budget each would be sent twice, just when the targets have
+// the least capacity.
 #[test]
 fn hedges_stay_within_the_budget() {
     assert!(hedges(&mut QuantileHedge::default()) <= 30);
@@ -197,7 +196,7 @@
     Attempt { error, tries: 1, exclusive, other: true, deadline: now + Duration::from_secs(1) }
 }
 
-/// The repeated attempts that ten thousand failing calls cause.
+/// Number of retries for ten thousand failing calls.
 fn retries(retry: &mut dyn Retry) -> u32 {
     let now = Instant::now();
     let mut retries = 0;
@@ -256,7 +255,7 @@
     Running { print: Fingerprint(print), shard: ShardName::from(shard) }
 }
 
-/// How many targets a request crashes that its caller sends ten times.
+/// Number of targets crashed by a request that its caller sends ten times.
 fn crashes(containment: &mut dyn Containment) -> u32 {
     let now = Instant::now();
     let mut crashes = 0;
@@ -279,8 +278,8 @@
     assert_eq!(crashes(&mut NoContainment), 10);
 }
 
-// A popular request is in flight beside the culprit each time a target crashes.
-// Counting crashes alone would refuse all its callers.
+// A popular request is in flight beside the culprit whenever a target crashes. If only crashes were
+// counted, all its callers would be refused.
 #[test]
 fn bystander_of_two_crashes_is_not_contained() {
     let now = Instant::now();
@@ -294,8 +293,8 @@
     assert_eq!(containment.verdict(Fingerprint(1), now), Verdict::Free);
 }
 
-// A rack is lost while a search is in flight to five of its targets, with nobody
-// beside it there. It would be refused for ten minutes though it did nothing.
+// A rack is lost while a search is in flight to five of its targets, with no other request there.
+// The search must not be refused for ten minutes, as it did not cause the crashes.
 #[test]
 fn search_on_targets_that_are_lost_together_is_not_contained() {
     let now = Instant::now();
--- a/crates/kumquatnotch-policy/tests/hedge_timing.rs
+++ b/crates/kumquatnotch-policy/tests/hedge_timing.rs
@@ -1,8 +1,8 @@
-//! When copies are sent, and which are let end.
+//! Tests of hedge timing and of awaiting losing attempts.
 //!
-//! The pattern: replicas stand still for 0.3 s now and then, the other replica of a shard is
-//! in another region, 40 ms away. On heavy days both are busy most of their time, and each
-//! copy that isn't needed makes others late.
+//! Replicas stall for 0.3 s from time to time, and the other replica of a shard is in another
+//! region, 40 ms away. Under heavy load both are busy most of the time, and each unnecessary hedge
+//! delays other requests.
 
 use std::{
     rc::Rc,
@@ -27,8 +27,8 @@
     observed
 }
 
-/// A copy has lost. Its connection is worth the rest of the work, unless that is late, the
-/// replica stands still, or others wait for its slots.
+/// Awaiting a losing attempt keeps its connection. It is not awaited if it is late, the replica
+/// stalls, or others wait for its slots.
 #[parameterized(
     on_its_way = { 30, 1, 30, true },
     late = { 120, 1, 30, false },
@@ -50,8 +50,8 @@
     assert_eq!(hedge_timing::should_await_loser(&observed, USUAL, ms(took), now), may_end);
 }
 
-/// The reply of a replica nearby is late. The copy goes out as late as it still helps, given
-/// the way to the other replica, but not before a reply was to be expected.
+/// The reply of a nearby replica is late. The hedge is sent as late as it can still help, given the
+/// round trip to the other replica, but not before a reply could be expected.
 #[parameterized(
     time_enough = { 10, 300, 59 },
     last_moment = { 60, 120, 50 },
--- a/crates/kumquatnotch-policy/tests/limits.rs
+++ b/crates/kumquatnotch-policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Tests of the limit that is learned for a replica.
+//! Tests of the learned concurrency limit of a replica.
 
 use std::time::{Duration, Instant};
 
@@ -6,23 +6,23 @@
 use kumquatnotch_policy::limit::{FixedLimit, LearnedLimit, Limit, NoLimit, share};
 use yare::parameterized;
 
-/// A replica that serves first come, first served, under a load that never ends.
+/// A simulated FIFO replica under continuous load.
 struct Replica {
     slots: usize,
     service: Duration,
     random: Random,
     now: Instant,
-    /// When each slot is free again.
+    /// When each slot becomes free.
     free: Vec<Instant>,
-    /// The ends of the calls in flight, with level and start.
+    /// Calls in flight: end, level and start.
     running: Vec<(Instant, u32, Instant)>,
 }
 
-/// What a run showed.
+/// Result of a run.
 struct Run {
-    /// The mean of the calls beyond the slots, as a part of these.
+    /// Mean number of calls in flight beyond the slots, as a part of the slots.
     excess: f64,
-    /// The calls answered, as a part of what the slots allow.
+    /// Number of calls answered, as a part of the capacity of the slots.
     goodput: f64,
 }
 
@@ -44,7 +44,7 @@
         self.free = vec![self.now; slots];
     }
 
-    /// Keeps as many calls in flight as `limit` allows until `answers` are in.
+    /// Keeps as many calls in flight as `limit` allows until this number of `answers` has arrived.
     fn run(&mut self, limit: &mut dyn Limit, answers: usize) -> Run {
         let start = self.now;
         let mut excess = 0.0;
@@ -85,9 +85,9 @@
     }
 }
 
-// Many callers ask for one replica of a vendor whose slots nobody has told us.
-// Without a limit all their calls pile up before its slots; a guess that is too
-// low leaves slots empty. The learned limit must do neither.
+// Many callers use one replica whose number of slots is unknown. Without a limit all their calls
+// queue at the replica; a limit that is too low leaves slots idle. The learned limit must do
+// neither.
 #[parameterized(one = { 1 }, two = { 2 }, three = { 3 }, six = { 6 })]
 fn learned_limit_matches_the_slots(slots: usize) {
     let mut learned = LearnedLimit::default();
@@ -109,9 +109,8 @@
     assert!(run.goodput < 0.5);
 }
 
-// A target restarts with fewer slots while it is under full load. Its latency
-// jumps at the very level we hold it at, and lower levels are never met, so the
-// old figures would keep the limit at six; the fixed limit shows that.
+// A target under full load restarts with fewer slots. Latency jumps at the current limit, and lower
+// levels never occur, so the old means would keep the limit at six, as the fixed limit shows.
 #[test]
 fn learned_limit_follows_slots_that_are_lost() {
     let mut learned = LearnedLimit::default();
@@ -141,8 +140,8 @@
     assert!(run.goodput >= 0.9, "goodput {}", run.goodput);
 }
 
-// A straggler is slow at every level. A bound on latency would squeeze its
-// limit down to one call, and it would never be seen to be well again.
+// A straggler is slow at every level. A latency threshold would reduce its limit to one call, and
+// its recovery would never be noticed.
 #[test]
 fn learned_limit_of_a_straggler_is_kept() {
     let mut learned = LearnedLimit::default();
--- a/crates/kumquatnotch-policy/tests/mechanisms.rs
+++ b/crates/kumquatnotch-policy/tests/mechanisms.rs
@@ -1,4 +1,4 @@
-//! The list of what can be switched off.
+//! Tests of the mechanisms that can be switched off.
 
 use kumquatnotch_policy::mechanisms::{Mechanism, Mechanisms};
 
--- a/crates/kumquatnotch-policy/tests/queues.rs
+++ b/crates/kumquatnotch-policy/tests/queues.rs
@@ -1,4 +1,4 @@
-//! Tests of the queue before the slots of a shard.
+//! Tests of the queue for the slots of a shard.
 
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
     queue.take(now, &mut |_, _| true)
 }
 
-/// The place at which the desk's call is served behind a hundred audits.
+/// Position at which a desk call is served when it arrives after a hundred audits.
 fn place_of_desk(queue: &mut dyn WaitQueue) -> usize {
     let now = Instant::now();
     (0..100).for_each(|id| queue.push(waiter(id, Class::Audit, "siam", now)));
@@ -39,8 +39,8 @@
     assert_eq!(place_of_desk(&mut FifoQueue::default()), 100);
 }
 
-// The desk asks without a pause for hours, and there is one night audit. By
-// urgency alone it would never run; its assured share lets it end.
+// The desk sends requests continuously, and one audit waits. By priority alone the audit would
+// never run; its guaranteed share lets it finish.
 #[test]
 fn continuous_desk_load_does_not_starve_audits() {
     let now = Instant::now();
@@ -56,7 +56,7 @@
     assert!(served.is_some());
 }
 
-// A burst of the desk must not be held up for a batch that was served all along.
+// A burst at the desk must not be delayed by a batch that was served all the time.
 #[test]
 fn burst_of_the_desk_is_not_interrupted() {
     let now = Instant::now();
@@ -70,7 +70,7 @@
     assert!(served.iter().all(|class| *class == Class::Desk));
 }
 
-/// How many of the first twenty served belong to the rival that asked little.
+/// How many of the first twenty served requests belong to the tenant that sent few.
 fn served_of_other(queue: &mut dyn WaitQueue) -> usize {
     let now = Instant::now();
     (0..1_000).for_each(|id| queue.push(waiter(id, Class::Desk, "flood", now)));
@@ -112,8 +112,8 @@
     assert_eq!(take(&mut queue, now).unwrap().id, 2);
 }
 
-// Demand is far beyond the slots. A request that could only be answered too
-// late learns it now with the time to come back, not when its deadline passes.
+// Demand is far beyond the slots. A request that could only be answered too late must be refused at
+// once with a retry delay, not when its deadline passes.
 #[test]
 fn wait_beyond_the_deadline_is_refused_at_once() {
     let now = Instant::now();
--- a/crates/kumquatnotch-policy/tests/rating.rs
+++ b/crates/kumquatnotch-policy/tests/rating.rs
@@ -1,8 +1,8 @@
-//! Which replica of a shard is asked while some fail.
+//! Tests of replica selection while some replicas fail.
 //!
-//! The pattern: half of the replicas of an index reject most requests at once, or lose their
-//! replies after the work is done, while the others are sound but would be crowded by twice
-//! their load. Repeats are bounded over all nodes.
+//! Half of the replicas of an index reject most requests at once, or lose their replies after the
+//! work is done. The others are healthy but could not bear twice their load. Retries are limited
+//! across all nodes.
 
 use std::{
     rc::Rc,
@@ -32,7 +32,7 @@
     observed
 }
 
-/// One that fails six of ten requests, each after `took`.
+/// A replica that fails six of ten requests, each after `took`.
 fn failing(took: Duration, now: Instant) -> Observed {
     let observed = replica(now);
     for index in 0..200 {
@@ -49,7 +49,7 @@
     RequestProfile { usual: ms(20), objective: ms(250), spent, mechanisms: Mechanisms::default() }
 }
 
-/// Whether the first one is asked.
+/// Whether the first replica is selected.
 fn is_first(replicas: [&Observed; 2], need: RequestProfile, now: Instant) -> bool {
     let rate = |observed| Rating::new(Candidate { observed, waiting: 0, limit: 8 }, need, now);
     rating::best(&replicas.map(rate)) == Some(0)
@@ -62,9 +62,9 @@
     assert!(is_first([&replica(now), &failing(ms(1), now)], need(0.0), now));
 }
 
-/// The sound replica has requests waiting. One that rejects at once costs next to nothing to
-/// try; one that loses replies after the work costs the work, and is worth it only for a
-/// longer queue.
+/// The healthy replica has queued requests. Trying a replica that rejects at once costs little. One
+/// that loses replies after the work costs the service time, and is worth it only with a longer
+/// queue.
 #[parameterized(
     rejects = { 1, 4, false },
     loses_replies = { 40, 4, true },
@@ -82,7 +82,7 @@
     assert_eq!(is_first([&healthy, &failing(ms(failed_after), now)], need(0.0), now), is_healthy);
 }
 
-/// Repeats run short: a rejection would be the end of a request, so the queue is better.
+/// With a low retry budget a rejection would fail the request, so waiting in the queue is better.
 #[parameterized(plenty = { 0.2, false }, half = { 0.6, true }, gone = { 1.0, true })]
 fn a_failing_replica_is_avoided_when_the_retry_budget_is_low(spent: f64, is_healthy: bool) {
     let now = Instant::now();
--- a/crates/kumquatnotch-policy/tests/standby.rs
+++ b/crates/kumquatnotch-policy/tests/standby.rs
@@ -1,7 +1,7 @@
-//! Which nodes the others need to know, and who goes first when all start.
+//! Tests of standby nodes and of the start order.
 //!
-//! The load is a fleet of hundreds of nodes of which some carry the requests, as users run
-//! it: three nodes of half a core and forty of an eighth in each data centre.
+//! In each data centre, three nodes of half a core carry the requests beside forty of an eighth, in
+//! a fleet of hundreds of nodes.
 
 use std::time::Duration;
 
@@ -27,15 +27,15 @@
     assert_eq!(is_standby(capacity, others.iter().copied()), expected);
 }
 
-/// However many nodes there are, those that announce themselves are those that serve: a
-/// fleet of 43 or of 1,003 nodes in a data centre costs the store the same three leases.
+/// Only the serving nodes announce themselves, however many there are: a data centre with 43 nodes
+/// and one with 1,003 both cost the store three leases.
 #[test]
 fn small_nodes_add_no_store_entries() {
     let announced = |small: usize| {
         let capacities: Vec<f64> =
             [0.5; 3].into_iter().chain(std::iter::repeat_n(0.12, small)).collect();
         let mut known: Vec<f64> = Vec::new();
-        // The larger ones announce themselves first, as `start_delay` has it.
+        // The larger ones announce themselves first, due to `start_delay`.
         for capacity in capacities {
             if !is_standby(capacity, known.iter().copied()) {
                 known.push(capacity);
--- a/crates/kumquatnotch-policy/tests/stop.rs
+++ b/crates/kumquatnotch-policy/tests/stop.rs
@@ -1,4 +1,4 @@
-//! The stop rule.
+//! Tests of the stop rule.
 
 use std::time::Duration;
 
--- a/crates/kumquatnotch-policy/tests/weights.rs
+++ b/crates/kumquatnotch-policy/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Sharing out requests among services by weight.
+//! Tests of the weighted distribution of requests among services.
 
 use kumquatnotch_core::ids::{RouteName, ServiceName};
 use kumquatnotch_policy::weights::{WeightedService, Weights};
@@ -17,7 +17,7 @@
 
     let count = |name| picks.iter().filter(|pick| **pick == name).count();
     assert_eq!([count("a"), count("b"), count("c"), count("d")], [50, 30, 20, 0]);
-    // Any ten in a row keep to the weights within one.
+    // Any ten consecutive picks follow the weights within one.
     assert!(
         picks.windows(10).all(|ten| (4..=6).contains(&ten.iter().filter(|p| **p == "a").count()))
     );
