--- a/crates/kumquatnotch-policy/src/attempts.rs
+++ b/crates/kumquatnotch-policy/src/attempts.rs
@@ -58,8 +58,8 @@
 
 impl Attempts {
     /// Records the outcome of an attempt.
-    pub fn note(&mut self, ending: AttemptOutcome) {
-        match ending {
+    pub fn note(&mut self, outcome: AttemptOutcome) {
+        match outcome {
             AttemptOutcome::Failed => {
                 self.runs += 1;
                 self.failed = true;
--- a/crates/kumquatnotch-policy/src/caller_timeouts.rs
+++ b/crates/kumquatnotch-policy/src/caller_timeouts.rs
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteTimeouts {
-    most: Duration,
+    max_left: Duration,
     callers: u32,
 }
 
@@ -35,10 +35,10 @@
     pub fn waited(&self, route: &RouteName, left: Duration, timeout: Duration) -> Duration {
         let mut known = self.known.borrow_mut();
         let known = known.entry(route.clone()).or_default();
-        known.most = known.most.max(left);
+        known.max_left = known.max_left.max(left);
         known.callers = known.callers.saturating_add(1);
         let is_new = known.callers <= WARMUP_CALLERS;
-        let most = if is_new { known.most.max(timeout) } else { known.most };
-        most.saturating_sub(left + NETWORK_SLACK)
+        let max_left = if is_new { known.max_left.max(timeout) } else { known.max_left };
+        max_left.saturating_sub(left + NETWORK_SLACK)
     }
 }
--- a/crates/kumquatnotch-policy/src/forecast.rs
+++ b/crates/kumquatnotch-policy/src/forecast.rs
@@ -56,8 +56,8 @@
         if best.rank >= SUSPECT_RANK || best.unqueued > left {
             return Prediction::TooSlow;
         }
-        let times = if best.is_full { requirements.margin } else { 1.0 };
-        if best.expected * times > left { Prediction::Congested } else { Prediction::InTime }
+        let factor = if best.is_full { requirements.margin } else { 1.0 };
+        if best.expected * factor > left { Prediction::Congested } else { Prediction::InTime }
     }
 }
 
--- a/crates/kumquatnotch-policy/src/hedge.rs
+++ b/crates/kumquatnotch-policy/src/hedge.rs
@@ -165,5 +165,5 @@
 }
 
 fn new_histogram() -> Histogram<u32> {
-    Histogram::new_with_max(MAX_LATENCY_US, 2).expect("the bounds are constants that fit")
+    Histogram::new_with_max(MAX_LATENCY_US, 2).expect("histogram bounds are valid constants")
 }
--- a/crates/kumquatnotch-policy/src/hedge_timing.rs
+++ b/crates/kumquatnotch-policy/src/hedge_timing.rs
@@ -35,8 +35,8 @@
     let Some(other) = other else {
         return late;
     };
-    let times = MIN_DELAY_FACTOR * bounded_slowness(first, now);
-    let soonest = first.round_trip() + usual.mul_f64(times);
+    let factor = MIN_DELAY_FACTOR * bounded_slowness(first, now);
+    let soonest = first.round_trip() + usual.mul_f64(factor);
     let needed = Duration::from_secs_f64(other) + usual.mul_f64(MIN_DELAY_FACTOR - 1.0);
     left.saturating_sub(needed).clamp(soonest.min(late), late)
 }
--- a/crates/kumquatnotch-policy/src/lateness.rs
+++ b/crates/kumquatnotch-policy/src/lateness.rs
@@ -23,8 +23,8 @@
 
 /// Time after which a reply of a replica is late.
 pub fn late_after(observed: &Observed, usual: Duration, now: Instant) -> Duration {
-    let times = LATE_FACTOR * bounded_slowness(observed, now);
-    observed.round_trip() + usual.mul_f64(times) + LATE_SLACK
+    let factor = LATE_FACTOR * bounded_slowness(observed, now);
+    observed.round_trip() + usual.mul_f64(factor) + LATE_SLACK
 }
 
 /// Whether a replica has been silent for longer than a reply may take.
--- a/crates/kumquatnotch-policy/src/mechanisms.rs
+++ b/crates/kumquatnotch-policy/src/mechanisms.rs
@@ -111,7 +111,7 @@
         let known = Mechanism::ALL.into_iter().find(|mechanism| mechanism.to_string() == name);
         known.ok_or_else(|| {
             let names: Vec<String> = Mechanism::ALL.iter().map(Mechanism::to_string).collect();
-            format!("there is no mechanism {name:?}, only {}", names.join(", "))
+            format!("unknown mechanism {name:?}; known are {}", names.join(", "))
         })
     }
 }
--- a/crates/kumquatnotch-policy/src/observed.rs
+++ b/crates/kumquatnotch-policy/src/observed.rs
@@ -159,20 +159,20 @@
     /// Slowness without the slowdown of its machine.
     fn own_slowness(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.measured.get()).as_secs_f64();
-        let faded = (-age / SLOWNESS_DECAY.as_secs_f64()).exp();
-        1.0 + (self.slowness.get() - 1.0) * faded
+        let decay = (-age / SLOWNESS_DECAY.as_secs_f64()).exp();
+        1.0 + (self.slowness.get() - 1.0) * decay
     }
 
     /// Records how many times slower than usual its machine is, as reported by the replica.
-    pub fn note_machine_slowdown(&self, times: f64, now: Instant) {
-        self.machine_slowdown.set((times.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1), now));
+    pub fn note_machine_slowdown(&self, slowdown: f64, now: Instant) {
+        self.machine_slowdown.set((slowdown.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1), now));
     }
 
     /// Estimated factor by which its machine is slower than usual.
     pub fn machine_slowdown(&self, now: Instant) -> f64 {
-        let (told, at) = self.machine_slowdown.get();
+        let (reported, at) = self.machine_slowdown.get();
         let age = now.saturating_duration_since(at).as_secs_f64();
-        1.0 + (told - 1.0) * (-age / SLOWDOWN_DECAY.as_secs_f64()).exp()
+        1.0 + (reported - 1.0) * (-age / SLOWDOWN_DECAY.as_secs_f64()).exp()
     }
 
     /// Recent failure rate.
@@ -260,10 +260,10 @@
     /// off as many of them as it can since then; newly arrived ones appear in its next reply.
     pub fn load(&self, now: Instant) -> f64 {
         let own = self.unanswered() as f64;
-        let (told, at) = self.load.get();
+        let (reported, at) = self.load.get();
         let age = now.saturating_duration_since(at).as_secs_f64();
         let done = age * self.slots() / self.service_time.get().max(1e-4);
-        own.max(f64::from(told) - done)
+        own.max(f64::from(reported) - done)
     }
 
     /// Whether all its slots are estimated to be taken.
--- a/crates/kumquatnotch-policy/src/overload.rs
+++ b/crates/kumquatnotch-policy/src/overload.rs
@@ -78,13 +78,14 @@
 
 impl Overload {
     /// Records the outcome of a search.
-    pub fn note(&self, route: &RouteName, fate: SearchOutcome, now: Instant) {
+    pub fn note(&self, route: &RouteName, outcome: SearchOutcome, now: Instant) {
         let mut overload = self.of(route, now);
         let share = |is: bool| if is { 1.0 } else { 0.0 };
         overload.refused +=
-            SAMPLE_WEIGHT * (share(fate == SearchOutcome::Refused) - overload.refused);
-        if fate != SearchOutcome::Refused {
-            overload.late += SAMPLE_WEIGHT * (share(fate == SearchOutcome::Late) - overload.late);
+            SAMPLE_WEIGHT * (share(outcome == SearchOutcome::Refused) - overload.refused);
+        if outcome != SearchOutcome::Refused {
+            overload.late +=
+                SAMPLE_WEIGHT * (share(outcome == SearchOutcome::Late) - overload.late);
         }
         self.known.borrow_mut().insert(route.clone(), overload);
     }
--- a/crates/kumquatnotch-policy/src/placement.rs
+++ b/crates/kumquatnotch-policy/src/placement.rs
@@ -72,23 +72,23 @@
     pub fn choose(&self, region: &Region, nodes: &[NodeLocation<'_>]) -> Vec<usize> {
         let all: Vec<usize> = (0..nodes.len()).collect();
         let keep = |from: &[usize], fits: &dyn Fn(&NodeLocation<'_>) -> bool| -> Vec<usize> {
-            from.iter().copied().filter(|place| fits(&nodes[*place])).collect()
+            from.iter().copied().filter(|index| fits(&nodes[*index])).collect()
         };
         let best = self.regions.values().copied().fold(0.0, f64::max);
         let share = |region: &Region| self.regions.get(region).copied().unwrap_or(0.0);
-        let mut there = keep(&all, &|node| node.region == region);
-        if there.is_empty() || share(region) + PROXIMITY_BONUS < best {
-            there = keep(&all, &|node| share(node.region) + PROXIMITY_BONUS >= best);
+        let mut candidates = keep(&all, &|node| node.region == region);
+        if candidates.is_empty() || share(region) + PROXIMITY_BONUS < best {
+            candidates = keep(&all, &|node| share(node.region) + PROXIMITY_BONUS >= best);
         }
         // Nodes in the data centres with the most shards.
         let share = |node: &NodeLocation<'_>| self.centres.get(node.centre).copied().unwrap_or(0.0);
-        let best = there.iter().map(|place| share(&nodes[*place])).fold(0.0, f64::max);
-        let beside = keep(&there, &|node| share(node) + PROXIMITY_BONUS >= best);
+        let best = candidates.iter().map(|index| share(&nodes[*index])).fold(0.0, f64::max);
+        let closest = keep(&candidates, &|node| share(node) + PROXIMITY_BONUS >= best);
         // Nodes that are not much smaller than the largest.
-        let most = beside.iter().map(|place| nodes[*place].capacity).fold(0.0, f64::max);
-        let large = keep(&beside, &|node| node.capacity >= MIN_CAPACITY_PART * most);
+        let most = closest.iter().map(|index| nodes[*index].capacity).fold(0.0, f64::max);
+        let large = keep(&closest, &|node| node.capacity >= MIN_CAPACITY_PART * most);
         // Takes the narrowest selection that the loss of a node does not leave empty.
-        let choices = [large, beside, there];
+        let choices = [large, closest, candidates];
         choices.into_iter().find(|choice| choice.len() >= MIN_NODES).unwrap_or(all)
     }
 }
--- a/crates/kumquatnotch-policy/src/rating.rs
+++ b/crates/kumquatnotch-policy/src/rating.rs
@@ -105,8 +105,8 @@
 
 /// Returns the index of the best rating.
 pub fn best(ratings: &[Rating]) -> Option<usize> {
-    let places = ratings.iter().enumerate();
-    places.min_by(|(_, one), (_, other)| one.order(other)).map(|(place, _)| place)
+    let indexed = ratings.iter().enumerate();
+    indexed.min_by(|(_, one), (_, other)| one.order(other)).map(|(index, _)| index)
 }
 
 /// Expected time to a reply, in seconds.
--- a/crates/kumquatnotch-policy/tests/admission.rs
+++ b/crates/kumquatnotch-policy/tests/admission.rs
@@ -257,21 +257,21 @@
 fn goodput_stays_flat_past_saturation(factor: f64, accurate: bool, least: f64) {
     for seed in 1..=5 {
         let peak = simulate(&graded(seed), seed, 1.0, accurate);
-        let over = simulate(&graded(seed), seed, factor, accurate);
+        let overloaded = simulate(&graded(seed), seed, factor, accurate);
         let naive = simulate(&AdmitAll::default(), seed, factor, accurate);
 
         println!(
             "factor {factor} accurate {accurate} seed {seed}: goodput {} graded, {} naive, {} at 1.0; \
              desk p99 {}, {}, {} ms",
-            over.goodput,
+            overloaded.goodput,
             naive.goodput,
             peak.goodput,
-            over.desk_p99_ms,
+            overloaded.desk_p99_ms,
             naive.desk_p99_ms,
             peak.desk_p99_ms,
         );
-        assert!(over.goodput as f64 >= least * peak.goodput as f64);
-        assert!(over.goodput > naive.goodput);
-        assert!(over.desk_p99_ms <= MAX_WAIT.as_millis() as u64);
+        assert!(overloaded.goodput as f64 >= least * peak.goodput as f64);
+        assert!(overloaded.goodput > naive.goodput);
+        assert!(overloaded.desk_p99_ms <= MAX_WAIT.as_millis() as u64);
     }
 }
--- a/crates/kumquatnotch-policy/tests/limits.rs
+++ b/crates/kumquatnotch-policy/tests/limits.rs
@@ -96,10 +96,10 @@
 
     let run = target.run(&mut learned, 8_000);
 
-    assert!(run.excess <= 0.10, "over {}", run.excess);
+    assert!(run.excess <= 0.10, "excess {}", run.excess);
     assert!(run.goodput >= 0.9, "goodput {}", run.goodput);
     let naive = replica(slots).run(&mut NoLimit, 2_000);
-    assert!(naive.excess > 1.0, "over without a limit {}", naive.excess);
+    assert!(naive.excess > 1.0, "excess without a limit {}", naive.excess);
 }
 
 #[test]
@@ -121,7 +121,7 @@
 
     let run = target.run(&mut learned, 4_000);
 
-    assert!(run.excess <= 0.10, "over {}", run.excess);
+    assert!(run.excess <= 0.10, "excess {}", run.excess);
     let mut target = replica(6);
     target.resize(2);
     assert!(target.run(&mut FixedLimit(6), 4_000).excess > 1.0);
