--- a/crates/kumquatnotch-policy/tests/admission.rs
+++ b/crates/kumquatnotch-policy/tests/admission.rs
@@ -175,9 +175,9 @@
 /// Offers `factor` times the capacity of the targets, a quarter each at the desk and by audits, and
 /// counts the answers within the maximum wait.
 ///
-/// The reported wait is based on the number of requests ahead or, if `accurate`, also on the
+/// The reported wait is based on the number of requests ahead or, if `exact`, also on the
 /// intervals at which the class is being served.
-fn simulate(admission: &dyn Admission, seed: u64, factor: f64, accurate: bool) -> Run {
+fn simulate(admission: &dyn Admission, seed: u64, factor: f64, exact: bool) -> Run {
     let random = Random::with_seed(seed);
     let start = Instant::now();
     let mut queues: [VecDeque<u64>; 3] = Default::default();
@@ -222,7 +222,7 @@
             let (own, rate) = (queues[class as usize].len(), &mut rate[class as usize]);
             ahead += own;
             let mut wait = ahead as f64 / SERVICE_RATE as f64;
-            if accurate && own > 0 {
+            if exact && own > 0 {
                 *rate += 0.02 * (served[class as usize] - *rate);
                 wait = wait.max(own as f64 / rate.max(0.01));
             }
@@ -254,14 +254,14 @@
     three_times_underestimated = { 3.0, false, 0.85 },
     desk_alone_underestimated = { 6.0, false, 0.9 },
 )]
-fn goodput_stays_flat_past_saturation(factor: f64, accurate: bool, least: f64) {
+fn goodput_stays_flat_past_saturation(factor: f64, exact: bool, least: f64) {
     for seed in 1..=5 {
-        let peak = simulate(&graded(seed), seed, 1.0, accurate);
-        let overloaded = simulate(&graded(seed), seed, factor, accurate);
-        let naive = simulate(&AdmitAll::default(), seed, factor, accurate);
+        let peak = simulate(&graded(seed), seed, 1.0, exact);
+        let overloaded = simulate(&graded(seed), seed, factor, exact);
+        let naive = simulate(&AdmitAll::default(), seed, factor, exact);
 
         println!(
-            "factor {factor} accurate {accurate} seed {seed}: goodput {} graded, {} naive, {} at 1.0; \
+            "factor {factor} exact {exact} seed {seed}: goodput {} graded, {} naive, {} at 1.0; \
              desk p99 {}, {}, {} ms",
             overloaded.goodput,
             naive.goodput,
