--- a/crates/kumquatnotch-policy/src/advice.rs
+++ b/crates/kumquatnotch-policy/src/advice.rs
@@ -1,9 +1,8 @@
 //! Entry advice: the order in which a caller should use the nodes.
 //!
-//! Callers keep the advice for a while and use the first address that works.
-//! Giving all callers of a data centre the same first address would herd them
-//! onto one node; so nodes that are equally near come in a random order,
-//! weighted by what is known of their load.
+//! Callers keep the advice for a while and use the first address that works. If all callers of a
+//! data centre got the same first address, they would overload one node. Equally near nodes are
+//! therefore returned in random order, weighted by their known load.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,7 +15,7 @@
 /// A node that may be advised.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryNode {
-    /// Where it listens for callers.
+    /// Address at which it listens for callers.
     pub address: SocketAddr,
     /// Its data centre.
     pub centre: DataCentre,
@@ -26,13 +25,13 @@
     pub state: NodeState,
     /// Whether it has a document to serve.
     pub serving: bool,
-    /// How long requests wait there, if it is known.
+    /// Known queueing delay of requests.
     pub wait: Option<Duration>,
 }
 
-/// Where a caller is, as far as it says.
+/// Location of a caller, as far as it states it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Near<'a> {
+pub struct CallerLocation<'a> {
     /// Its data centre.
     pub centre: Option<&'a DataCentre>,
     /// Its region.
@@ -41,11 +40,11 @@
 
 /// Orders nodes for a caller.
 pub trait EntryPolicy {
-    /// The addresses, the first one to use first.
-    fn order(&self, nodes: &[EntryNode], near: Near<'_>) -> Vec<SocketAddr>;
+    /// Returns the addresses, the preferred one first.
+    fn order(&self, nodes: &[EntryNode], near: CallerLocation<'_>) -> Vec<SocketAddr>;
 }
 
-/// Near nodes first, in a weighted random order among equals.
+/// Nearest nodes first, in weighted random order among equally near ones.
 #[derive(Clone, Debug)]
 pub struct SpreadEntry {
     random: Random,
@@ -53,67 +52,67 @@
 }
 
 impl SpreadEntry {
-    /// A node where requests wait for `busy` counts as one step farther away.
+    /// Creates the policy. A node with a queueing delay of at least `busy` counts as one step
+    /// farther away.
     pub fn new(random: Random, busy: Duration) -> SpreadEntry {
         SpreadEntry { random, busy }
     }
 
-    /// Draws so that a node comes first among equals in proportion to its weight.
-    fn draw(&self, node: &EntryNode) -> f64 {
+    /// Random key by which a node comes first among equals in proportion to its weight.
+    fn sort_key(&self, node: &EntryNode) -> f64 {
         let wait = node.wait.unwrap_or_default().as_secs_f64();
         let weight = 1.0 / (1.0 + wait / self.busy.as_secs_f64().max(f64::EPSILON));
         -(1.0 - self.random.fraction()).ln() / weight
     }
 
-    fn step(&self, node: &EntryNode, near: Near<'_>) -> u8 {
+    fn distance_rank(&self, node: &EntryNode, near: CallerLocation<'_>) -> u8 {
         let is_busy = node.wait.is_some_and(|wait| wait >= self.busy);
         distance(node, near) + u8::from(is_busy)
     }
 }
 
 impl EntryPolicy for SpreadEntry {
-    fn order(&self, nodes: &[EntryNode], near: Near<'_>) -> Vec<SocketAddr> {
-        let mut drawn: Vec<(u8, f64, SocketAddr)> = usable(nodes)
+    fn order(&self, nodes: &[EntryNode], near: CallerLocation<'_>) -> Vec<SocketAddr> {
+        let mut ordered: Vec<(u8, f64, SocketAddr)> = eligible(nodes)
             .into_iter()
-            .map(|node| (self.step(node, near), self.draw(node), node.address))
+            .map(|node| (self.distance_rank(node, near), self.sort_key(node), node.address))
             .collect();
-        drawn.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        drawn.into_iter().map(|(_, _, address)| address).collect()
+        ordered.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        ordered.into_iter().map(|(_, _, address)| address).collect()
     }
 }
 
-/// Always the nearest node in the order given; the baseline.
+/// Always the nearest node, in the given order. The baseline.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NearestEntry;
 
 impl EntryPolicy for NearestEntry {
-    fn order(&self, nodes: &[EntryNode], near: Near<'_>) -> Vec<SocketAddr> {
-        let mut ranked = usable(nodes);
+    fn order(&self, nodes: &[EntryNode], near: CallerLocation<'_>) -> Vec<SocketAddr> {
+        let mut ranked = eligible(nodes);
         ranked.sort_by_key(|node| distance(node, near));
         ranked.into_iter().map(|node| node.address).collect()
     }
 }
 
-/// Which nodes are advised: the first of these kinds of which there are any.
+/// Kinds of nodes that can be advised. The first kind with any nodes is used.
 ///
-/// A node that has no document yet refuses every caller, and callers keep the
-/// advice. A suspect one that serves may only be slow, so it is the better.
-/// A leaving node is never advised: a caller that keeps the advice would meet a
-/// closed port.
-const USABLE: [(bool, NodeState); 4] = [
+/// A node without a document refuses every caller, and callers keep the advice, so a suspect node
+/// that serves is preferred: it may only be slow. A leaving node is never advised, as a caller that
+/// keeps the advice would find its port closed.
+const ELIGIBLE_KINDS: [(bool, NodeState); 4] = [
     (true, NodeState::Up),
     (true, NodeState::Suspect),
     (false, NodeState::Up),
     (false, NodeState::Suspect),
 ];
 
-fn usable(nodes: &[EntryNode]) -> Vec<&EntryNode> {
+fn eligible(nodes: &[EntryNode]) -> Vec<&EntryNode> {
     let of = |kind| nodes.iter().filter(move |node| (node.serving, node.state) == kind);
-    let found = USABLE.iter().map(|kind| of(*kind).collect::<Vec<_>>());
+    let found = ELIGIBLE_KINDS.iter().map(|kind| of(*kind).collect::<Vec<_>>());
     found.into_iter().find(|nodes| !nodes.is_empty()).unwrap_or_default()
 }
 
-fn distance(node: &EntryNode, near: Near<'_>) -> u8 {
+fn distance(node: &EntryNode, near: CallerLocation<'_>) -> u8 {
     if near.centre == Some(&node.centre) {
         return 0;
     }
--- a/crates/kumquatnotch-policy/src/lib.rs
+++ b/crates/kumquatnotch-policy/src/lib.rs
@@ -1,12 +1,13 @@
-//! The decisions of the query tier.
+//! Decision logic of the query tier.
 //!
-//! Nothing here opens a socket, starts a task or reads a clock: time and observations come in
-//! as arguments, chance from the seeded generator, and what is decided goes out as a value.
+//! This crate opens no sockets, starts no tasks and reads no clock. Time and observations are
+//! passed in as arguments, randomness comes from the seeded generator, and decisions are returned
+//! as values.
 //!
-//! The decisions of the product's own interface stand behind traits, with the naive form that
-//! each is measured against beside it. Those of the platform's nodes are plain functions and
-//! small records of what was learned; [`mechanisms`] lists what can be switched off there, and
-//! what takes its place. docs/DESIGN.md shows where a request meets each of them.
+//! The decisions of the product's own interface are traits, each with a naive implementation as a
+//! baseline. Those of the platform's nodes are plain functions and small records of observations;
+//! [`mechanisms`] lists which of them can be switched off, and what replaces them. docs/DESIGN.md
+//! shows where a request meets each of them.
 
 #![forbid(unsafe_code)]
 
@@ -15,31 +16,31 @@
 pub mod answer_time;
 pub mod attempts;
 pub mod budget;
-pub mod caller_trips;
+pub mod caller_rtt;
+pub mod caller_timeouts;
 pub mod choice;
 pub mod completion;
 pub mod containment;
-pub mod copies;
 pub mod crashes;
 pub mod distances;
 pub mod fair;
 pub mod forecast;
 pub mod hedge;
+pub mod hedge_timing;
 pub mod lags;
 pub mod lateness;
 pub mod limit;
 pub mod mechanisms;
 pub mod observed;
-pub mod pace;
-pub mod patience;
+pub mod overload;
 pub mod placement;
 pub mod plan;
 pub mod queue;
-pub mod quickest;
+pub mod rating;
 pub mod replica;
 pub mod retry;
+pub mod service_times;
 pub mod shares;
 pub mod startup;
 pub mod stop;
-pub mod strain;
 pub mod weights;
--- a/crates/kumquatnotch-policy/src/limit.rs
+++ b/crates/kumquatnotch-policy/src/limit.rs
@@ -1,27 +1,26 @@
-//! How many calls may be in flight to a replica.
+//! Concurrency limit per replica.
 //!
-//! A replica has a few slots; how many is not told, differs between vendors and
-//! changes. [`LearnedLimit`] finds it from latencies alone. As long as there is
-//! a free slot, a call takes as long as it would alone; past the slots, the
-//! `n`th call waits, and latency grows by a factor of `n / (n - 1)` for each
-//! level. So the mean latency is kept for each level of in-flight calls, and
-//! the limit is the last level before that growth. A replica that is slow at
-//! every level keeps its limit, which a plain bound on latency would shrink.
+//! A replica has a few slots. Their number is not reported, differs between vendors and changes.
+//! [`LearnedLimit`] derives it from latencies alone. While there is a free slot, a call takes as
+//! long as it would alone. Beyond the slots, the `n`th call is queued, and latency grows by a
+//! factor of `n / (n - 1)` per level. The mean latency is therefore tracked for each level of
+//! in-flight calls, and the limit is the last level before that growth. A replica that is slow at
+//! every level keeps its limit, which a plain latency threshold would reduce.
 
 use std::time::{Duration, Instant};
 
-/// A bound on the calls in flight to one replica.
+/// Limit on the calls in flight to one replica.
 pub trait Limit {
-    /// The most calls that may be in flight, the next one included.
+    /// Maximum number of calls in flight, including the next one.
     fn allowed(&self) -> u32;
 
-    /// A call started and became the `level`th in flight.
+    /// Records the start of a call that became the `level`th in flight.
     fn on_start(&mut self, level: u32);
 
-    /// A call that started as the `level`th was answered after `latency`.
+    /// Records an answer to a call that started as the `level`th, after `latency`.
     fn on_answer(&mut self, level: u32, latency: Duration, now: Instant);
 
-    /// The replica refused a call that would have been the `level`th.
+    /// Records that the replica refused a call that would have been the `level`th.
     fn on_shed(&mut self, level: u32, now: Instant);
 }
 
@@ -30,7 +29,7 @@
     (allowed / holders.max(1)).max(1)
 }
 
-/// No bound: the baseline.
+/// No limit. The baseline.
 #[derive(Debug, Default)]
 pub struct NoLimit;
 
@@ -46,7 +45,7 @@
     fn on_shed(&mut self, _level: u32, _now: Instant) {}
 }
 
-/// A bound that an operator guessed: the second baseline.
+/// A fixed limit set by an operator. The second baseline.
 #[derive(Debug)]
 pub struct FixedLimit(pub u32);
 
@@ -62,30 +61,30 @@
     fn on_shed(&mut self, _level: u32, _now: Instant) {}
 }
 
-/// The limit of a replica that nothing is known of.
-const FIRST_LIMIT: u32 = 2;
-/// The highest limit that is ever learned.
-const MOST: u32 = 64;
-/// How many answers lie between two trials of a neighbouring level.
-const TRIAL_EVERY: u32 = 64;
-/// The longest memory of a level, in answers.
-const MEMORY: f64 = 512.0;
-/// The memory of the fast mean, in answers.
+/// Initial limit of an unknown replica.
+const INITIAL_LIMIT: u32 = 2;
+/// Maximum limit.
+const MAX_LIMIT: u32 = 64;
+/// Number of answers between two probes of a neighbouring level.
+const PROBE_INTERVAL: u32 = 64;
+/// Maximum number of answers in the mean of a level.
+const MAX_MEMORY: f64 = 512.0;
+/// Number of answers in the fast mean.
 const FAST_MEMORY: f64 = 32.0;
-/// The rise of the fast mean over the slow one that starts the learning afresh.
-const JUMP: f64 = 1.35;
-/// The time after which a level's mean counts for half.
+/// Ratio of the fast to the slow mean that restarts learning.
+const JUMP_FACTOR: f64 = 1.35;
+/// Half-life of a level's mean.
 const HALF_LIFE: Duration = Duration::from_secs(10);
-/// The time after which a level that was not met is tried on purpose.
-const STALE: Duration = Duration::from_secs(2);
-/// The time without trials after the replica refused a call.
+/// Time without samples after which a level is probed.
+const STALE_AFTER: Duration = Duration::from_secs(2);
+/// Time without probes after the replica refused a call.
 const SHED_PAUSE: Duration = Duration::from_secs(5);
-/// The time between two cuts for refusals, as several come at once.
+/// Minimum time between two reductions after refusals, as several arrive at once.
 const SHED_GAP: Duration = Duration::from_millis(100);
-/// The longest sample taken, as a multiple of the mean, so that a stall isn't learned.
-const CLIP: f64 = 4.0;
+/// Maximum sample as a multiple of the mean, so that a stall is not learned.
+const CLIP_FACTOR: f64 = 4.0;
 
-/// A limit that is learned from answers.
+/// A limit learned from latencies.
 #[derive(Debug)]
 pub struct LearnedLimit {
     limit: u32,
@@ -93,13 +92,13 @@
     levels: Vec<Level>,
     fast: Mean,
     answers: u32,
-    trial: Trial,
-    next_down: bool,
+    probe: Probe,
+    probe_down_next: bool,
     shed_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trial {
+enum Probe {
     None,
     Up,
     Down,
@@ -127,13 +126,13 @@
 impl Default for LearnedLimit {
     fn default() -> LearnedLimit {
         LearnedLimit {
-            limit: FIRST_LIMIT,
+            limit: INITIAL_LIMIT,
             climbing: true,
             levels: Vec::new(),
             fast: Mean::default(),
             answers: 0,
-            trial: Trial::None,
-            next_down: false,
+            probe: Probe::None,
+            probe_down_next: false,
             shed_at: None,
         }
     }
@@ -141,38 +140,38 @@
 
 impl Limit for LearnedLimit {
     fn allowed(&self) -> u32 {
-        match self.trial {
-            Trial::None => self.limit,
-            Trial::Up => (self.limit + 1).min(MOST),
-            Trial::Down => (self.limit - 1).max(1),
+        match self.probe {
+            Probe::None => self.limit,
+            Probe::Up => (self.limit + 1).min(MAX_LIMIT),
+            Probe::Down => (self.limit - 1).max(1),
         }
     }
 
     fn on_start(&mut self, level: u32) {
-        // One call at the neighbouring level is enough for a trial.
-        let done = match self.trial {
-            Trial::None => false,
-            Trial::Up => level > self.limit,
-            Trial::Down => level + 1 >= self.limit,
+        // A single call at the neighbouring level completes a probe.
+        let done = match self.probe {
+            Probe::None => false,
+            Probe::Up => level > self.limit,
+            Probe::Down => level + 1 >= self.limit,
         };
         if done {
-            self.trial = Trial::None;
+            self.probe = Probe::None;
         }
     }
 
     fn on_answer(&mut self, level: u32, latency: Duration, now: Instant) {
         let sample = self.clip(latency.as_secs_f64());
         self.add_sample(level, sample, now);
-        self.detect_jump(level, sample, now);
+        self.reset_on_jump(level, sample, now);
         if self.climbing {
             self.climb(now);
             return;
         }
-        self.settle(now);
+        self.adjust(now);
         self.answers += 1;
-        if self.answers >= TRIAL_EVERY {
+        if self.answers >= PROBE_INTERVAL {
             self.answers = 0;
-            self.start_trial(now);
+            self.start_probe(now);
         }
     }
 
@@ -182,7 +181,7 @@
         }
         self.shed_at = Some(now);
         self.climbing = false;
-        self.trial = Trial::None;
+        self.probe = Probe::None;
         self.limit = self.limit.min(level.saturating_sub(1)).max(1);
     }
 }
@@ -192,35 +191,35 @@
         if self.fast.count < FAST_MEMORY / 2.0 {
             return sample;
         }
-        sample.min(self.fast.value * CLIP)
+        sample.min(self.fast.value * CLIP_FACTOR)
     }
 
     fn add_sample(&mut self, level: u32, sample: f64, now: Instant) {
-        let index = level.min(MOST + 1) as usize;
+        let index = level.min(MAX_LIMIT + 1) as usize;
         if self.levels.len() <= index {
             self.levels.resize(index + 1, Level::default());
         }
-        let memory = needed(level).max(128.0);
+        let memory = min_samples(level).max(128.0);
         self.levels[index].mean.add(sample, memory);
         self.levels[index].at = Some(now);
     }
 
-    /// Starts afresh once latency at the usual level has jumped.
+    /// Restarts learning after a jump of the latency at the current limit.
     ///
-    /// Slots that a target loses show as a jump at the level we hold it at. The
-    /// lower levels, by which the slots are told, aren't met under load, so the
-    /// old means would keep the limit too high for minutes.
-    fn detect_jump(&mut self, level: u32, sample: f64, now: Instant) {
+    /// Slots lost by a target appear as such a jump. The lower levels, which would reveal the
+    /// number of slots, do not occur under load, so the old means would keep the limit too high for
+    /// minutes.
+    fn reset_on_jump(&mut self, level: u32, sample: f64, now: Instant) {
         if level > self.limit {
             return;
         }
         self.fast.add(sample, FAST_MEMORY);
-        let slow = self.base(self.limit + 1, now);
+        let slow = self.baseline(self.limit + 1, now);
         let known = self.fast.count >= FAST_MEMORY && !self.climbing;
         let Some(slow) = slow.filter(|_| known) else {
             return;
         };
-        if self.fast.value < slow * JUMP {
+        if self.fast.value < slow * JUMP_FACTOR {
             return;
         }
         let limit = (self.limit / 2).max(1);
@@ -228,71 +227,71 @@
         *self = LearnedLimit { limit, shed_at, ..LearnedLimit::default() };
     }
 
-    /// Raises the limit level by level until calls begin to wait.
+    /// Raises the limit level by level until calls queue.
     fn climb(&mut self, now: Instant) {
         let count = self.levels.get(self.limit as usize).map_or(0.0, |level| level.mean.count);
-        if count < needed(self.limit) {
+        if count < min_samples(self.limit) {
             return;
         }
-        match self.waits(self.limit, 0.5, now) {
+        match self.is_queueing(self.limit, 0.5, now) {
             Some(true) => {
                 self.limit = (self.limit - 1).max(1);
                 self.climbing = false;
             }
-            Some(false) if self.limit < MOST => self.limit += 1,
+            Some(false) if self.limit < MAX_LIMIT => self.limit += 1,
             Some(false) => self.climbing = false,
-            // The level below was never met, so nothing can be told yet.
+            // The level below never occurred, so queueing cannot be detected yet.
             None if self.limit == 1 => self.limit = 2,
-            None => self.trial = Trial::Down,
+            None => self.probe = Probe::Down,
         }
     }
 
-    /// Moves the limit by one if the means of its neighbours say so.
-    fn settle(&mut self, now: Instant) {
-        // The two bounds differ, so that noise doesn't move the limit to and fro.
-        if self.waits(self.limit, 0.65, now) == Some(true) {
+    /// Moves the limit by one if the means of the neighbouring levels require it.
+    fn adjust(&mut self, now: Instant) {
+        // The thresholds differ, so that noise does not make the limit oscillate.
+        if self.is_queueing(self.limit, 0.65, now) == Some(true) {
             self.limit = (self.limit - 1).max(1);
             return;
         }
-        if self.limit < MOST && self.waits(self.limit + 1, 0.35, now) == Some(false) {
+        if self.limit < MAX_LIMIT && self.is_queueing(self.limit + 1, 0.35, now) == Some(false) {
             self.limit += 1;
         }
     }
 
-    fn start_trial(&mut self, now: Instant) {
-        self.next_down = !self.next_down;
+    fn start_probe(&mut self, now: Instant) {
+        self.probe_down_next = !self.probe_down_next;
         let shed = self.shed_at.is_some_and(|at| now.saturating_duration_since(at) < SHED_PAUSE);
-        self.trial = match self.next_down {
-            true if self.limit > 1 && self.is_stale(self.limit - 1, now) => Trial::Down,
-            _ if shed => Trial::None,
-            _ => Trial::Up,
+        self.probe = match self.probe_down_next {
+            true if self.limit > 1 && self.is_stale(self.limit - 1, now) => Probe::Down,
+            _ if shed => Probe::None,
+            _ => Probe::Up,
         };
     }
 
-    /// Whether `level` was not met lately.
+    /// Whether `level` has not occurred recently.
     ///
-    /// Holding calls back to meet it costs them time, so that is left to loads
-    /// under which it never comes about by itself.
+    /// A probe downwards delays calls, so it is reserved for loads under which the level never
+    /// occurs by itself.
     fn is_stale(&self, level: u32, now: Instant) -> bool {
         let at = self.levels.get(level as usize).and_then(|level| level.at);
-        at.is_none_or(|at| now.saturating_duration_since(at) > STALE)
+        at.is_none_or(|at| now.saturating_duration_since(at) > STALE_AFTER)
     }
 
-    /// Whether calls at `level` wait for a slot; `None` if that can't be told yet.
+    /// Whether calls at `level` queue for a slot; `None` if that is not known yet.
     ///
-    /// `bound` is the part of the growth by waiting that counts as waiting.
-    fn waits(&self, level: u32, bound: f64, now: Instant) -> Option<bool> {
+    /// `bound` is the fraction of the growth by queueing that counts as queueing.
+    fn is_queueing(&self, level: u32, bound: f64, now: Instant) -> Option<bool> {
         let top = self.levels.get(level as usize)?;
-        if level < 2 || top.mean.count < needed(level) {
+        if level < 2 || top.mean.count < min_samples(level) {
             return None;
         }
-        let base = self.base(level, now)?;
+        let baseline = self.baseline(level, now)?;
         let growth = 1.0 / f64::from(level - 1);
-        Some(top.mean.value > base * (1.0 + bound * growth))
+        Some(top.mean.value > baseline * (1.0 + bound * growth))
     }
 
-    /// The mean latency below `level`, recent levels counting more.
-    fn base(&self, level: u32, now: Instant) -> Option<f64> {
+    /// Mean latency below `level`, weighted towards recent levels.
+    fn baseline(&self, level: u32, now: Instant) -> Option<f64> {
         let mut sum = 0.0;
         let mut weight = 0.0;
         let mut count = 0.0;
@@ -304,16 +303,16 @@
             weight += part;
             count += lower.mean.count;
         }
-        let least = needed(level).min(16.0);
+        let least = min_samples(level).min(16.0);
         (count >= least && weight > 0.0).then(|| sum / weight)
     }
 }
 
-/// The answers at `level` after which its mean is trusted.
+/// Number of answers at `level` after which its mean is reliable.
 ///
-/// Waiting adds a part of `1 / (level - 1)`, so the error of the mean has to
-/// shrink with the level; it shrinks with the root of the answers.
-fn needed(level: u32) -> f64 {
+/// Queueing adds a fraction of `1 / (level - 1)`, so the error of the mean must shrink as the level
+/// grows; it shrinks with the square root of the number of answers.
+fn min_samples(level: u32) -> f64 {
     let gap = f64::from(level.max(2) - 1);
-    (8.0 * gap * gap).clamp(16.0, MEMORY)
+    (8.0 * gap * gap).clamp(16.0, MAX_MEMORY)
 }
--- a/crates/kumquatnotch-policy/src/queue.rs
+++ b/crates/kumquatnotch-policy/src/queue.rs
@@ -1,7 +1,7 @@
-//! Who waits for a slot, in which order, and who is refused at once.
+//! Wait queues: the order in which requests get slots, and which are refused at once.
 //!
-//! Replicas have so few slots that the queue belongs on this side, where it can
-//! be ordered: [`crate::fair`] has the one in use.
+//! Replicas have so few slots that queueing is better done on this side, where the queue can be
+//! ordered. The implementation in use is in [`crate::fair`].
 
 use std::{
     collections::VecDeque,
@@ -13,73 +13,81 @@
 /// A request that waits for a slot.
 #[derive(Clone, Debug)]
 pub struct Waiter {
-    /// Its number, unique in the queue and growing.
+    /// Number of the request, unique in the queue and increasing.
     pub id: u64,
     /// Its class.
     pub class: Class,
     /// Its tenant.
     pub tenant: TenantName,
-    /// The share of its tenant.
+    /// Weight of its tenant.
     pub weight: u32,
-    /// When it came.
+    /// When it arrived.
     pub since: Instant,
-    /// The latest time at which it is of use.
+    /// Latest time at which it is of use.
     pub deadline: Instant,
 }
 
-/// How fast the replicas of the queue work.
+/// Service rate of the queue's replicas.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    /// Their slots.
+pub struct ServiceRate {
+    /// Number of slots.
     pub slots: u32,
-    /// The time a call takes.
+    /// Service time of a call.
     pub service: Duration,
 }
 
-/// The place at which a waiter is offered a slot.
+/// The conditions under which a waiter is offered a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
-    /// The waiters before it that could not use the slot.
+pub struct SlotOffer {
+    /// Number of waiters before it that could not use the slot.
     pub ahead: usize,
-    /// Whether it is its class's assured share.
-    pub assured: bool,
+    /// Whether the slot is part of the guaranteed share of its class.
+    pub guaranteed: bool,
 }
 
-/// The waiters of one shard.
+/// Queue of the requests for one shard.
 pub trait WaitQueue {
-    /// The time that a request of this class and tenant would wait.
-    fn expected_wait(&self, class: Class, tenant: &TenantName, weight: u32, pace: Pace)
-    -> Duration;
+    /// Expected wait of a request of this class and tenant.
+    fn expected_wait(
+        &self,
+        class: Class,
+        tenant: &TenantName,
+        weight: u32,
+        rate: ServiceRate,
+    ) -> Duration;
 
-    /// Refuses `waiter` if it should not wait.
-    fn admit(&self, waiter: &Waiter, pace: Pace, now: Instant) -> Result<()>;
+    /// Refuses `waiter` if it should not be queued.
+    fn admit(&self, waiter: &Waiter, rate: ServiceRate, now: Instant) -> Result<()>;
 
-    /// Lets `waiter` wait.
+    /// Adds `waiter` to the queue.
     fn push(&mut self, waiter: Waiter);
 
-    /// Takes the next waiter for which `fits` holds, offered in order.
-    fn take(&mut self, now: Instant, fits: &mut dyn FnMut(&Waiter, Turn) -> bool)
-    -> Option<Waiter>;
+    /// Takes the first waiter, in order, for which `fits` returns true.
+    fn take(
+        &mut self,
+        now: Instant,
+        fits: &mut dyn FnMut(&Waiter, SlotOffer) -> bool,
+    ) -> Option<Waiter>;
 
-    /// Removes a waiter; false if it waits no more.
+    /// Removes a waiter; false if it is not queued any more.
     fn remove(&mut self, waiter: &Waiter) -> bool;
 
-    /// Removes those whose deadline has passed.
+    /// Removes and returns the waiters whose deadline has passed.
     fn expire(&mut self, now: Instant) -> Vec<Waiter>;
 
-    /// How many wait.
+    /// Number of waiters.
     fn len(&self) -> usize;
 
-    /// Whether nobody waits.
+    /// Whether the queue is empty.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// The most waiters that are offered one slot.
-pub(crate) const MOST_OFFERS: usize = 32;
+/// Maximum number of waiters that are offered one slot.
+pub(crate) const MAX_OFFERS: usize = 32;
 
-/// First come, first served, without a bound: the baseline.
+/// An unbounded FIFO queue. The baseline.
 #[derive(Debug, Default)]
 pub struct FifoQueue {
     waiters: VecDeque<Waiter>,
@@ -91,12 +99,12 @@
         _class: Class,
         _tenant: &TenantName,
         _weight: u32,
-        _pace: Pace,
+        _rate: ServiceRate,
     ) -> Duration {
         Duration::ZERO
     }
 
-    fn admit(&self, _waiter: &Waiter, _pace: Pace, _now: Instant) -> Result<()> {
+    fn admit(&self, _waiter: &Waiter, _rate: ServiceRate, _now: Instant) -> Result<()> {
         Ok(())
     }
 
@@ -107,11 +115,11 @@
     fn take(
         &mut self,
         _now: Instant,
-        fits: &mut dyn FnMut(&Waiter, Turn) -> bool,
+        fits: &mut dyn FnMut(&Waiter, SlotOffer) -> bool,
     ) -> Option<Waiter> {
-        let offers = self.waiters.iter().enumerate().take(MOST_OFFERS);
+        let offers = self.waiters.iter().enumerate().take(MAX_OFFERS);
         let found = offers
-            .filter(|(ahead, waiter)| fits(waiter, Turn { ahead: *ahead, assured: false }))
+            .filter(|(ahead, waiter)| fits(waiter, SlotOffer { ahead: *ahead, guaranteed: false }))
             .map(|(index, _)| index)
             .next()?;
         self.waiters.remove(found)
@@ -125,10 +133,10 @@
 
     fn expire(&mut self, now: Instant) -> Vec<Waiter> {
         let waiters = std::mem::take(&mut self.waiters);
-        let (gone, left): (VecDeque<Waiter>, VecDeque<Waiter>) =
+        let (expired, left): (VecDeque<Waiter>, VecDeque<Waiter>) =
             waiters.into_iter().partition(|waiter| waiter.deadline <= now);
         self.waiters = left;
-        gone.into()
+        expired.into()
     }
 
     fn len(&self) -> usize {
--- a/crates/kumquatnotch-policy/src/weights.rs
+++ b/crates/kumquatnotch-policy/src/weights.rs
@@ -1,7 +1,7 @@
-//! Sharing out requests among services by weight.
+//! Weighted distribution of requests among services.
 //!
-//! Each request goes to the service that is furthest behind its share, so that
-//! the shares hold over any few dozen requests and not only on average.
+//! Each request goes to the service that is furthest behind its share, so that the shares hold over
+//! any few dozen requests and not only on average.
 
 use std::cell::RefCell;
 
@@ -10,23 +10,23 @@
     ids::{RouteName, ServiceName},
 };
 
-/// One of the services among which requests are shared out.
+/// A service with its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
     /// The service.
     pub name: ServiceName,
-    /// Its weight, of any unit.
+    /// Weight, relative to the other services.
     pub weight: f64,
 }
 
-/// How far each service of each route is behind its share.
+/// Deficit of each service of each route against its share.
 #[derive(Debug, Default)]
 pub struct Weights {
-    behind: RefCell<HashMap<(RouteName, ServiceName), f64>>,
+    deficits: RefCell<HashMap<(RouteName, ServiceName), f64>>,
 }
 
 impl Weights {
-    /// The service for the next request of a route; `None` if no weight is positive.
+    /// Selects the service for the next request of a route; `None` if no weight is positive.
     pub fn pick<'a>(
         &self,
         route: &RouteName,
@@ -36,19 +36,19 @@
         if total <= 0.0 {
             return None;
         }
-        let mut behind = self.behind.borrow_mut();
+        let mut deficits = self.deficits.borrow_mut();
         let mut best: Option<(f64, &ServiceName)> = None;
         for service in services.iter().filter(|service| service.weight > 0.0) {
             let key = (route.clone(), service.name.clone());
-            let owed = behind.entry(key).or_default();
-            *owed += service.weight / total;
-            if best.is_none_or(|(most, _)| *owed > most) {
-                best = Some((*owed, &service.name));
+            let deficit = deficits.entry(key).or_default();
+            *deficit += service.weight / total;
+            if best.is_none_or(|(most, _)| *deficit > most) {
+                best = Some((*deficit, &service.name));
             }
         }
         let (_, name) = best?;
-        if let Some(owed) = behind.get_mut(&(route.clone(), name.clone())) {
-            *owed -= 1.0;
+        if let Some(deficit) = deficits.get_mut(&(route.clone(), name.clone())) {
+            *deficit -= 1.0;
         }
         Some(name)
     }
--- a/crates/kumquatnotch-policy/tests/answer_time.rs
+++ b/crates/kumquatnotch-policy/tests/answer_time.rs
@@ -1,15 +1,14 @@
-//! For how long an answer is waited for, at callers and nodes of any kind.
+//! Tests of the time that an answer is waited for.
 //!
-//! The pattern: callers 0.5 to 40 ms away, who look up nodes before most requests; nodes that
-//! are idle or busy. An answer is given when it would otherwise be late for its caller. What
-//! is reserved for the ways and the node must follow what was measured, by a factor of ten in
-//! each direction from what is assumed at first.
+//! Callers are 0.5 to 40 ms away and look up nodes before most requests; nodes are idle or busy.
+//! The time reserved for round trips and for the lag of the node must follow the measurements, up
+//! to a factor of ten in each direction from the initial assumptions.
 
 use std::time::Duration;
 
 use kumquatnotch_policy::{
     answer_time::{self, Due, Origin},
-    caller_trips::CallerTrips,
+    caller_rtt::CallerRtt,
     lags::Lags,
 };
 use yare::parameterized;
@@ -18,10 +17,10 @@
     Duration::from_millis(millis)
 }
 
-fn trips(measured: &[Duration]) -> CallerTrips {
-    let trips = CallerTrips::default();
-    measured.iter().for_each(|trip| trips.note(*trip));
-    trips
+fn caller_rtt(measured: &[Duration]) -> CallerRtt {
+    let caller_rtt = CallerRtt::default();
+    measured.iter().for_each(|trip| caller_rtt.note(*trip));
+    caller_rtt
 }
 
 #[parameterized(
@@ -30,25 +29,25 @@
     far = { 80_000, 300 },
     few_are_busy = { 2_000, 25 },
 )]
-fn the_way_of_callers_is_learned(usual_us: u64, busy_every: usize) {
+fn the_caller_round_trip_is_learned(usual_us: u64, busy_every: usize) {
     let usual = Duration::from_micros(usual_us);
     let measured: Vec<Duration> =
         (1..=200).map(|index| if index % busy_every == 0 { ms(400) } else { usual }).collect();
 
-    assert_eq!(trips(&measured).usual(), usual);
+    assert_eq!(caller_rtt(&measured).usual(), usual);
 }
 
 #[test]
-fn few_measurements_are_not_believed() {
-    assert_eq!(trips(&[ms(1); 4]).usual(), trips(&[]).usual());
+fn the_initial_round_trip_is_used_until_enough_samples() {
+    assert_eq!(caller_rtt(&[ms(1); 4]).usual(), caller_rtt(&[]).usual());
 }
 
-/// Callers move: the way of before is forgotten after the last sixty-four of them.
+/// When callers move, the old round trip must be forgotten after sixty-four samples.
 #[test]
-fn a_way_that_changes_is_learned_anew() {
+fn a_changed_round_trip_replaces_the_old_one() {
     let measured: Vec<Duration> = [[ms(2); 100], [ms(30); 100]].concat();
 
-    assert_eq!(trips(&measured).usual(), ms(30));
+    assert_eq!(caller_rtt(&measured).usual(), ms(30));
 }
 
 #[parameterized(idle = { 250 }, as_assumed = { 2_500 }, busy = { 25_000 })]
@@ -57,7 +56,7 @@
     let lag = Duration::from_micros(lag_us);
 
     (0..100).for_each(|_| lags.note(lag));
-    // Late for lack of parts, which says nothing of the node.
+    // Late for lack of parts, which does not reflect the lag of the node.
     (0..100).for_each(|_| lags.note(ms(200)));
 
     assert_eq!(lags.usual(), lag);
@@ -69,28 +68,29 @@
     busy = { 250, 2, 10, false, 214 },
     far = { 250, 40, 1, false, 127 },
     short_objective = { 60, 2, 1, false, 51 },
-    way_over_the_objective = { 60, 80, 1, false, 24 },
+    round_trip_over_the_objective = { 60, 80, 1, false, 24 },
     long_objective = { 3_000, 6, 2, false, 2_976 },
 )]
-fn what_callers_and_the_node_need_comes_off_the_objective(
+fn round_trips_and_lag_are_deducted_from_the_objective(
     objective: u64,
     trip: u64,
     lag: u64,
     is_first: bool,
     waited: u64,
 ) {
-    let origin = Origin { trip: ms(trip), way: Duration::ZERO, lag: ms(lag), is_first };
+    let origin =
+        Origin { round_trip: ms(trip), remote_round_trip: Duration::ZERO, lag: ms(lag), is_first };
 
-    assert_eq!(answer_time::waiting(ms(objective), origin), ms(waited));
+    assert_eq!(answer_time::time_to_answer(ms(objective), origin), ms(waited));
 }
 
-/// A caller comes again after most of its time: the answer can't be in time any more, and
-/// gets as long as that of a caller that comes first.
+/// A caller that retries after most of its time cannot be answered in time any more; it is given as
+/// long as a first-time caller.
 #[parameterized(
     first = { 0, 200, false },
     a_little_later = { 60, 140, false },
     too_late = { 120, 200, true },
 )]
-fn a_caller_that_comes_again_has_what_is_left(waited: u64, within: u64, is_returning: bool) {
+fn a_returning_caller_gets_the_remaining_time(waited: u64, within: u64, is_returning: bool) {
     assert_eq!(Due::new(ms(200), ms(waited)), Due { within: ms(within), is_returning });
 }
--- a/crates/kumquatnotch-route/src/announce.rs
+++ b/crates/kumquatnotch-route/src/announce.rs
@@ -118,7 +118,7 @@
 
     /// Whether other nodes need the entry: to use this node, or to learn of crashes.
     fn is_needed(&self) -> bool {
-        !self.router.is_standby() || !self.router.crashes.told().is_empty()
+        !self.router.is_standby() || !self.router.crashes.published().is_empty()
     }
 
     async fn announce(&self) -> Result<StoreLease> {
@@ -179,7 +179,7 @@
 
     /// Publishes the observed crashes to the other nodes, if they differ from those `published`.
     async fn publish_crashes(&self, lease: StoreLease, published: &mut Vec<Crash>) {
-        let crashes = self.router.crashes.told();
+        let crashes = self.router.crashes.published();
         if crashes == *published {
             return;
         }
--- a/crates/kumquatnotch-route/src/fleet.rs
+++ b/crates/kumquatnotch-route/src/fleet.rs
@@ -13,7 +13,7 @@
 };
 use kumquatnotch_policy::{
     distances::Distances,
-    placement::{self, NodePlace},
+    placement::{self, NodeLocation},
 };
 use serde::{Deserialize, Serialize};
 
@@ -48,8 +48,8 @@
 
 impl NodeRecord {
     /// Returns the properties of the node that advice depends on.
-    pub fn place(&self) -> NodePlace<'_> {
-        NodePlace { centre: &self.centre, region: &self.region, capacity: self.capacity }
+    pub fn place(&self) -> NodeLocation<'_> {
+        NodeLocation { centre: &self.centre, region: &self.region, capacity: self.capacity }
     }
 }
 
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -142,7 +142,7 @@
         let need = router.need(&single());
         let replicas = router.directory.of(&service("s0"));
         let now = router.clock.now();
-        assert!(replicas.iter().all(|replica| replica.rate(need, now).is_good()));
+        assert!(replicas.iter().all(|replica| replica.rate(need, now).is_healthy()));
         assert_eq!(replicas.len(), 2);
     });
 }
