--- a/crates/kumquatnotch-member/examples/members.rs
+++ b/crates/kumquatnotch-member/examples/members.rs
@@ -17,10 +17,10 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// How long the steady state is watched.
-const STEADY: Duration = Duration::from_secs(60);
+const STEADY_SPAN: Duration = Duration::from_secs(60);
 
 /// How long the messages of one change are counted.
-const SETTLING: Duration = Duration::from_secs(30);
+const SETTLE_TIME: Duration = Duration::from_secs(30);
 
 /// How many changes of the document are timed.
 const CHANGES: u64 = 5;
@@ -83,13 +83,13 @@
     world.platform.publish(1, targets);
     (0..count).for_each(|number| drop(world.add_configured(number)));
     let ready = || world.has_converged() && world.all_have(1);
-    let start = world.wait(60 * SECOND, ready).await;
+    let start = world.wait_until(60 * SECOND, ready).await;
     // The changes of the start have been sent as often as they are.
-    world.pass(60 * SECOND + SECOND * count as u32).await;
+    world.sleep(60 * SECOND + SECOND * count as u32).await;
 
     let calls = world.platform.calls.get();
-    let steady = watch(&world, STEADY).await;
-    let calls = (world.platform.calls.get() - calls) as f64 / STEADY.as_secs_f64();
+    let steady = watch(&world, STEADY_SPAN).await;
+    let calls = (world.platform.calls.get() - calls) as f64 / STEADY_SPAN.as_secs_f64();
     let ages = world.nodes.borrow().iter().map(|node| node.members.confirmed().age_ms).max();
     let ages = ages.flatten();
 
@@ -97,20 +97,20 @@
     let mut changes = Vec::new();
     for version in 2..2 + CHANGES {
         world.platform.publish(version, targets);
-        changes.extend(world.wait(60 * SECOND, || world.all_have(version)).await);
-        world.pass(SETTLING).await;
+        changes.extend(world.wait_until(60 * SECOND, || world.all_have(version)).await);
+        world.sleep(SETTLE_TIME).await;
     }
     let change = usage(&world).since(&before);
-    let span = SETTLING * CHANGES as u32 + changes.iter().sum::<Duration>();
-    let change = change.beyond(&steady, span);
+    let span = SETTLE_TIME * CHANGES as u32 + changes.iter().sum::<Duration>();
+    let change = change.excess(&steady, span);
 
     let victim = world.nodes.borrow()[count / 2].clone();
     let before = usage(&world);
     world.kill(&victim);
-    let gone = world.wait(60 * SECOND, || world.is_gone_everywhere(&victim.name)).await;
-    world.pass(SETTLING).await;
+    let gone = world.wait_until(60 * SECOND, || world.is_gone_everywhere(&victim.name)).await;
+    world.sleep(SETTLE_TIME).await;
     let death = usage(&world).since(&before);
-    let death = death.beyond(&steady, SETTLING + gone.unwrap_or_default());
+    let death = death.excess(&steady, SETTLE_TIME + gone.unwrap_or_default());
 
     let age = ages.unwrap_or_default();
     Row { count, start, steady, age, calls, changes, change, gone, death }
@@ -118,7 +118,7 @@
 
 async fn watch(world: &World, span: Duration) -> Usage {
     let before = usage(world);
-    world.pass(span).await;
+    world.sleep(span).await;
     usage(world).since(&before)
 }
 
@@ -144,12 +144,12 @@
     }
 
     /// What goes beyond the steady state for `span`.
-    fn beyond(&self, steady: &Usage, span: Duration) -> Usage {
-        let share = span.as_secs_f64() / STEADY.as_secs_f64();
-        let beyond = |all: u64, steady: u64| all.saturating_sub((steady as f64 * share) as u64);
+    fn excess(&self, steady: &Usage, span: Duration) -> Usage {
+        let share = span.as_secs_f64() / STEADY_SPAN.as_secs_f64();
+        let excess = |all: u64, steady: u64| all.saturating_sub((steady as f64 * share) as u64);
         Usage {
-            messages: beyond(self.messages, steady.messages),
-            bytes: beyond(self.bytes, steady.bytes),
+            messages: excess(self.messages, steady.messages),
+            bytes: excess(self.bytes, steady.bytes),
             cpu: self.cpu.saturating_sub(steady.cpu.mul_f64(share)),
         }
     }
@@ -157,7 +157,7 @@
 
 fn print(row: &Row) {
     let nodes = row.count as f64;
-    let each = nodes * STEADY.as_secs_f64();
+    let each = nodes * STEADY_SPAN.as_secs_f64();
     let seconds = |span: Option<Duration>| match span {
         Some(span) => format!("{:.1}", span.as_secs_f64()),
         None => "never".to_owned(),
--- a/crates/kumquatnotch-member/src/config_service.rs
+++ b/crates/kumquatnotch-member/src/config_service.rs
@@ -28,10 +28,10 @@
 
 use crate::{
     fetch::Wanted,
-    head_board::{HeadListener, InForce},
+    freeze_detector::{FreezeDetector, TICK_PERIOD},
+    head_state::{HeadListener, InForce},
     membership_service::{MEMBERSHIP, MembershipService},
     options::ConfigOptions,
-    pulse::{BEAT, Pulse},
     readers::Backoff,
     recheck::Gate,
     traffic,
@@ -47,16 +47,16 @@
     pub(crate) wanted: RefCell<Wanted>,
     pub(crate) values: RefCell<HashMap<Digest, Rc<StoredValue>>>,
     pub(crate) backoff: RefCell<Backoff>,
-    pub(crate) pulse: Pulse,
+    pub(crate) freeze_detector: FreezeDetector,
     pub(crate) gate: Gate,
     /// The view by which the readers were ranked, and whether this node is one.
-    pub(crate) rank: Cell<(u64, bool)>,
+    pub(crate) reader_cache: Cell<(u64, bool)>,
     /// Rumours are only collected until the node has decided on its first document.
-    pub(crate) born: Cell<bool>,
+    pub(crate) bootstrapped: Cell<bool>,
     pub(crate) me: Weak<ConfigService>,
     document: RefCell<Option<Rc<Document>>>,
     /// The digests of the document in force and of the one before.
-    kept: RefCell<[HashSet<Digest>; 2]>,
+    retained: RefCell<[HashSet<Digest>; 2]>,
     lifecycle: Option<Lifecycle>,
 }
 
@@ -81,18 +81,18 @@
             wanted: RefCell::default(),
             values: RefCell::default(),
             backoff: RefCell::default(),
-            pulse: Pulse::new(now, options.freeze_limit),
+            freeze_detector: FreezeDetector::new(now, options.freeze_limit),
             gate: Gate::default(),
-            rank: Cell::default(),
-            born: Cell::new(false),
+            reader_cache: Cell::default(),
+            bootstrapped: Cell::new(false),
             me: me.clone(),
             document: RefCell::default(),
-            kept: RefCell::default(),
+            retained: RefCell::default(),
             lifecycle: registry.find(services::LIFECYCLE).ok(),
             clock,
             options,
         });
-        members.board.listen(service.me.clone());
+        members.head_state.set_listener(service.me.clone());
         registry.register::<Rc<dyn Documents>>(services::DOCUMENTS, service.clone());
         registry.register::<Rc<dyn PeerHandler>>(CONFIG_SERVICE, service.clone());
         Ok(service)
@@ -103,38 +103,38 @@
         let Some(me) = self.me.upgrade() else {
             return;
         };
-        self.pulse.beat(self.clock.now());
-        monoio::spawn(me.clone().run_pulse());
-        monoio::spawn(me.run_life());
+        self.freeze_detector.tick(self.clock.now());
+        monoio::spawn(me.clone().run_ticks());
+        monoio::spawn(me.run_config());
     }
 
     /// The version in force; zero for none.
     pub fn version(&self) -> ConfigVersion {
-        self.members.board.in_force().map(|state| state.version).unwrap_or_default()
+        self.members.head_state.in_force().map(|state| state.version).unwrap_or_default()
     }
 
     /// Whether the document in force may be served.
     ///
     /// False from a freeze of this process until peers or the platform were asked
     /// again, at most for the time that the options give.
-    pub fn is_fresh(&self) -> bool {
+    pub fn may_serve(&self) -> bool {
         let now = self.clock.now();
-        if self.pulse.is_late(now) {
+        if self.freeze_detector.is_overdue(now) {
             // A request may be handled before the task that notices the freeze runs.
-            self.gate.close(now + self.options.recheck_limit);
+            self.gate.close(now + self.options.recheck_timeout);
         }
         self.gate.is_open(now)
     }
 
     /// Puts a document in force if its version is above the present one.
     pub(crate) fn put_in_force(&self, state: InForce, manifest: &Manifest, document: Document) {
-        if !self.members.board.advance(state) {
+        if !self.members.head_state.advance(state) {
             return;
         }
         info!("config: version {} in force", state.version);
         metrics::gauge!("kumquatnotch_config_version").set(state.version.0 as f64);
         *self.document.borrow_mut() = Some(Rc::new(document));
-        self.drop_values(state.manifest, manifest);
+        self.drop_unused_values(state.manifest, manifest);
         if let Some(lifecycle) = &self.lifecycle {
             lifecycle.advance(Stage::Serving);
             if lifecycle.stage() == Stage::Serving {
@@ -149,22 +149,22 @@
     /// Drops the values that neither this document nor the one before has.
     ///
     /// Peers that were told of the earlier one may still be fetching it.
-    fn drop_values(&self, digest: Digest, manifest: &Manifest) {
+    fn drop_unused_values(&self, digest: Digest, manifest: &Manifest) {
         let digests: HashSet<Digest> = manifest.digests().chain([digest]).collect();
-        let mut kept = self.kept.borrow_mut();
-        kept.swap(0, 1);
-        kept[0] = digests;
+        let mut retained = self.retained.borrow_mut();
+        retained.swap(0, 1);
+        retained[0] = digests;
         let mut values = self.values.borrow_mut();
-        values.retain(|digest, _| kept.iter().any(|digests| digests.contains(digest)));
+        values.retain(|digest, _| retained.iter().any(|digests| digests.contains(digest)));
     }
 
     /// Notices freezes, and asks again after one.
-    async fn run_pulse(self: Rc<Self>) {
+    async fn run_ticks(self: Rc<Self>) {
         loop {
-            clock::sleep(&*self.clock, BEAT).await;
+            clock::sleep(&*self.clock, TICK_PERIOD).await;
             let now = self.clock.now();
-            if self.pulse.beat(now).is_some() {
-                self.gate.close(now + self.options.recheck_limit);
+            if self.freeze_detector.tick(now).is_some() {
+                self.gate.close(now + self.options.recheck_timeout);
             }
             if self.gate.take_request() {
                 monoio::spawn(self.clone().recheck());
@@ -172,9 +172,9 @@
         }
     }
 
-    async fn run_life(self: Rc<Self>) {
-        self.be_born().await;
-        self.run_readings().await;
+    async fn run_config(self: Rc<Self>) {
+        self.bootstrap().await;
+        self.run_reads().await;
     }
 
     fn answer_fetch(&self, digests: &[Digest]) -> Vec<StoredValue> {
@@ -195,7 +195,7 @@
 
 impl Documents for ConfigService {
     fn current(&self) -> Option<Rc<Document>> {
-        if !self.is_fresh() {
+        if !self.may_serve() {
             return None;
         }
         self.document.borrow().clone()
@@ -203,19 +203,19 @@
 }
 
 impl HeadListener for ConfigService {
-    fn heard(&self, head: HeadInfo, teller: SocketAddr, confirmed: Instant) {
-        self.wanted.borrow_mut().add(head, teller, confirmed);
-        if self.born.get() {
-            self.start_fetching();
+    fn on_head(&self, head: HeadInfo, sender: SocketAddr, confirmed: Instant) {
+        self.wanted.borrow_mut().add(head, sender, confirmed);
+        if self.bootstrapped.get() {
+            self.start_fetch();
         }
     }
 
-    fn is_wanting(&self) -> bool {
+    fn has_newer(&self) -> bool {
         self.wanted.borrow().version() > self.version()
     }
 
-    fn doubt(&self) {
-        self.gate.close(self.clock.now() + self.options.recheck_limit);
+    fn on_declared_gone(&self) {
+        self.gate.close(self.clock.now() + self.options.recheck_timeout);
     }
 }
 
@@ -225,7 +225,7 @@
             let reply = match message {
                 PeerMessage::Fetch(digests) => PeerReply::Values(self.answer_fetch(&digests)),
                 PeerMessage::ConfigState => {
-                    PeerReply::ConfigState(self.members.board.confirmation())
+                    PeerReply::ConfigState(self.members.head_state.confirmation())
                 }
                 _ => return Err(Error::protocol("not for configuration")),
             };
--- a/crates/kumquatnotch-member/src/deltas.rs
+++ b/crates/kumquatnotch-member/src/deltas.rs
@@ -13,19 +13,19 @@
     member::NodeRecord,
 };
 
-use crate::traffic::size;
+use crate::traffic::encoded_len;
 
 /// What a change is about.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Subject {
+pub(crate) enum DeltaKey {
     Node(NodeName),
     Mark(MarkKind),
 }
 
 /// The changes that wait, with how often each was sent.
 #[derive(Debug, Default)]
-pub(crate) struct Deltas {
-    waiting: HashMap<Subject, Delta>,
+pub(crate) struct DeltaQueue {
+    waiting: HashMap<DeltaKey, Delta>,
     serial: u64,
 }
 
@@ -39,107 +39,107 @@
 /// Changes picked for one message.
 #[derive(Debug, Default)]
 pub(crate) struct Picked {
-    pub(crate) subjects: Vec<Subject>,
+    pub(crate) keys: Vec<DeltaKey>,
     pub(crate) bytes: usize,
 }
 
-impl Deltas {
+impl DeltaQueue {
     /// Adds a changed record.
     pub(crate) fn add_node(&mut self, record: &NodeRecord) {
-        self.add(Subject::Node(record.name.clone()), size(record));
+        self.add(DeltaKey::Node(record.name.clone()), encoded_len(record));
     }
 
     /// Adds a changed mark.
-    pub(crate) fn add_mark(&mut self, news: &MarkUpdate) {
-        self.add(Subject::Mark(news.mark.kind.clone()), size(news));
+    pub(crate) fn add_mark(&mut self, update: &MarkUpdate) {
+        self.add(DeltaKey::Mark(update.mark.kind.clone()), encoded_len(update));
     }
 
-    /// Whether a change was sent fewer than `times` times.
-    pub(crate) fn is_hot(&self, times: u32) -> bool {
-        self.waiting.values().any(|delta| delta.sent < times)
+    /// Whether a change was sent fewer than `transmit_limit` transmit_limit.
+    pub(crate) fn has_fresh(&self, transmit_limit: u32) -> bool {
+        self.waiting.values().any(|delta| delta.sent < transmit_limit)
     }
 
     /// Notes that a peer sent what waits here too.
-    pub(crate) fn note_heard(&mut self, name: &NodeName, times: u32) {
-        self.note_sent(&Subject::Node(name.clone()), times);
+    pub(crate) fn note_received(&mut self, name: &NodeName, transmit_limit: u32) {
+        self.note_sent(&DeltaKey::Node(name.clone()), transmit_limit);
     }
 
-    /// Picks changes of at most `limit` bytes that were sent less than `below` times.
+    /// Picks changes of at most `limit` bytes that were sent less than `below` transmit_limit.
     ///
-    /// Each is dropped after `times` sendings.
-    pub(crate) fn pick(&mut self, limit: usize, below: u32, times: u32) -> Picked {
+    /// Each is dropped after `transmit_limit` sendings.
+    pub(crate) fn pick(&mut self, limit: usize, below: u32, transmit_limit: u32) -> Picked {
         if self.waiting.is_empty() || limit == 0 {
             return Picked::default();
         }
         // Of those sent as often, the newest goes first: older ones reached more nodes.
-        let mut order: Vec<(u32, u64, &Subject)> = self
+        let mut order: Vec<(u32, u64, &DeltaKey)> = self
             .waiting
             .iter()
             .filter(|(_, delta)| delta.sent < below)
-            .map(|(subject, delta)| (delta.sent, u64::MAX - delta.serial, subject))
+            .map(|(key, delta)| (delta.sent, u64::MAX - delta.serial, key))
             .collect();
         order.sort_unstable_by_key(|(sent, serial, _)| (*sent, *serial));
         let mut picked = Picked::default();
-        for (_, _, subject) in order {
-            let bytes = self.waiting[subject].bytes;
+        for (_, _, key) in order {
+            let bytes = self.waiting[key].bytes;
             if picked.bytes + bytes > limit {
                 break;
             }
             picked.bytes += bytes;
-            picked.subjects.push(subject.clone());
+            picked.keys.push(key.clone());
         }
-        for subject in &picked.subjects {
-            self.note_sent(subject, times);
+        for key in &picked.keys {
+            self.note_sent(key, transmit_limit);
         }
         picked
     }
 
-    fn add(&mut self, subject: Subject, bytes: usize) {
+    fn add(&mut self, key: DeltaKey, bytes: usize) {
         self.serial += 1;
         let delta = Delta { sent: 0, serial: self.serial, bytes };
-        self.waiting.insert(subject, delta);
+        self.waiting.insert(key, delta);
     }
 
-    fn note_sent(&mut self, subject: &Subject, times: u32) {
-        let Some(delta) = self.waiting.get_mut(subject) else {
+    fn note_sent(&mut self, key: &DeltaKey, transmit_limit: u32) {
+        let Some(delta) = self.waiting.get_mut(key) else {
             return;
         };
         delta.sent += 1;
-        if delta.sent >= times {
-            self.waiting.remove(subject);
+        if delta.sent >= transmit_limit {
+            self.waiting.remove(key);
         }
     }
 }
 
 /// An allowance of bytes that refills with time.
 #[derive(Debug)]
-pub(crate) struct Allowance {
-    left: f64,
+pub(crate) struct ByteBudget {
+    available: f64,
     rate: f64,
     burst: f64,
-    filled: std::time::Instant,
+    refilled: std::time::Instant,
 }
 
-impl Allowance {
-    pub(crate) fn new(rate: f64, burst: f64, now: std::time::Instant) -> Allowance {
-        Allowance { left: burst, rate, burst, filled: now }
+impl ByteBudget {
+    pub(crate) fn new(rate: f64, burst: f64, now: std::time::Instant) -> ByteBudget {
+        ByteBudget { available: burst, rate, burst, refilled: now }
     }
 
     /// The bytes left now.
-    pub(crate) fn left(&mut self, now: std::time::Instant) -> usize {
-        let span = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = now;
-        self.left = (self.left + span * self.rate).min(self.burst);
-        self.left.max(0.0) as usize
+    pub(crate) fn available(&mut self, now: std::time::Instant) -> usize {
+        let span = now.saturating_duration_since(self.refilled).as_secs_f64();
+        self.refilled = now;
+        self.available = (self.available + span * self.rate).min(self.burst);
+        self.available.max(0.0) as usize
     }
 
     /// Whether more than half of the burst is left, so that less urgent bytes may go.
-    pub(crate) fn is_ample(&self) -> bool {
-        self.left > self.burst / 2.0
+    pub(crate) fn is_half_full(&self) -> bool {
+        self.available > self.burst / 2.0
     }
 
     /// Takes `bytes`; it may go below zero.
     pub(crate) fn take(&mut self, bytes: usize) {
-        self.left -= bytes as f64;
+        self.available -= bytes as f64;
     }
 }
--- a/crates/kumquatnotch-member/src/exchange.rs
+++ b/crates/kumquatnotch-member/src/exchange.rs
@@ -32,33 +32,33 @@
 const MARK_LIMIT: usize = 64;
 
 /// How long a joining node waits between two rounds, at first and at last.
-const JOIN_GAPS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
+const JOIN_INTERVALS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
 /// The addresses tried in one round of joining.
-const JOIN_WIDTH: usize = 5;
+const JOIN_ADDRESS_LIMIT: usize = 5;
 
 /// The fewest seconds between two readings of the platform's list by one node.
 ///
 /// It grows with the nodes, so that all of them together read once a second.
-const LIST_GAP: Duration = Duration::from_secs(60);
+const VM_LIST_PERIOD: Duration = Duration::from_secs(60);
 
 impl MembershipService {
     /// Joins, then announces this node.
-    pub(crate) async fn run_joining(self: Rc<Self>) {
+    pub(crate) async fn run_join(self: Rc<Self>) {
         let start = self.clock.now();
-        let mut gap = JOIN_GAPS.0;
+        let mut gap = JOIN_INTERVALS.0;
         let mut addresses = self.options.seeds.clone();
-        while !self.join_round(&addresses).await && !self.is_due(start) {
+        while !self.join_round(&addresses).await && !self.has_waited(start) {
             clock::sleep(&*self.clock, self.random.jitter(gap)).await;
-            gap = (gap * 2).min(JOIN_GAPS.1);
+            gap = (gap * 2).min(JOIN_INTERVALS.1);
             addresses.extend(self.listed().await);
         }
         // Callers and peers should not meet a node without a document.
-        while self.awaits_document() && !self.is_due(start) {
-            clock::sleep(&*self.clock, JOIN_GAPS.0 / 10).await;
+        while self.awaits_document() && !self.has_waited(start) {
+            clock::sleep(&*self.clock, JOIN_INTERVALS.0 / 10).await;
         }
         self.announced.set(true);
-        self.spread_local();
+        self.queue_local_record();
         self.join_round(&addresses).await;
     }
 
@@ -67,10 +67,10 @@
     /// If no peer has one, as when all nodes start at once, this node must be
     /// known: the nodes share the readings of the platform by their number.
     fn awaits_document(&self) -> bool {
-        self.board.is_behind()
+        self.head_state.awaits_first_version()
     }
 
-    fn is_due(&self, start: std::time::Instant) -> bool {
+    fn has_waited(&self, start: std::time::Instant) -> bool {
         self.clock.now().saturating_duration_since(start) >= self.options.announce_wait
     }
 
@@ -83,7 +83,7 @@
         let mut gap = self.options.exchange_min;
         loop {
             clock::sleep(&*self.clock, self.random.jitter(gap)).await;
-            let empty = self.allowance.borrow_mut().left(self.clock.now()) == 0;
+            let empty = self.byte_budget.borrow_mut().available(self.clock.now()) == 0;
             let Some(peer) = self.pick_peers(1, |_| !empty).pop() else {
                 continue;
             };
@@ -96,20 +96,20 @@
     }
 
     /// Tries nodes that are gone or not known.
-    pub(crate) async fn run_reaching(self: Rc<Self>) {
+    pub(crate) async fn run_reconnects(self: Rc<Self>) {
         let mut listed = Vec::new();
-        let mut list_due = self.clock.now() + self.random.jitter(LIST_GAP);
+        let mut list_due = self.clock.now() + self.random.jitter(VM_LIST_PERIOD);
         loop {
             let alone = self.table.borrow().live_count() == 0;
-            let period = if alone { JOIN_GAPS.1 } else { self.options.reach_period };
+            let period = if alone { JOIN_INTERVALS.1 } else { self.options.reconnect_period };
             clock::sleep(&*self.clock, self.random.jitter(period)).await;
             if self.clock.now() >= list_due {
                 listed = self.listed().await;
                 let count = self.table.borrow().live_count() as u32;
-                let gap = LIST_GAP.max(Duration::from_secs(1) * count);
+                let gap = VM_LIST_PERIOD.max(Duration::from_secs(1) * count);
                 list_due = self.clock.now() + self.random.jitter(gap);
             }
-            if let Some(address) = self.unreached(&listed) {
+            if let Some(address) = self.pick_reconnect_address(&listed) {
                 let _ = self.exchange_with(address).await;
             }
         }
@@ -119,8 +119,8 @@
     pub(crate) async fn exchange_with(&self, address: SocketAddr) -> Result<Difference> {
         let known = self.table.borrow().live_count() > 0;
         let buckets = self.table.borrow().buckets();
-        let hash = if known { whole(&buckets) } else { EMPTY_HASH };
-        let to = self.table.borrow().at(address).map(|entry| entry.record.name.clone());
+        let hash = if known { table_hash(&buckets) } else { EMPTY_HASH };
+        let to = self.table.borrow().by_address(address).map(|entry| entry.record.name.clone());
         let mut gossip = self.gossip(to.as_deref(), false);
         self.add_marks(&mut gossip);
         let reply = self.exchange_step(address, Exchange { gossip, hash, buckets: vec![] }).await?;
@@ -134,15 +134,15 @@
         let buckets = self.table.borrow().buckets();
         let mut gossip = self.gossip(to.as_deref(), false);
         self.add_differing(&mut gossip, &buckets, &reply.buckets);
-        let hash = whole(&buckets);
+        let hash = table_hash(&buckets);
         self.exchange_step(address, Exchange { gossip, hash, buckets }).await?;
         Ok(Difference::Found)
     }
 
     pub(crate) fn answer_exchange(&self, exchange: Exchange) -> Exchange {
-        self.absorb(&exchange.gossip, None);
+        self.merge_gossip(&exchange.gossip, None);
         let buckets = self.table.borrow().buckets();
-        let hash = whole(&buckets);
+        let hash = table_hash(&buckets);
         let mut gossip = self.gossip(Some(&exchange.gossip.from), false);
         self.add_marks(&mut gossip);
         if exchange.hash == hash {
@@ -172,7 +172,7 @@
             return true;
         }
         self.random.shuffle(&mut others);
-        others.truncate(JOIN_WIDTH);
+        others.truncate(JOIN_ADDRESS_LIMIT);
         for address in others {
             if self.exchange_with(address).await.is_ok() {
                 return true;
@@ -194,13 +194,13 @@
     }
 
     /// A node that is gone, or an address at which none is known.
-    fn unreached(&self, listed: &[SocketAddr]) -> Option<SocketAddr> {
+    fn pick_reconnect_address(&self, listed: &[SocketAddr]) -> Option<SocketAddr> {
         let table = self.table.borrow();
         let gone = table.others().filter(|entry| entry.record.state == NodeState::Gone);
         let gone: Vec<SocketAddr> = gone.map(|entry| entry.record.peer).collect();
         let unknown: Vec<SocketAddr> = (self.options.seeds.iter().chain(listed))
             .copied()
-            .filter(|address| *address != self.options.peer && table.at(*address).is_none())
+            .filter(|address| *address != self.options.peer && table.by_address(*address).is_none())
             .collect();
         let first = if self.random.chance(0.5) { &gone } else { &unknown };
         let pool = if first.is_empty() && gone.is_empty() { &unknown } else { first };
@@ -224,8 +224,8 @@
             .collect();
         self.random.shuffle(&mut records);
         records.truncate(RECORD_LIMIT);
-        let bytes = records.iter().map(traffic::size).sum();
-        self.allowance.borrow_mut().take(bytes);
+        let bytes = records.iter().map(traffic::encoded_len).sum();
+        self.byte_budget.borrow_mut().take(bytes);
         gossip.nodes.extend(records);
     }
 
@@ -247,7 +247,7 @@
 }
 
 /// The hash of all buckets; never the one that asks for everything.
-fn whole(buckets: &[u32]) -> u64 {
+fn table_hash(buckets: &[u32]) -> u64 {
     let bytes: Vec<u8> = buckets.iter().flat_map(|bucket| bucket.to_be_bytes()).collect();
     stable_hash(&[&bytes]).max(EMPTY_HASH + 1)
 }
--- a/crates/kumquatnotch-member/src/pulse.rs
+++ b/crates/kumquatnotch-member/src/freeze_detector.rs
@@ -11,25 +11,25 @@
 };
 
 /// The time between two beats.
-pub(crate) const BEAT: Duration = Duration::from_millis(250);
+pub(crate) const TICK_PERIOD: Duration = Duration::from_millis(250);
 
 /// A beat that shows how late this process runs.
 #[derive(Debug)]
-pub(crate) struct Pulse {
+pub(crate) struct FreezeDetector {
     last: Cell<Instant>,
     limit: Duration,
     freezes: Cell<u64>,
 }
 
-impl Pulse {
-    pub(crate) fn new(now: Instant, limit: Duration) -> Pulse {
-        Pulse { last: Cell::new(now), limit, freezes: Cell::new(0) }
+impl FreezeDetector {
+    pub(crate) fn new(now: Instant, limit: Duration) -> FreezeDetector {
+        FreezeDetector { last: Cell::new(now), limit, freezes: Cell::new(0) }
     }
 
     /// Beats; the time lost, if the process was frozen since the last beat.
-    pub(crate) fn beat(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn tick(&self, now: Instant) -> Option<Duration> {
         let gap = now.saturating_duration_since(self.last.replace(now));
-        let lost = gap.saturating_sub(BEAT);
+        let lost = gap.saturating_sub(TICK_PERIOD);
         if lost <= self.limit {
             return None;
         }
@@ -38,8 +38,8 @@
     }
 
     /// Whether the process was frozen since the last beat, without a beat.
-    pub(crate) fn is_late(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.last.get()).saturating_sub(BEAT) > self.limit
+    pub(crate) fn is_overdue(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last.get()).saturating_sub(TICK_PERIOD) > self.limit
     }
 
     /// How many freezes were noticed.
--- a/crates/kumquatnotch-member/src/head_board.rs
+++ b/crates/kumquatnotch-member/src/head_state.rs
@@ -23,14 +23,14 @@
 
 /// Told of versions that are above the one in force.
 pub(crate) trait HeadListener {
-    /// A peer at `teller` has `head` in force, which was the newest at `confirmed`.
-    fn heard(&self, head: HeadInfo, teller: SocketAddr, confirmed: Instant);
+    /// A peer at `sender` has `head` in force, which was the newest at `confirmed`.
+    fn on_head(&self, head: HeadInfo, sender: SocketAddr, confirmed: Instant);
 
     /// Whether a version is known that is not in force here.
-    fn is_wanting(&self) -> bool;
+    fn has_newer(&self) -> bool;
 
     /// Others took this node as gone, so it may have missed changes.
-    fn doubt(&self);
+    fn on_declared_gone(&self);
 }
 
 /// The version in force on this node.
@@ -43,24 +43,24 @@
 }
 
 /// The version in force, shared by the two services.
-pub(crate) struct HeadBoard {
+pub(crate) struct HeadState {
     clock: Rc<dyn Clock>,
     state: Cell<Option<InForce>>,
     listener: RefCell<Option<Weak<dyn HeadListener>>>,
 }
 
-impl HeadBoard {
-    pub(crate) fn new(clock: Rc<dyn Clock>) -> HeadBoard {
-        HeadBoard { clock, state: Cell::new(None), listener: RefCell::new(None) }
+impl HeadState {
+    pub(crate) fn new(clock: Rc<dyn Clock>) -> HeadState {
+        HeadState { clock, state: Cell::new(None), listener: RefCell::new(None) }
     }
 
-    pub(crate) fn listen(&self, listener: Weak<dyn HeadListener>) {
+    pub(crate) fn set_listener(&self, listener: Weak<dyn HeadListener>) {
         *self.listener.borrow_mut() = Some(listener);
     }
 
     /// Whether peers have a version while there is none here.
-    pub(crate) fn is_behind(&self) -> bool {
-        self.state.get().is_none() && self.listener().is_some_and(|listener| listener.is_wanting())
+    pub(crate) fn awaits_first_version(&self) -> bool {
+        self.state.get().is_none() && self.listener().is_some_and(|listener| listener.has_newer())
     }
 
     pub(crate) fn in_force(&self) -> Option<InForce> {
@@ -87,19 +87,24 @@
         }
     }
 
-    /// Takes the head of a peer's message; `asked` is when the request for it was sent.
+    /// Takes the head of a peer's message; `sent_at` is when the request for it was sent.
     ///
     /// An age counts only in a reply, and from the request on: the time on the way
     /// is then in it. Counted from the arrival, each hop would make the
     /// confirmation younger by its delay, and as it goes round and round, by far
     /// more: in an outage of 120 s the age came out 5.5 s too low.
-    pub(crate) fn heard(&self, head: HeadInfo, teller: Option<SocketAddr>, asked: Option<Instant>) {
+    pub(crate) fn on_head(
+        &self,
+        head: HeadInfo,
+        sender: Option<SocketAddr>,
+        sent_at: Option<Instant>,
+    ) {
         let version = self.state.get().map(|state| state.version).unwrap_or_default();
-        let confirmed = asked.map(|asked| moment(asked, head.age_ms));
+        let confirmed = sent_at.map(|sent_at| instant_before(sent_at, head.age_ms));
         if head.version > version {
-            if let (Some(listener), Some(teller)) = (self.listener(), teller) {
-                let oldest = moment(self.clock.now(), u64::MAX);
-                listener.heard(head, teller, confirmed.unwrap_or(oldest));
+            if let (Some(listener), Some(sender)) = (self.listener(), sender) {
+                let oldest = instant_before(self.clock.now(), u64::MAX);
+                listener.on_head(head, sender, confirmed.unwrap_or(oldest));
             }
             return;
         }
@@ -109,14 +114,14 @@
     }
 
     /// Passes on that others took this node as gone.
-    pub(crate) fn doubt(&self) {
+    pub(crate) fn on_declared_gone(&self) {
         if let Some(listener) = self.listener() {
-            listener.doubt();
+            listener.on_declared_gone();
         }
     }
 
     /// The version in force as it is told to peers.
-    pub(crate) fn news(&self) -> HeadInfo {
+    pub(crate) fn head_info(&self) -> HeadInfo {
         match self.state.get() {
             Some(state) => HeadInfo {
                 version: state.version,
@@ -130,11 +135,11 @@
     }
 
     pub(crate) fn confirmation(&self) -> Confirmation {
-        let news = self.news();
+        let head = self.head_info();
         // A version that came without a confirmation has the oldest one there is.
-        let is_confirmed = u128::from(news.age_ms) < AGE_LIMIT.as_millis();
-        let age_ms = is_confirmed.then_some(news.age_ms);
-        Confirmation { version: news.version, age_ms }
+        let is_confirmed = u128::from(head.age_ms) < AGE_LIMIT.as_millis();
+        let age_ms = is_confirmed.then_some(head.age_ms);
+        Confirmation { version: head.version, age_ms }
     }
 
     fn age_ms(&self, state: InForce) -> u64 {
@@ -149,7 +154,7 @@
 }
 
 /// The moment that was `age_ms` before `now`.
-pub(crate) fn moment(now: Instant, age_ms: u64) -> Instant {
+pub(crate) fn instant_before(now: Instant, age_ms: u64) -> Instant {
     let age = Duration::from_millis(age_ms).min(AGE_LIMIT);
     now.checked_sub(age).unwrap_or(now)
 }
--- a/crates/kumquatnotch-member/src/incarnation.rs
+++ b/crates/kumquatnotch-member/src/incarnation.rs
@@ -14,13 +14,13 @@
 use kumquatnotch_core::{ids::Incarnation, random::Random};
 
 const RANDOM_BITS: u32 = 22;
-const STAMP_BITS: u32 = 42;
+const TIMESTAMP_BITS: u32 = 42;
 
 /// Draws the number of a life that starts at `wall_ms`, in milliseconds since 1970.
 pub fn draw_incarnation(wall_ms: u64, random: &Random) -> Incarnation {
-    let stamp = wall_ms & ((1 << STAMP_BITS) - 1);
-    let chance = random.number() & ((1 << RANDOM_BITS) - 1);
-    Incarnation(stamp << RANDOM_BITS | chance)
+    let timestamp = wall_ms & ((1 << TIMESTAMP_BITS) - 1);
+    let random_bits = random.number() & ((1 << RANDOM_BITS) - 1);
+    Incarnation(timestamp << RANDOM_BITS | random_bits)
 }
 
 /// Draws the number of a life that starts now.
@@ -30,8 +30,8 @@
     draw_incarnation(wall.as_millis() as u64, random)
 }
 
-/// A number just above `other`, with chance in it.
-pub(crate) fn above(other: Incarnation, random: &Random) -> Incarnation {
-    let chance = random.number() & ((1 << RANDOM_BITS) - 1);
-    Incarnation(((other.0 >> RANDOM_BITS) + 1) << RANDOM_BITS | chance)
+/// A number just above `other`, with random_bits in it.
+pub(crate) fn draw_above(other: Incarnation, random: &Random) -> Incarnation {
+    let random_bits = random.number() & ((1 << RANDOM_BITS) - 1);
+    Incarnation(((other.0 >> RANDOM_BITS) + 1) << RANDOM_BITS | random_bits)
 }
--- a/crates/kumquatnotch-member/src/mark_store.rs
+++ b/crates/kumquatnotch-member/src/mark_store.rs
@@ -25,21 +25,21 @@
 /// The marks by kind.
 #[derive(Debug)]
 pub(crate) struct MarkStore {
-    marks: HashMap<MarkKind, Held>,
+    marks: HashMap<MarkKind, StoredMark>,
     seen: HashMap<u64, Instant>,
     limit: usize,
-    life: Duration,
+    max_ttl: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct StoredMark {
     until: Instant,
     stamp: u64,
 }
 
 impl MarkStore {
-    pub(crate) fn new(limit: usize, life: Duration) -> MarkStore {
-        MarkStore { marks: HashMap::default(), seen: HashMap::default(), limit, life }
+    pub(crate) fn new(limit: usize, max_ttl: Duration) -> MarkStore {
+        MarkStore { marks: HashMap::default(), seen: HashMap::default(), limit, max_ttl }
     }
 
     /// Sets or renews a mark; what has to be told to others.
@@ -52,26 +52,26 @@
         if held >= asked.mul_f64(RENEWAL_SHARE) {
             return None;
         }
-        let news = MarkUpdate { mark: mark.clone(), stamp };
-        self.adopt(&news, now).then_some(news)
+        let update = MarkUpdate { mark: mark.clone(), stamp };
+        self.adopt(&update, now).then_some(update)
     }
 
     /// Adopts a mark of a peer; whether it is new and travels on.
-    pub(crate) fn adopt(&mut self, news: &MarkUpdate, now: Instant) -> bool {
-        if news.mark.left_ms == 0 || self.seen.contains_key(&news.stamp) {
+    pub(crate) fn adopt(&mut self, update: &MarkUpdate, now: Instant) -> bool {
+        if update.mark.left_ms == 0 || self.seen.contains_key(&update.stamp) {
             return false;
         }
-        let kind = &news.mark.kind;
+        let kind = &update.mark.kind;
         let full = self.marks.len() >= self.limit && !self.marks.contains_key(kind);
         if full {
             metrics::counter!("kumquatnotch_marks_refused_total").increment(1);
             return false;
         }
-        let until = now + self.capped(news.mark.left_ms);
-        self.seen.insert(news.stamp, until + STAMP_MEMORY);
+        let until = now + self.capped(update.mark.left_ms);
+        self.seen.insert(update.stamp, until + STAMP_MEMORY);
         let longer = self.marks.get(kind).is_none_or(|held| held.until < until);
         if longer {
-            self.marks.insert(kind.clone(), Held { until, stamp: news.stamp });
+            self.marks.insert(kind.clone(), StoredMark { until, stamp: update.stamp });
         }
         longer
     }
@@ -84,7 +84,7 @@
     }
 
     /// A mark as it is sent now.
-    pub(crate) fn news(&self, kind: &MarkKind, now: Instant) -> Option<MarkUpdate> {
+    pub(crate) fn update_for(&self, kind: &MarkKind, now: Instant) -> Option<MarkUpdate> {
         let stamp = self.marks.get(kind)?.stamp;
         let left_ms = self.left(kind, now)?.as_millis() as u64;
         Some(MarkUpdate { mark: Mark { kind: kind.clone(), left_ms }, stamp })
@@ -92,7 +92,7 @@
 
     /// Every mark as it is sent now.
     pub(crate) fn all(&self, now: Instant) -> Vec<MarkUpdate> {
-        self.marks.keys().filter_map(|kind| self.news(kind, now)).collect()
+        self.marks.keys().filter_map(|kind| self.update_for(kind, now)).collect()
     }
 
     /// Drops what has expired.
@@ -102,6 +102,6 @@
     }
 
     fn capped(&self, left_ms: u64) -> Duration {
-        Duration::from_millis(left_ms).min(self.life)
+        Duration::from_millis(left_ms).min(self.max_ttl)
     }
 }
--- a/crates/kumquatnotch-member/src/membership_service.rs
+++ b/crates/kumquatnotch-member/src/membership_service.rs
@@ -1,7 +1,7 @@
 //! The membership service: its state, its tasks and what other services see.
 //!
 //! The tasks are written in [`crate::probe`] (is each node there),
-//! [`crate::spread`] (changes on messages and pushed) and [`crate::exchange`]
+//! [`crate::gossip`] (changes on messages and pushed) and [`crate::exchange`]
 //! (joining, and finding what was missed).
 
 use std::{
@@ -25,13 +25,13 @@
 use tracing::{info, warn};
 
 use crate::{
-    deltas::{Allowance, Deltas},
-    head_board::HeadBoard,
+    deltas::{ByteBudget, DeltaQueue},
+    freeze_detector::{FreezeDetector, TICK_PERIOD},
+    head_state::HeadState,
     incarnation,
     mark_store::MarkStore,
     options::MembershipOptions,
     probe::Check,
-    pulse::{BEAT, Pulse},
     table::{Effect, Table},
     traffic,
 };
@@ -40,7 +40,7 @@
 pub const MEMBERSHIP: &str = "membership";
 
 /// How slow this node may take itself for, as a multiple of its time-outs.
-const HEALTH_LIMIT: u32 = 4;
+const MAX_HEALTH_SCORE: u32 = 4;
 
 /// How long a node that went without a word is listed as lost.
 ///
@@ -48,7 +48,7 @@
 /// waits for a change would be told that it is in force everywhere. Regions lose
 /// each other for minutes at a time; what is away for longer is dead in all
 /// likelihood, and a longer list would hide that with the dead of the whole day.
-const LOST_SPAN: Duration = Duration::from_secs(600);
+const LOST_RETENTION: Duration = Duration::from_secs(600);
 
 /// Keeps the list of nodes and spreads what all nodes share.
 pub struct MembershipService {
@@ -57,17 +57,17 @@
     pub(crate) random: Random,
     pub(crate) peers: Rc<dyn Peers>,
     pub(crate) store: Option<Rc<dyn Store>>,
-    pub(crate) board: HeadBoard,
+    pub(crate) head_state: HeadState,
     pub(crate) table: RefCell<Table>,
-    pub(crate) deltas: RefCell<Deltas>,
+    pub(crate) deltas: RefCell<DeltaQueue>,
     pub(crate) marks: RefCell<MarkStore>,
-    pub(crate) allowance: RefCell<Allowance>,
+    pub(crate) byte_budget: RefCell<ByteBudget>,
     pub(crate) checks: RefCell<VecDeque<Check>>,
-    pub(crate) pulse: Pulse,
+    pub(crate) freeze_detector: FreezeDetector,
     /// Zero if this node's own probes work; higher if they fail without a witness.
-    pub(crate) health: Cell<u32>,
+    pub(crate) health_score: Cell<u32>,
     pub(crate) announced: Cell<bool>,
-    outlived: Cell<bool>,
+    superseded: Cell<bool>,
     lifecycle: Option<Lifecycle>,
     me: Weak<MembershipService>,
 }
@@ -89,16 +89,20 @@
         let lifecycle: Option<Lifecycle> = registry.find(services::LIFECYCLE).ok();
         let local = local_record(&options, &random, lifecycle.is_none());
         let service = Rc::new_cyclic(|me| MembershipService {
-            board: HeadBoard::new(clock.clone()),
+            head_state: HeadState::new(clock.clone()),
             table: RefCell::new(Table::new(local, options.check_gone)),
             deltas: RefCell::default(),
-            marks: RefCell::new(MarkStore::new(options.mark_limit, options.mark_life)),
-            allowance: RefCell::new(Allowance::new(options.delta_rate, options.delta_burst, now)),
+            marks: RefCell::new(MarkStore::new(options.mark_limit, options.mark_ttl)),
+            byte_budget: RefCell::new(ByteBudget::new(
+                options.delta_rate,
+                options.delta_burst,
+                now,
+            )),
             checks: RefCell::default(),
-            pulse: Pulse::new(now, options.freeze_limit),
-            health: Cell::new(0),
+            freeze_detector: FreezeDetector::new(now, options.freeze_limit),
+            health_score: Cell::new(0),
             announced: Cell::new(false),
-            outlived: Cell::new(false),
+            superseded: Cell::new(false),
             store: registry.find(services::STORE).ok(),
             lifecycle,
             clock,
@@ -119,14 +123,14 @@
         let Some(me) = self.me.upgrade() else {
             return;
         };
-        self.pulse.beat(self.clock.now());
-        monoio::spawn(me.clone().run_pulse());
-        monoio::spawn(me.clone().run_joining());
+        self.freeze_detector.tick(self.clock.now());
+        monoio::spawn(me.clone().run_ticks());
+        monoio::spawn(me.clone().run_join());
         monoio::spawn(me.clone().run_probes());
         monoio::spawn(me.clone().run_checks());
         monoio::spawn(me.clone().run_pushes());
         monoio::spawn(me.clone().run_exchanges());
-        monoio::spawn(me.run_reaching());
+        monoio::spawn(me.run_reconnects());
     }
 
     /// Tells the others that this node has begun to serve, once.
@@ -138,7 +142,7 @@
             return;
         }
         info!("member: serving");
-        self.spread_local();
+        self.queue_local_record();
     }
 
     /// Tells the others that this node ends its work and takes no new callers.
@@ -147,28 +151,28 @@
             return;
         }
         info!("member: leaving");
-        self.table.borrow_mut().raise_local(Some(NodeState::Leaving));
-        self.spread_local();
+        self.table.borrow_mut().update_local(Some(NodeState::Leaving));
+        self.queue_local_record();
     }
 
     /// Tells the others that this process ends now.
-    pub async fn farewell(&self) {
+    pub async fn announce_shutdown(&self) {
         self.leave();
-        self.table.borrow_mut().raise_local(Some(NodeState::Gone));
-        self.spread_local();
+        self.table.borrow_mut().update_local(Some(NodeState::Gone));
+        self.queue_local_record();
         self.push_to(self.options.push_fanout * 2).await;
     }
 
     /// Whether a later process has this node's name or address.
     ///
     /// The program should then end its work and be started again.
-    pub fn is_outlived(&self) -> bool {
-        self.outlived.get()
+    pub fn is_superseded(&self) -> bool {
+        self.superseded.get()
     }
 
     /// How often this process was found to have been frozen.
     pub fn freezes(&self) -> u64 {
-        self.pulse.freezes()
+        self.freeze_detector.freezes()
     }
 
     /// Notices a freeze of this process; called before anything is judged.
@@ -176,40 +180,40 @@
     /// What peers did not answer meanwhile is no evidence against them, so the
     /// suspicions go on from here, and this node refutes what others may hold
     /// against it before it hears of it.
-    pub(crate) fn notice_freeze(&self) {
-        let Some(lost) = self.pulse.beat(self.clock.now()) else {
+    pub(crate) fn detect_freeze(&self) {
+        let Some(lost) = self.freeze_detector.tick(self.clock.now()) else {
             return;
         };
         warn!("member: frozen for {} ms", lost.as_millis());
         metrics::counter!("kumquatnotch_freezes_total").increment(1);
         let mut table = self.table.borrow_mut();
         table.extend_suspicions(lost);
-        table.raise_local(None);
+        table.update_local(None);
         drop(table);
-        self.spread_local();
+        self.queue_local_record();
     }
 
     /// Acts on what a report changed.
-    pub(crate) fn follow(&self, effect: Effect, news: &NodeRecord) {
+    pub(crate) fn apply_effect(&self, effect: Effect, report: &NodeRecord) {
         match effect {
             Effect::Stale => {}
-            Effect::Fresh => self.deltas.borrow_mut().add_node(news),
-            Effect::Doubtful => self.queue_check(Check::of_report(news.clone())),
+            Effect::Fresh => self.deltas.borrow_mut().add_node(report),
+            Effect::NeedsCheck => self.queue_check(Check::of_report(report.clone())),
             Effect::Refuted { gone } => {
                 metrics::counter!("kumquatnotch_refutations_total").increment(1);
-                self.note_health(false);
-                self.spread_local();
+                self.update_health_score(false);
+                self.queue_local_record();
                 if gone {
-                    self.board.doubt();
+                    self.head_state.on_declared_gone();
                 }
             }
             // The number must not change once others, and tickets, carry it.
-            Effect::Outlived(other) if !self.announced.get() => {
-                let number = incarnation::above(other, &self.random);
-                self.table.borrow_mut().renumber_local(number);
+            Effect::Superseded(other) if !self.announced.get() => {
+                let number = incarnation::draw_above(other, &self.random);
+                self.table.borrow_mut().set_local_incarnation(number);
             }
-            Effect::Outlived(_) => {
-                if !self.outlived.replace(true) {
+            Effect::Superseded(_) => {
+                if !self.superseded.replace(true) {
                     warn!("member: another process has this name or address");
                 }
             }
@@ -217,28 +221,29 @@
     }
 
     /// Lets this node's own time-outs grow while its probes fail for want of a witness.
-    pub(crate) fn note_health(&self, good: bool) {
-        let health = self.health.get();
-        self.health.set(if good {
-            health.saturating_sub(1)
+    pub(crate) fn update_health_score(&self, success: bool) {
+        let health_score = self.health_score.get();
+        self.health_score.set(if success {
+            health_score.saturating_sub(1)
         } else {
-            (health + 1).min(HEALTH_LIMIT)
+            (health_score + 1).min(MAX_HEALTH_SCORE)
         });
     }
 
     /// When a suspicion that begins now ends.
-    pub(crate) fn suspect_until(&self) -> Instant {
-        let span = self.options.probe_period.mul_f64(self.options.suspicion_factor * self.scale());
+    pub(crate) fn suspicion_deadline(&self) -> Instant {
+        let span =
+            self.options.probe_period.mul_f64(self.options.suspicion_factor * self.node_scale());
         self.clock.now() + span.max(self.options.suspicion_min)
     }
 
     /// log10 of the nodes, at least one.
-    pub(crate) fn scale(&self) -> f64 {
+    pub(crate) fn node_scale(&self) -> f64 {
         let count = self.table.borrow().live_count() + 2;
         (count as f64).log10().max(1.0)
     }
 
-    pub(crate) fn spread_local(&self) {
+    pub(crate) fn queue_local_record(&self) {
         if self.announced.get() {
             let local = self.table.borrow().local().clone();
             self.deltas.borrow_mut().add_node(&local);
@@ -246,12 +251,12 @@
     }
 
     /// Notices freezes and ends what is over.
-    async fn run_pulse(self: Rc<Self>) {
+    async fn run_ticks(self: Rc<Self>) {
         loop {
-            clock::sleep(&*self.clock, BEAT).await;
-            self.notice_freeze();
+            clock::sleep(&*self.clock, TICK_PERIOD).await;
+            self.detect_freeze();
             let now = self.clock.now();
-            self.end_suspicions(now);
+            self.expire_suspicions(now);
             self.marks.borrow_mut().expire(now);
             let stage = self.lifecycle.as_ref().map(Lifecycle::stage);
             match stage {
@@ -268,9 +273,9 @@
     /// suspicion ends it itself.
     /// Before that, each asks the suspect itself, once: it may have missed the
     /// refutation, which it then gets as the answer.
-    fn end_suspicions(&self, now: Instant) {
+    fn expire_suspicions(&self, now: Instant) {
         let mut table = self.table.borrow_mut();
-        for name in table.take_unasked(now + self.options.suspicion_min / 4) {
+        for name in table.take_expiring(now + self.options.suspicion_min / 4) {
             self.queue_check(Check::of_suspect(name));
         }
         for record in table.overdue(now) {
@@ -299,7 +304,7 @@
     }
 
     fn lost(&self) -> Vec<NodeRecord> {
-        let rest = self.options.forget_after.saturating_sub(LOST_SPAN);
+        let rest = self.options.forget_after.saturating_sub(LOST_RETENTION);
         self.table.borrow().lost(self.clock.now() + rest).cloned().collect()
     }
 
@@ -317,20 +322,20 @@
     }
 
     fn report_silent(&self, name: &NodeName) {
-        self.queue_check(Check::of_silence(name.clone()));
+        self.queue_check(Check::of_unresponsive(name.clone()));
     }
 
     fn confirmed(&self) -> Confirmation {
-        self.board.confirmation()
+        self.head_state.confirmation()
     }
 }
 
 impl Marks for MembershipService {
     fn set(&self, mark: Mark) {
         let stamp = self.random.number();
-        let news = self.marks.borrow_mut().set(&mark, stamp, self.clock.now());
-        if let Some(news) = news {
-            self.deltas.borrow_mut().add_mark(&news);
+        let update = self.marks.borrow_mut().set(&mark, stamp, self.clock.now());
+        if let Some(update) = update {
+            self.deltas.borrow_mut().add_mark(&update);
         }
     }
 
@@ -340,15 +345,15 @@
     }
 
     fn all(&self) -> Vec<Mark> {
-        let news = self.marks.borrow().all(self.clock.now());
-        news.into_iter().map(|news| news.mark).collect()
+        let updates = self.marks.borrow().all(self.clock.now());
+        updates.into_iter().map(|update| update.mark).collect()
     }
 }
 
 impl PeerHandler for MembershipService {
     fn handle(&self, message: PeerMessage) -> LocalFuture<'_, Result<PeerReply>> {
         Box::pin(async move {
-            self.notice_freeze();
+            self.detect_freeze();
             let reply = match message {
                 PeerMessage::Ping(gossip) => PeerReply::Ack(self.answer_ping(gossip)),
                 PeerMessage::News(gossip) => PeerReply::Ack(self.answer_news(gossip)),
--- a/crates/kumquatnotch-member/src/options.rs
+++ b/crates/kumquatnotch-member/src/options.rs
@@ -40,7 +40,7 @@
     /// Whether a node is suspected only if a helper answered in the same round.
     ///
     /// Off only in tests that show what happens without.
-    pub need_witness: bool,
+    pub require_helper: bool,
     /// Whether the word of others that a node is gone is checked by a probe first.
     ///
     /// Off only in tests that show what happens without.
@@ -50,7 +50,7 @@
     /// The shortest time that a suspicion lasts.
     pub suspicion_min: Duration,
     /// A change is sent this many times, times ln of the nodes.
-    pub spread_factor: f64,
+    pub retransmit_factor: f64,
     /// The bytes of changes in one message.
     pub delta_limit: usize,
     /// The bytes of changes that may be sent a second.
@@ -58,7 +58,7 @@
     /// The bytes of changes that may be sent at once.
     pub delta_burst: f64,
     /// The time between two pushes of fresh changes.
-    pub push_gap: Duration,
+    pub push_period: Duration,
     /// How many nodes fresh changes are pushed to at once.
     pub push_fanout: usize,
     /// The time between two exchanges of everything, by hash, if none finds a difference.
@@ -66,7 +66,7 @@
     /// The time to the next exchange after one that found a difference.
     pub exchange_min: Duration,
     /// The time between two attempts to reach nodes that are gone or unknown.
-    pub reach_period: Duration,
+    pub reconnect_period: Duration,
     /// How long a node that is gone is remembered and tried.
     pub forget_after: Duration,
     /// How long the node waits for a document before it announces itself.
@@ -76,16 +76,16 @@
     /// How many marks are kept.
     pub mark_limit: usize,
     /// The longest time that a mark may have left.
-    pub mark_life: Duration,
+    pub mark_ttl: Duration,
 }
 
 impl Default for MembershipOptions {
     fn default() -> MembershipOptions {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
+        let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         MembershipOptions {
             name: NodeName::from(""),
-            peer: nowhere,
-            entry: nowhere,
+            peer: unspecified,
+            entry: unspecified,
             centre: DataCentre::from(""),
             region: Region::from(""),
             seeds: Vec::new(),
@@ -94,24 +94,24 @@
             probe_timeout: kumquatnotch_core::peer::CONTROL_TIMEOUT,
             local_share: 0.75,
             helpers: 3,
-            need_witness: true,
+            require_helper: true,
             check_gone: true,
             suspicion_factor: 3.0,
             suspicion_min: Duration::from_secs(4),
-            spread_factor: 3.0,
+            retransmit_factor: 3.0,
             delta_limit: 1_000,
             delta_rate: 2_500.0,
             delta_burst: 20_000.0,
-            push_gap: Duration::from_millis(200),
+            push_period: Duration::from_millis(200),
             push_fanout: 2,
             exchange_period: Duration::from_secs(30),
             exchange_min: Duration::from_secs(2),
-            reach_period: Duration::from_secs(10),
+            reconnect_period: Duration::from_secs(10),
             forget_after: Duration::from_secs(3_600),
             announce_wait: Duration::from_secs(5),
             freeze_limit: Duration::from_secs(1),
             mark_limit: 4_096,
-            mark_life: Duration::from_secs(3_600),
+            mark_ttl: Duration::from_secs(3_600),
         }
     }
 }
@@ -120,13 +120,13 @@
     /// Checks what has no default and what would stop the service.
     pub(crate) fn check(&self) -> Result<()> {
         if self.name.is_empty() {
-            return Err(bad("a node needs a name"));
+            return Err(bad_settings("a node needs a name"));
         }
         if self.peer.port() == 0 {
-            return Err(bad("a node needs an address for peers"));
+            return Err(bad_settings("a node needs an address for peers"));
         }
-        if self.probe_period.is_zero() || self.push_gap.is_zero() {
-            return Err(bad("periods of membership must be above zero"));
+        if self.probe_period.is_zero() || self.push_period.is_zero() {
+            return Err(bad_settings("periods of membership must be above zero"));
         }
         Ok(())
     }
@@ -140,17 +140,17 @@
     /// The time between two readings by one reader.
     pub read_period: Duration,
     /// Without a confirmation for this long, any node may read, by chance.
-    pub silence: Duration,
+    pub fallback_after: Duration,
     /// The longest time between two attempts while the platform fails.
     pub backoff_limit: Duration,
     /// How many peers get the news of a higher version at once.
     pub push_fanout: usize,
     /// How many peers a node asks at birth and after a freeze.
-    pub witnesses: usize,
+    pub queried_peers: usize,
     /// An answer of a peer counts without the platform if its confirmation is this young.
     pub fresh_age: Duration,
     /// The time that a node asks peers and the platform before it serves again after a freeze.
-    pub recheck_limit: Duration,
+    pub recheck_timeout: Duration,
     /// A clock that jumps by more than this means that the process was frozen.
     pub freeze_limit: Duration,
     /// The bytes of stored values in one reply.
@@ -162,18 +162,18 @@
         ConfigOptions {
             readers: 5,
             read_period: Duration::from_secs(1),
-            silence: Duration::from_secs(8),
+            fallback_after: Duration::from_secs(8),
             backoff_limit: Duration::from_secs(8),
             push_fanout: 4,
-            witnesses: 3,
+            queried_peers: 3,
             fresh_age: Duration::from_secs(10),
-            recheck_limit: Duration::from_secs(2),
+            recheck_timeout: Duration::from_secs(2),
             freeze_limit: Duration::from_secs(2),
             reply_limit: 256 * 1024,
         }
     }
 }
 
-fn bad(detail: &str) -> Error {
+fn bad_settings(detail: &str) -> Error {
     Error::BadSettings { detail: detail.to_owned() }
 }
--- a/crates/kumquatnotch-member/src/probe.rs
+++ b/crates/kumquatnotch-member/src/probe.rs
@@ -18,14 +18,14 @@
 
 use crate::{
     membership_service::MembershipService,
-    table::{Effect, beats},
+    table::{Effect, supersedes},
 };
 
 /// How many checks may wait.
 const CHECK_LIMIT: usize = 256;
 
 /// Checks are made this many times as often as probes.
-const CHECKS_A_PROBE: u32 = 4;
+const CHECKS_PER_PROBE: u32 = 4;
 
 /// A node that has to be probed out of turn.
 #[derive(Clone, Debug)]
@@ -34,21 +34,21 @@
     /// A report that it is gone, which the probe carries.
     report: Option<NodeRecord>,
     /// Whether only a refutation is of interest, and helpers are not asked.
-    last: bool,
+    final_ping: bool,
 }
 
 impl Check {
     pub(crate) fn of_report(report: NodeRecord) -> Check {
-        Check { name: report.name.clone(), report: Some(report), last: false }
+        Check { name: report.name.clone(), report: Some(report), final_ping: false }
     }
 
-    pub(crate) fn of_silence(name: NodeName) -> Check {
-        Check { name, report: None, last: false }
+    pub(crate) fn of_unresponsive(name: NodeName) -> Check {
+        Check { name, report: None, final_ping: false }
     }
 
     /// The last question to a suspect before it is taken as gone.
     pub(crate) fn of_suspect(name: NodeName) -> Check {
-        Check { name, report: None, last: true }
+        Check { name, report: None, final_ping: true }
     }
 }
 
@@ -72,7 +72,7 @@
 
     /// Probes the nodes that something speaks against.
     pub(crate) async fn run_checks(self: Rc<Self>) {
-        let gap = self.options.probe_period / CHECKS_A_PROBE;
+        let gap = self.options.probe_period / CHECKS_PER_PROBE;
         loop {
             clock::sleep(&*self.clock, self.random.jitter(gap)).await;
             let Some((subject, check)) = self.next_check() else {
@@ -80,7 +80,7 @@
             };
             let me = self.clone();
             monoio::spawn(async move {
-                match check.last {
+                match check.final_ping {
                     true => drop(me.ping(&subject, None).await),
                     false => me.probe(subject, check.report).await,
                 }
@@ -98,66 +98,68 @@
 
     /// Asks the subject in the place of another node.
     pub(crate) async fn answer_ping_for(&self, request: PingFor) -> PeerReply {
-        self.absorb(&request.gossip, None);
+        self.merge_gossip(&request.gossip, None);
         let subject = &request.subject;
         match self.ping(subject, Some(subject)).await {
-            Echo::Ack => PeerReply::Ack(self.gossip(Some(&request.gossip.from), true)),
-            Echo::Refused | Echo::Silence => PeerReply::Nack,
+            PingResult::Ack => PeerReply::Ack(self.gossip(Some(&request.gossip.from), true)),
+            PingResult::Refused | PingResult::NoAck => PeerReply::Nack,
         }
     }
 
     async fn probe(&self, subject: NodeRecord, report: Option<NodeRecord>) {
-        let freezes = self.pulse.freezes();
-        let witness = match self.ping(&subject, report.as_ref()).await {
-            Echo::Ack => Witness::Alive,
-            Echo::Refused => Witness::Silent,
-            Echo::Silence => self.ask_helpers(&subject).await,
+        let freezes = self.freeze_detector.freezes();
+        let result = match self.ping(&subject, report.as_ref()).await {
+            PingResult::Ack => ProbeResult::Alive,
+            PingResult::Refused => ProbeResult::Unreachable,
+            PingResult::NoAck => self.ask_helpers(&subject).await,
         };
-        self.notice_freeze();
+        self.detect_freeze();
         // A freeze of this process looks like silence of the others.
-        if self.pulse.freezes() != freezes {
+        if self.freeze_detector.freezes() != freezes {
             return;
         }
-        match witness {
-            Witness::Alive => self.note_health(true),
-            Witness::Silent => self.accuse(&subject),
-            Witness::None if self.options.need_witness => self.note_health(false),
-            Witness::None => self.accuse(&subject),
+        match result {
+            ProbeResult::Alive => self.update_health_score(true),
+            ProbeResult::Unreachable => self.declare_failed(&subject),
+            ProbeResult::Inconclusive if self.options.require_helper => {
+                self.update_health_score(false)
+            }
+            ProbeResult::Inconclusive => self.declare_failed(&subject),
         }
     }
 
     /// What the subject itself answers.
-    async fn ping(&self, subject: &NodeRecord, report: Option<&NodeRecord>) -> Echo {
+    async fn ping(&self, subject: &NodeRecord, report: Option<&NodeRecord>) -> PingResult {
         let mut gossip = self.gossip(Some(&subject.name), true);
-        let accusation = report.filter(|report| report.state >= NodeState::Suspect);
-        gossip.nodes.extend(accusation.cloned());
-        let wait = self.options.probe_timeout * (1 + self.health.get());
+        let suspicion = report.filter(|report| report.state >= NodeState::Suspect);
+        gossip.nodes.extend(suspicion.cloned());
+        let wait = self.options.probe_timeout * (1 + self.health_score.get());
         let deadline = self.clock.now() + wait;
         match self.send(subject.peer, &PeerMessage::Ping(gossip), deadline).await {
             // Another process may have the address now.
             Ok(PeerReply::Ack(gossip))
                 if gossip.from == subject.name && gossip.incarnation >= subject.incarnation =>
             {
-                Echo::Ack
+                PingResult::Ack
             }
-            Err(Error::ConnectRefused) => Echo::Refused,
-            _ => Echo::Silence,
+            Err(Error::ConnectRefused) => PingResult::Refused,
+            _ => PingResult::NoAck,
         }
     }
 
-    async fn ask_helpers(&self, subject: &NodeRecord) -> Witness {
+    async fn ask_helpers(&self, subject: &NodeRecord) -> ProbeResult {
         let helpers = self.pick_helpers(subject);
         if helpers.is_empty() {
             // With two nodes there is nobody to ask.
             let alone = self.table.borrow().live_count() <= 1;
-            return if alone { Witness::Silent } else { Witness::None };
+            return if alone { ProbeResult::Unreachable } else { ProbeResult::Inconclusive };
         }
         // A helper waits for the subject; its own reply needs time too.
-        let wait = self.options.probe_timeout * (1 + self.health.get()) * 2;
+        let wait = self.options.probe_timeout * (1 + self.health_score.get()) * 2;
         let deadline = self.clock.now() + wait;
         let asks = helpers.iter().map(|helper| self.ask_helper(helper, subject, deadline));
         let answers = futures_util::future::join_all(asks).await;
-        answers.into_iter().max().unwrap_or(Witness::None)
+        answers.into_iter().max().unwrap_or(ProbeResult::Inconclusive)
     }
 
     async fn ask_helper(
@@ -165,13 +167,13 @@
         helper: &NodeRecord,
         subject: &NodeRecord,
         deadline: Instant,
-    ) -> Witness {
+    ) -> ProbeResult {
         let request =
             PingFor { subject: subject.clone(), gossip: self.gossip(Some(&helper.name), false) };
         match self.send(helper.peer, &PeerMessage::PingFor(request), deadline).await {
-            Ok(PeerReply::Ack(_)) => Witness::Alive,
-            Ok(PeerReply::Nack) => Witness::Silent,
-            _ => Witness::None,
+            Ok(PeerReply::Ack(_)) => ProbeResult::Alive,
+            Ok(PeerReply::Nack) => ProbeResult::Unreachable,
+            _ => ProbeResult::Inconclusive,
         }
     }
 
@@ -196,7 +198,7 @@
         helpers
     }
 
-    fn accuse(&self, subject: &NodeRecord) {
+    fn declare_failed(&self, subject: &NodeRecord) {
         let mut table = self.table.borrow_mut();
         let Some(entry) = table.get(&subject.name) else {
             return;
@@ -216,13 +218,13 @@
         drop(table);
         let until = match state {
             NodeState::Gone => self.clock.now() + self.options.forget_after,
-            _ => self.suspect_until(),
+            _ => self.suspicion_deadline(),
         };
         metrics::counter!("kumquatnotch_suspicions_total").increment(1);
         table = self.table.borrow_mut();
         table.put(record.clone(), until);
         drop(table);
-        self.follow(Effect::Fresh, &record);
+        self.apply_effect(Effect::Fresh, &record);
     }
 
     /// The next node in turn; the lists are filled anew, shuffled, when used up.
@@ -263,8 +265,8 @@
             };
             let record = &entry.record;
             let open = match &check.report {
-                Some(report) => beats(report, record),
-                None if check.last => record.state == NodeState::Suspect,
+                Some(report) => supersedes(report, record),
+                None if check.final_ping => record.state == NodeState::Suspect,
                 None => record.state != NodeState::Gone,
             };
             if open {
@@ -277,7 +279,7 @@
 
 /// What a node answered to a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Echo {
+enum PingResult {
     /// It is there.
     Ack,
     /// Its VM says that no process listens.
@@ -286,16 +288,16 @@
     /// small group would never tell that all others have ended: nobody is left to ask.
     Refused,
     /// Nothing came in time.
-    Silence,
+    NoAck,
 }
 
 /// What the helpers found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Witness {
+enum ProbeResult {
     /// No helper answered.
-    None,
+    Inconclusive,
     /// A helper answered that the subject does not.
-    Silent,
+    Unreachable,
     /// The subject answered a helper.
     Alive,
 }
--- a/crates/kumquatnotch-member/src/readers.rs
+++ b/crates/kumquatnotch-member/src/readers.rs
@@ -44,8 +44,15 @@
         self.until.is_none_or(|until| until <= now)
     }
 
-    fn note(&mut self, good: bool, period: Duration, limit: Duration, now: Instant, r: &Random) {
-        if good {
+    fn update(
+        &mut self,
+        success: bool,
+        period: Duration,
+        limit: Duration,
+        now: Instant,
+        r: &Random,
+    ) {
+        if success {
             *self = Backoff::default();
             return;
         }
@@ -56,7 +63,7 @@
 }
 
 impl ConfigService {
-    pub(crate) async fn run_readings(self: Rc<Self>) {
+    pub(crate) async fn run_reads(self: Rc<Self>) {
         loop {
             clock::sleep(&*self.clock, self.random.jitter(self.options.read_period)).await;
             if self.may_read() {
@@ -69,20 +76,20 @@
     /// Reads the head; what it says is confirmed or wanted from now on.
     pub(crate) async fn read_head(&self) -> Result<Option<HeadInfo>> {
         // The reading took place after this moment, whenever the reply comes.
-        let asked = self.clock.now();
+        let sent_at = self.clock.now();
         let result = self.store.read(HEAD_KEY).await;
         metrics::counter!("kumquatnotch_head_readings_total").increment(1);
         let now = self.clock.now();
         let (period, limit) = (self.options.read_period, self.options.backoff_limit);
-        self.backoff.borrow_mut().note(result.is_ok(), period, limit, now, &self.random);
+        self.backoff.borrow_mut().update(result.is_ok(), period, limit, now, &self.random);
         let Some(entry) = result? else {
             return Ok(None);
         };
         let head: Head = codec::decode(&entry.value)?;
-        let age_ms = now.saturating_duration_since(asked).as_millis() as u64;
-        let news = HeadInfo { version: head.version, manifest: head.manifest, age_ms };
-        self.take_reading(news, asked)?;
-        Ok(Some(news))
+        let age_ms = now.saturating_duration_since(sent_at).as_millis() as u64;
+        let head_info = HeadInfo { version: head.version, manifest: head.manifest, age_ms };
+        self.apply_read(head_info, sent_at)?;
+        Ok(Some(head_info))
     }
 
     /// Whether this node is one of the readers.
@@ -91,16 +98,16 @@
     /// control takes, so it is done once for each change of the view.
     pub(crate) fn is_reader(&self) -> bool {
         let generation = self.members.generation();
-        let (ranked, reader) = self.rank.get();
+        let (ranked, reader) = self.reader_cache.get();
         if ranked == generation {
             return reader;
         }
-        let reader = self.ranks_first();
-        self.rank.set((generation, reader));
+        let reader = self.ranks_as_reader();
+        self.reader_cache.set((generation, reader));
         reader
     }
 
-    fn ranks_first(&self) -> bool {
+    fn ranks_as_reader(&self) -> bool {
         let known = self.members.known();
         let names: Vec<&str> = known
             .iter()
@@ -125,26 +132,26 @@
             return true;
         }
         let age = self.members.confirmed().age_ms.map(Duration::from_millis);
-        let is_silent = age.is_none_or(|age| age >= self.options.silence);
-        is_silent && self.random.chance(1.0 / self.node_count() as f64)
+        let is_unconfirmed = age.is_none_or(|age| age >= self.options.fallback_after);
+        is_unconfirmed && self.random.chance(1.0 / self.node_count() as f64)
     }
 
-    fn take_reading(&self, news: HeadInfo, asked: Instant) -> Result<()> {
+    fn apply_read(&self, head_info: HeadInfo, sent_at: Instant) -> Result<()> {
         let version = self.version();
-        if news.version < version {
+        if head_info.version < version {
             // The service was set back, as from an old backup. What was in force
             // stays: going back would undo an accepted change.
-            warn!("config: the platform has version {}, below {version}", news.version);
+            warn!("config: the platform has version {}, below {version}", head_info.version);
             metrics::counter!("kumquatnotch_head_reverted_total").increment(1);
-            return Err(Error::StaleVersion { version: news.version.0 });
+            return Err(Error::StaleVersion { version: head_info.version.0 });
         }
-        if news.version == version {
-            self.members.board.confirm(version, asked);
+        if head_info.version == version {
+            self.members.head_state.confirm(version, sent_at);
             return Ok(());
         }
-        self.wanted.borrow_mut().add_reading(news, asked);
-        if self.born.get() {
-            self.start_fetching();
+        self.wanted.borrow_mut().add_read(head_info, sent_at);
+        if self.bootstrapped.get() {
+            self.start_fetch();
         }
         Ok(())
     }
--- a/crates/kumquatnotch-member/src/recheck.rs
+++ b/crates/kumquatnotch-member/src/recheck.rs
@@ -13,7 +13,7 @@
 //! confirmation says how long that has been so.
 //!
 //! A node that wakes from a freeze holds back its document until the platform or
-//! peers have answered, at most [`crate::ConfigOptions::recheck_limit`]. If
+//! peers have answered, at most [`crate::ConfigOptions::recheck_timeout`]. If
 //! nobody answers it serves again what it had, as in an outage.
 
 use std::{
@@ -34,16 +34,17 @@
 use crate::{config_service::ConfigService, membership_service::MembershipService};
 
 /// How often a waiting node looks whether it has what it waits for.
-const LOOK_GAP: Duration = Duration::from_millis(20);
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// The time between two rounds of a newborn node, at first and at last.
-const BIRTH_GAPS: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(1));
+const BOOTSTRAP_INTERVALS: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(1));
 
 /// How many rounds with old confirmations are enough.
-const OLD_ROUNDS: usize = 2;
+const STALE_ROUNDS: usize = 2;
 
 /// How long a newborn node waits for a peer with a document before the platform may be read.
-const FIRST_WAIT: Duration = Duration::from_secs(2);
+const PLATFORM_READ_DELAY: Duration = Duration::from_secs(2);
 
 /// Whether the document may be served.
 #[derive(Debug, Default)]
@@ -77,7 +78,7 @@
 
 /// What peers answered.
 #[derive(Clone, Copy, Debug, Default)]
-struct Evidence {
+struct PeerPoll {
     answers: usize,
     asked: usize,
     version: ConfigVersion,
@@ -87,31 +88,31 @@
 
 impl ConfigService {
     /// Decides on the first document.
-    pub(crate) async fn be_born(self: &Rc<Self>) {
+    pub(crate) async fn bootstrap(self: &Rc<Self>) {
         let start = self.clock.now();
-        let mut gap = BIRTH_GAPS.0;
-        let mut old_rounds = 0;
+        let mut gap = BOOTSTRAP_INTERVALS.0;
+        let mut stale_rounds = 0;
         loop {
-            let evidence = self.ask_peers().await;
-            if self.is_enough(&evidence, true) {
+            let poll = self.poll_peers().await;
+            if self.is_conclusive(&poll, true) {
                 break;
             }
-            old_rounds += usize::from(self.is_enough(&evidence, false));
-            if old_rounds >= OLD_ROUNDS || self.is_first(&evidence, start).await {
+            stale_rounds += usize::from(self.is_conclusive(&poll, false));
+            if stale_rounds >= STALE_ROUNDS || self.can_use_platform(&poll, start).await {
                 break;
             }
             clock::sleep(&*self.clock, self.random.jitter(gap)).await;
-            gap = (gap * 2).min(BIRTH_GAPS.1);
+            gap = (gap * 2).min(BOOTSTRAP_INTERVALS.1);
         }
-        self.born.set(true);
-        self.start_fetching();
+        self.bootstrapped.set(true);
+        self.start_fetch();
     }
 
     /// Whether no peer has a document, but the platform does.
-    async fn is_first(&self, evidence: &Evidence, start: Instant) -> bool {
+    async fn can_use_platform(&self, poll: &PeerPoll, start: Instant) -> bool {
         // By then the peers are known, and so is which node is to read.
-        let alone = self.clock.now().saturating_duration_since(start) >= FIRST_WAIT;
-        if evidence.version > ConfigVersion(0) || !alone || !self.may_read() {
+        let alone = self.clock.now().saturating_duration_since(start) >= PLATFORM_READ_DELAY;
+        if poll.version > ConfigVersion(0) || !alone || !self.may_read() {
             return false;
         }
         matches!(self.read_head().await, Ok(Some(_)))
@@ -119,14 +120,14 @@
 
     /// Asks again after a freeze, then opens the gate.
     pub(crate) async fn recheck(self: Rc<Self>) {
-        let limit = self.clock.now() + self.options.recheck_limit;
+        let limit = self.clock.now() + self.options.recheck_timeout;
         let work = async {
-            while !self.ask_again().await {
-                clock::sleep(&*self.clock, BIRTH_GAPS.0).await;
+            while !self.recheck_once().await {
+                clock::sleep(&*self.clock, BOOTSTRAP_INTERVALS.0).await;
             }
             while self.wanted.borrow().version() > self.version() {
-                self.start_fetching();
-                clock::sleep(&*self.clock, LOOK_GAP).await;
+                self.start_fetch();
+                clock::sleep(&*self.clock, POLL_PERIOD).await;
             }
         };
         let answered = clock::timeout_at(&*self.clock, limit, work).await.is_ok();
@@ -135,40 +136,40 @@
     }
 
     /// Whether enough peers or the platform answered.
-    async fn ask_again(&self) -> bool {
-        let evidence = self.ask_peers().await;
-        self.is_enough(&evidence, true) || self.read_head().await.is_ok()
+    async fn recheck_once(&self) -> bool {
+        let poll = self.poll_peers().await;
+        self.is_conclusive(&poll, true) || self.read_head().await.is_ok()
     }
 
     /// Asks several peers which version they have; what they say is taken in.
-    async fn ask_peers(&self) -> Evidence {
-        let peers = self.members.pick_peers(self.options.witnesses, |_| true);
-        let asks = peers.iter().map(|peer| self.members.ask_head(peer.peer, Some(&peer.name)));
-        let mut evidence = Evidence { asked: peers.len(), ..Evidence::default() };
+    async fn poll_peers(&self) -> PeerPoll {
+        let peers = self.members.pick_peers(self.options.queried_peers, |_| true);
+        let asks = peers.iter().map(|peer| self.members.query_head(peer.peer, Some(&peer.name)));
+        let mut poll = PeerPoll { asked: peers.len(), ..PeerPoll::default() };
         for head in join_all(asks).await.into_iter().flatten() {
-            evidence.answers += 1;
+            poll.answers += 1;
             let age = Duration::from_millis(head.age_ms);
-            if head.version > evidence.version {
-                evidence.version = head.version;
-                evidence.age = age;
-            } else if head.version == evidence.version {
-                evidence.age = evidence.age.min(age);
+            if head.version > poll.version {
+                poll.version = head.version;
+                poll.age = age;
+            } else if head.version == poll.version {
+                poll.age = poll.age.min(age);
             }
         }
-        evidence
+        poll
     }
 
     /// Whether more than half of the peers answered, and one has a document.
-    fn is_enough(&self, evidence: &Evidence, young: bool) -> bool {
-        let most = evidence.answers * 2 > evidence.asked;
-        let fresh = !young || evidence.age <= self.options.fresh_age;
-        most && evidence.version > ConfigVersion(0) && fresh
+    fn is_conclusive(&self, poll: &PeerPoll, require_fresh: bool) -> bool {
+        let most = poll.answers * 2 > poll.asked;
+        let fresh = !require_fresh || poll.age <= self.options.fresh_age;
+        most && poll.version > ConfigVersion(0) && fresh
     }
 }
 
 impl MembershipService {
     /// The configuration that the peer at `address` has in force.
-    pub(crate) async fn ask_head(
+    pub(crate) async fn query_head(
         &self,
         address: SocketAddr,
         name: Option<&NodeName>,
--- a/crates/kumquatnotch-member/src/table.rs
+++ b/crates/kumquatnotch-member/src/table.rs
@@ -37,11 +37,11 @@
     /// It is new and travels on.
     Fresh,
     /// It has to be checked by a probe.
-    Doubtful,
+    NeedsCheck,
     /// It accuses this node, which has refuted it; whether it was taken as gone.
     Refuted { gone: bool },
     /// A later life of this node's name or address is known.
-    Outlived(Incarnation),
+    Superseded(Incarnation),
 }
 
 /// A node with what this one observed of it.
@@ -51,7 +51,7 @@
     /// When a suspicion ends, or when a node that is gone is forgotten.
     pub(crate) until: Option<Instant>,
     /// Whether a suspect was asked itself before its time is over.
-    pub(crate) asked: bool,
+    pub(crate) pinged: bool,
     /// Whether a node that is gone had said itself that it goes.
     pub(crate) left: bool,
 }
@@ -128,12 +128,12 @@
     }
 
     /// The node that is known at `address`.
-    pub(crate) fn at(&self, address: SocketAddr) -> Option<&Entry> {
+    pub(crate) fn by_address(&self, address: SocketAddr) -> Option<&Entry> {
         self.nodes.get(self.addresses.get(&address)?)
     }
 
     /// Raises the counter of this node, with a new state if one is given.
-    pub(crate) fn raise_local(&mut self, state: Option<NodeState>) {
+    pub(crate) fn update_local(&mut self, state: Option<NodeState>) {
         self.local.counter += 1;
         if let Some(state) = state {
             self.local.state = state;
@@ -153,43 +153,43 @@
     }
 
     /// Gives this node another incarnation.
-    pub(crate) fn renumber_local(&mut self, incarnation: Incarnation) {
+    pub(crate) fn set_local_incarnation(&mut self, incarnation: Incarnation) {
         self.local.incarnation = incarnation;
         self.generation += 1;
     }
 
     /// Applies a report of a peer; `until` is when a suspicion that begins now ends.
-    pub(crate) fn apply(&mut self, news: &NodeRecord, until: Instant) -> Effect {
-        if news.name == self.local.name {
-            return self.apply_to_local(news);
+    pub(crate) fn apply(&mut self, report: &NodeRecord, until: Instant) -> Effect {
+        if report.name == self.local.name {
+            return self.apply_to_local(report);
         }
-        if news.peer == self.local.peer && news.state != NodeState::Gone {
-            return self.apply_to_address(news);
+        if report.peer == self.local.peer && report.state != NodeState::Gone {
+            return self.apply_to_address(report);
         }
-        if self.is_address_taken(news) {
+        if self.is_address_taken(report) {
             return Effect::Stale;
         }
-        let Some(entry) = self.nodes.get(&news.name) else {
-            return self.apply_unknown(news, until);
+        let Some(entry) = self.nodes.get(&report.name) else {
+            return self.apply_unknown(report, until);
         };
-        if !beats(news, &entry.record) {
+        if !supersedes(report, &entry.record) {
             return Effect::Stale;
         }
-        if news.state != NodeState::Gone || !self.check_gone {
-            self.put(news.clone(), until);
+        if report.state != NodeState::Gone || !self.check_gone {
+            self.put(report.clone(), until);
             return Effect::Fresh;
         }
-        if news.incarnation != entry.record.incarnation {
+        if report.incarnation != entry.record.incarnation {
             // The life known here ended for certain, as another followed it; about
             // that one there is only the word of others.
-            self.put(NodeRecord { state: NodeState::Suspect, ..news.clone() }, until);
+            self.put(NodeRecord { state: NodeState::Suspect, ..report.clone() }, until);
             return Effect::Fresh;
         }
         match entry.record.state {
-            NodeState::Up | NodeState::Suspect => Effect::Doubtful,
+            NodeState::Up | NodeState::Suspect => Effect::NeedsCheck,
             // It said itself that it goes.
             NodeState::Leaving | NodeState::Gone => {
-                self.put(news.clone(), until);
+                self.put(report.clone(), until);
                 Effect::Fresh
             }
         }
@@ -213,7 +213,7 @@
         self.live_count += usize::from(record.state != NodeState::Gone);
         let left = record.state == NodeState::Gone
             && self.nodes.get(&record.name).is_some_and(Entry::has_left);
-        let entry = Entry { record: record.clone(), until, asked: false, left };
+        let entry = Entry { record: record.clone(), until, pinged: false, left };
         let earlier = self.nodes.insert(record.name, entry);
         self.live_count -= usize::from(earlier.is_some_and(|entry| entry.is_live()));
     }
@@ -225,16 +225,16 @@
     }
 
     /// The suspects whose time ends by `end`, each told once.
-    pub(crate) fn take_unasked(&mut self, end: Instant) -> Vec<NodeName> {
-        let unasked = self.nodes.values_mut().filter(|entry| {
-            let suspect = entry.record.state == NodeState::Suspect && !entry.asked;
+    pub(crate) fn take_expiring(&mut self, end: Instant) -> Vec<NodeName> {
+        let expiring = self.nodes.values_mut().filter(|entry| {
+            let suspect = entry.record.state == NodeState::Suspect && !entry.pinged;
             suspect && entry.until.is_some_and(|until| until <= end)
         });
         let take = |entry: &mut Entry| {
-            entry.asked = true;
+            entry.pinged = true;
             entry.record.name.clone()
         };
-        unasked.map(take).collect()
+        expiring.map(take).collect()
     }
 
     /// Moves the end of every suspicion by `span`.
@@ -269,51 +269,51 @@
         buckets
     }
 
-    fn apply_to_local(&mut self, news: &NodeRecord) -> Effect {
-        if news.incarnation > self.local.incarnation {
-            return Effect::Outlived(news.incarnation);
+    fn apply_to_local(&mut self, report: &NodeRecord) -> Effect {
+        if report.incarnation > self.local.incarnation {
+            return Effect::Superseded(report.incarnation);
         }
-        if news.incarnation < self.local.incarnation || news.counter < self.local.counter {
+        if report.incarnation < self.local.incarnation || report.counter < self.local.counter {
             return Effect::Stale;
         }
-        if news.counter == self.local.counter && news.state <= self.local.state {
+        if report.counter == self.local.counter && report.state <= self.local.state {
             return Effect::Stale;
         }
-        self.local.counter = news.counter + 1;
-        Effect::Refuted { gone: news.state == NodeState::Gone }
+        self.local.counter = report.counter + 1;
+        Effect::Refuted { gone: report.state == NodeState::Gone }
     }
 
-    fn apply_to_address(&mut self, news: &NodeRecord) -> Effect {
-        if news.incarnation > self.local.incarnation {
-            return Effect::Outlived(news.incarnation);
+    fn apply_to_address(&mut self, report: &NodeRecord) -> Effect {
+        if report.incarnation > self.local.incarnation {
+            return Effect::Superseded(report.incarnation);
         }
         // An earlier process had this address; it must be gone.
         Effect::Stale
     }
 
-    fn apply_unknown(&mut self, news: &NodeRecord, until: Instant) -> Effect {
-        if news.state == NodeState::Gone {
+    fn apply_unknown(&mut self, report: &NodeRecord, until: Instant) -> Effect {
+        if report.state == NodeState::Gone {
             return Effect::Stale;
         }
-        self.put(news.clone(), until);
+        self.put(report.clone(), until);
         Effect::Fresh
     }
 
-    /// Whether a later life of another name holds the address of `news`.
-    fn is_address_taken(&self, news: &NodeRecord) -> bool {
-        let Some(holder) = self.at(news.peer) else {
+    /// Whether a later life of another name holds the address of `report`.
+    fn is_address_taken(&self, report: &NodeRecord) -> bool {
+        let Some(occupant) = self.by_address(report.peer) else {
             return false;
         };
-        holder.record.name != news.name
-            && holder.record.state != NodeState::Gone
-            && holder.record.incarnation > news.incarnation
+        occupant.record.name != report.name
+            && occupant.record.state != NodeState::Gone
+            && occupant.record.incarnation > report.incarnation
     }
 
     /// Ends the life of another name at the address of `record`.
     fn clear_address(&mut self, record: &NodeRecord) {
-        let holder = self.addresses.get(&record.peer).filter(|name| **name != record.name);
-        if let Some(holder) = holder.cloned() {
-            self.forget(&holder);
+        let occupant = self.addresses.get(&record.peer).filter(|name| **name != record.name);
+        if let Some(occupant) = occupant.cloned() {
+            self.forget(&occupant);
         }
         // The node's own earlier address is given up too.
         let earlier = self.nodes.get(&record.name).map(|entry| entry.record.peer);
@@ -328,10 +328,10 @@
     (stable_hash(&[name.as_bytes()]) % BUCKET_COUNT as u64) as usize
 }
 
-/// Whether `news` wins over `known`, about the same name.
-pub(crate) fn beats(news: &NodeRecord, known: &NodeRecord) -> bool {
+/// Whether `report` wins over `known`, about the same name.
+pub(crate) fn supersedes(report: &NodeRecord, known: &NodeRecord) -> bool {
     let rank = |record: &NodeRecord| (record.incarnation, record.counter, record.state);
-    rank(news) > rank(known)
+    rank(report) > rank(known)
 }
 
 fn record_hash(record: &NodeRecord) -> u64 {
--- a/crates/kumquatnotch-member/src/traffic.rs
+++ b/crates/kumquatnotch-member/src/traffic.rs
@@ -18,7 +18,7 @@
         PeerMessage::Fetch(_) => "fetch",
         _ => "other",
     };
-    count(kind, size(message));
+    count(kind, encoded_len(message));
 }
 
 /// Counts a reply that is sent.
@@ -30,11 +30,11 @@
         PeerReply::Values(_) => "values",
         _ => "other",
     };
-    count(kind, size(reply));
+    count(kind, encoded_len(reply));
 }
 
 /// The length of the encoded form.
-pub(crate) fn size<T: Serialize>(value: &T) -> usize {
+pub(crate) fn encoded_len<T: Serialize>(value: &T) -> usize {
     let mut counter = ByteCounter(0);
     match rmp_serde::encode::write(&mut counter, value) {
         Ok(()) => counter.0,
--- a/crates/kumquatnotch-member/tests/config.rs
+++ b/crates/kumquatnotch-member/tests/config.rs
@@ -17,25 +17,25 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Within what time a change must be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(19);
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(19);
 
 /// Starts `count` nodes with version 1 and waits until all have it.
-async fn settled(world: &World, count: usize) -> Vec<Rc<Node>> {
+async fn start_converged(world: &World, count: usize) -> Vec<Rc<Node>> {
     world.platform.publish(1, 200);
     let nodes = (0..count).map(|number| world.add_configured(number)).collect();
-    let ready = world.wait(30 * SECOND, || world.has_converged() && world.all_have(1)).await;
+    let ready = world.wait_until(30 * SECOND, || world.has_converged() && world.all_have(1)).await;
     assert!(ready.is_some());
-    world.pass(10 * SECOND).await;
+    world.sleep(10 * SECOND).await;
     nodes
 }
 
 #[test]
 fn a_change_reaches_a_hundred_nodes() {
     let (took, part_calls) = run(1, async |world| {
-        let nodes = settled(&world, 100).await;
+        let nodes = start_converged(&world, 100).await;
         let before = world.platform.calls.get();
         world.platform.publish(2, 200);
-        let took = world.wait(30 * SECOND, || world.all_have(2)).await;
+        let took = world.wait_until(30 * SECOND, || world.all_have(2)).await;
         assert_eq!(nodes[50].served(), Some(2));
         (took, world.platform.calls.get() - before)
     });
@@ -53,18 +53,18 @@
     two = { 3 },
     three = { 4 },
 )]
-fn a_version_never_goes_back(seed: u64) {
-    let (backward, last) = run(seed, async |world| {
-        let nodes = settled(&world, 20).await;
+fn version_never_decreases(seed: u64) {
+    let (decreases, last) = run(seed, async |world| {
+        let nodes = start_converged(&world, 20).await;
         world.network.loss.set(0.1);
-        world.network.repeats.set(0.2);
-        world.network.extra.set(Duration::from_millis(400));
+        world.network.duplicates.set(0.2);
+        world.network.extra_delay.set(Duration::from_millis(400));
         let seen = RefCell::new(vec![0; nodes.len()]);
-        let backward = RefCell::new(0);
+        let decreases = RefCell::new(0);
         let watch = || {
             for (node, seen) in nodes.iter().zip(seen.borrow_mut().iter_mut()) {
                 let version = node.version();
-                *backward.borrow_mut() += usize::from(version < *seen);
+                *decreases.borrow_mut() += usize::from(version < *seen);
                 *seen = version;
             }
             false
@@ -72,16 +72,16 @@
         for version in 2..=11 {
             world.platform.publish(version, 200);
             let frozen = world.random.pick(&nodes).unwrap();
-            frozen.life.set(State::Frozen);
+            frozen.process.set(State::Frozen);
             let span = SECOND.mul_f64(20.0 * world.random.fraction());
-            world.wait(span, watch).await;
-            frozen.life.set(State::Running);
+            world.wait_until(span, watch).await;
+            frozen.process.set(State::Running);
         }
-        let last = world.wait(30 * SECOND, || watch() || world.all_have(11)).await;
-        (backward.into_inner(), last)
+        let last = world.wait_until(30 * SECOND, || watch() || world.all_have(11)).await;
+        (decreases.into_inner(), last)
     });
 
-    assert_eq!(backward, 0);
+    assert_eq!(decreases, 0);
     assert!(last.is_some());
 }
 
@@ -91,22 +91,22 @@
 /// that it is never lower than it says. When the platform is back, nobody has
 /// queued up calls for it.
 #[test]
-fn an_outage_of_the_platform_is_survived() {
+fn platform_outage_is_survived() {
     let (age, born, calls, peak, after) = run(5, async |world| {
-        let nodes = settled(&world, 50).await;
+        let nodes = start_converged(&world, 50).await;
         world.platform.down.set(true);
         let before = world.platform.calls.get();
-        world.pass(90 * SECOND).await;
-        let newborn = world.add_configured(50);
-        let born = world.wait(30 * SECOND, || newborn.served() == Some(1)).await;
-        world.pass(30 * SECOND).await;
+        world.sleep(90 * SECOND).await;
+        let joiner = world.add_configured(50);
+        let born = world.wait_until(30 * SECOND, || joiner.served() == Some(1)).await;
+        world.sleep(30 * SECOND).await;
         let age = nodes[30].members.confirmed().age_ms.unwrap();
         let calls = world.platform.calls.get() - before;
         assert_eq!(nodes[30].served(), Some(1));
         world.platform.peak.set(0);
         world.platform.publish(2, 200);
         world.platform.down.set(false);
-        let after = world.wait(30 * SECOND, || world.all_have(2)).await;
+        let after = world.wait_until(30 * SECOND, || world.all_have(2)).await;
         (age, born, calls, world.platform.peak.get(), after)
     });
 
@@ -123,9 +123,9 @@
 )]
 fn about_five_nodes_read_the_head(count: usize) {
     let (rate, age) = run(6, async move |world| {
-        let nodes = settled(&world, count).await;
+        let nodes = start_converged(&world, count).await;
         let before = world.platform.calls.get();
-        world.pass(30 * SECOND).await;
+        world.sleep(30 * SECOND).await;
         let calls = world.platform.calls.get() - before;
         let ages = nodes.iter().map(|node| node.members.confirmed().age_ms.unwrap());
         (calls as f64 / 30.0, ages.max().unwrap())
@@ -139,17 +139,17 @@
 /// would answer callers by the old version, before any message tells it better.
 /// It must hold back until it has asked, and then serve the new one.
 #[test]
-fn a_node_that_wakes_asks_before_it_serves() {
+fn unfrozen_node_rechecks_before_serving() {
     let (at_once, first, took) = run(7, async |world| {
-        let nodes = settled(&world, 20).await;
-        nodes[4].life.set(State::Frozen);
-        world.pass(20 * SECOND).await;
+        let nodes = start_converged(&world, 20).await;
+        nodes[4].process.set(State::Frozen);
+        world.sleep(20 * SECOND).await;
         world.platform.publish(2, 200);
-        world.pass(10 * SECOND).await;
-        nodes[4].life.set(State::Running);
+        world.sleep(10 * SECOND).await;
+        nodes[4].process.set(State::Running);
         // A caller's request may be handled before any task of the node runs.
         let at_once = nodes[4].served();
-        let took = world.wait(10 * SECOND, || nodes[4].served().is_some()).await;
+        let took = world.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
         (at_once, nodes[4].served(), took)
     });
 
@@ -162,15 +162,15 @@
 /// no way to learn of a newer version; as in an outage it serves what it has,
 /// after a short time, and says how old that is.
 #[test]
-fn a_node_that_wakes_alone_serves_after_a_while() {
+fn isolated_unfrozen_node_serves_after_timeout() {
     let (took, served, age) = run(8, async |world| {
-        let nodes = settled(&world, 9).await;
-        nodes[4].life.set(State::Frozen);
-        world.pass(20 * SECOND).await;
+        let nodes = start_converged(&world, 9).await;
+        nodes[4].process.set(State::Frozen);
+        world.sleep(20 * SECOND).await;
         world.platform.down.set(true);
         world.network.cut(|from, to| from == address(4) || to == address(4));
-        nodes[4].life.set(State::Running);
-        let took = world.wait(10 * SECOND, || nodes[4].served().is_some()).await;
+        nodes[4].process.set(State::Running);
+        let took = world.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
         (took, nodes[4].served(), nodes[4].members.confirmed().age_ms.unwrap())
     });
 
@@ -182,26 +182,26 @@
 /// A node hears of a change from many others, of which it reaches one: what it sends to the
 /// others is lost. It asked each for the parts and waited five seconds for each in turn.
 #[test]
-fn a_change_is_in_force_in_time_where_most_peers_cannot_be_reached() {
+fn change_arrives_in_time_with_most_peers_unreachable() {
     let took = run(15, async |world| {
-        let nodes = settled(&world, 12).await;
+        let nodes = start_converged(&world, 12).await;
         world.network.cut(|from, to| from == address(4) && to != address(11));
         world.platform.publish(2, 200);
-        world.wait(60 * SECOND, || nodes[4].version() == 2).await
+        world.wait_until(60 * SECOND, || nodes[4].version() == 2).await
     });
 
-    assert!(took.is_some_and(|took| took <= IN_FORCE), "took {took:?}");
+    assert!(took.is_some_and(|took| took <= IN_FORCE_LIMIT), "took {took:?}");
 }
 
 /// A node is born where neither peers nor the platform answer. It has no document
 /// that anybody confirmed, so it must not serve, however long it waits.
 #[test]
-fn a_newborn_without_evidence_does_not_serve() {
+fn new_node_without_confirmed_document_does_not_serve() {
     let (stage, served) = run(9, async |world| {
         world.platform.publish(1, 200);
         world.platform.down.set(true);
         let node = world.add_configured(7);
-        world.pass(60 * SECOND).await;
+        world.sleep(60 * SECOND).await;
         let lifecycle: Lifecycle = node.registry.find(services::LIFECYCLE).unwrap();
         (lifecycle.stage(), node.served())
     });
@@ -213,13 +213,13 @@
 /// The platform is set back to an earlier version, as from an old backup. An
 /// accepted change must not be undone by that.
 #[test]
-fn a_platform_that_is_set_back_changes_nothing() {
+fn reverted_platform_changes_nothing() {
     let versions = run(10, async |world| {
-        let nodes = settled(&world, 9).await;
+        let nodes = start_converged(&world, 9).await;
         world.platform.publish(2, 200);
-        world.wait(10 * SECOND, || world.all_have(2)).await;
+        world.wait_until(10 * SECOND, || world.all_have(2)).await;
         world.platform.publish(1, 200);
-        world.pass(30 * SECOND).await;
+        world.sleep(30 * SECOND).await;
         nodes.iter().map(|node| node.version()).collect::<Vec<_>>()
     });
 
@@ -231,11 +231,11 @@
 #[test]
 fn parts_of_old_versions_are_dropped() {
     let kept = run(11, async |world| {
-        let nodes = settled(&world, 9).await;
+        let nodes = start_converged(&world, 9).await;
         let old = world.platform.digests();
         for version in 2..=4 {
             world.platform.publish(version, 200);
-            assert!(world.wait(10 * SECOND, || world.all_have(version)).await.is_some());
+            assert!(world.wait_until(10 * SECOND, || world.all_have(version)).await.is_some());
         }
         let newest = world.platform.head_digests();
         (held(&nodes[3], &old).await, held(&nodes[3], &newest).await, newest.len())
@@ -263,15 +263,15 @@
 /// The first answer told an age of 584 million years, which a script took for a
 /// number. Why: "never" was told as the greatest number.
 #[test]
-fn no_age_is_told_before_the_first_confirmation() {
+fn age_is_none_before_first_confirmation() {
     let (before, after) = run(14, async |world| {
         world.platform.down.set(true);
         world.platform.publish(1, 10);
         let node = world.add_configured(0);
-        world.pass(5 * SECOND).await;
+        world.sleep(5 * SECOND).await;
         let before = node.members.confirmed();
         world.platform.down.set(false);
-        assert!(world.wait(30 * SECOND, || node.served() == Some(1)).await.is_some());
+        assert!(world.wait_until(30 * SECOND, || node.served() == Some(1)).await.is_some());
         (before, node.members.confirmed())
     });
 
--- a/crates/kumquatnotch-member/tests/membership.rs
+++ b/crates/kumquatnotch-member/tests/membership.rs
@@ -18,21 +18,21 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Starts `count` nodes and waits until they know each other.
-async fn settled(world: &World, count: usize) -> Vec<Rc<Node>> {
+async fn start_converged(world: &World, count: usize) -> Vec<Rc<Node>> {
     let nodes = (0..count).map(|number| world.add(number)).collect();
-    assert!(world.wait(30 * SECOND, || world.has_converged()).await.is_some());
+    assert!(world.wait_until(30 * SECOND, || world.has_converged()).await.is_some());
     // The changes of the start have been sent as often as they are.
-    world.pass(10 * SECOND).await;
+    world.sleep(10 * SECOND).await;
     nodes
 }
 
 /// The least number of nodes that any of `nodes` knows as up.
-fn least_up(nodes: &[Rc<Node>]) -> usize {
+fn min_up(nodes: &[Rc<Node>]) -> usize {
     nodes.iter().map(|node| node.up_count()).min().unwrap()
 }
 
 /// The least number of nodes that any of `nodes` knows, suspects too.
-fn least_known(nodes: &[Rc<Node>]) -> usize {
+fn min_known(nodes: &[Rc<Node>]) -> usize {
     nodes.iter().map(|node| node.members.known().len()).min().unwrap()
 }
 
@@ -40,10 +40,10 @@
     few = { 9 },
     many = { 100 },
 )]
-fn nodes_that_start_at_once_find_each_other(count: usize) {
+fn simultaneous_start_converges(count: usize) {
     let took = run(1, async move |world| {
         (0..count).for_each(|number| drop(world.add(number)));
-        world.wait(30 * SECOND, || world.has_converged()).await
+        world.wait_until(30 * SECOND, || world.has_converged()).await
     });
 
     assert!(took.unwrap() < 10 * SECOND, "took {took:?}");
@@ -56,11 +56,11 @@
     few = { 9, 10 },
     many = { 100, 15 },
 )]
-fn a_killed_node_is_gone_everywhere(count: usize, limit: u32) {
+fn killed_node_is_declared_gone_everywhere(count: usize, limit: u32) {
     let took = run(2, async move |world| {
-        let nodes = settled(&world, count).await;
+        let nodes = start_converged(&world, count).await;
         world.kill(&nodes[4]);
-        world.wait(30 * SECOND, || world.is_gone_everywhere(&nodes[4].name)).await
+        world.wait_until(30 * SECOND, || world.is_gone_everywhere(&nodes[4].name)).await
     });
 
     assert!(took.unwrap() < limit * SECOND, "took {took:?}");
@@ -70,15 +70,15 @@
 /// its timers are overdue at once: its probes look unanswered, and the others
 /// would look dead to it. It must accuse nobody, and be known again by all.
 #[test]
-fn a_node_that_wakes_accuses_nobody_and_is_known_again() {
+fn unfrozen_node_suspects_nobody_and_rejoins() {
     let (gone, least, known) = run(3, async |world| {
-        let nodes = settled(&world, 30).await;
-        nodes[4].life.set(State::Frozen);
-        world.pass(60 * SECOND).await;
+        let nodes = start_converged(&world, 30).await;
+        nodes[4].process.set(State::Frozen);
+        world.sleep(60 * SECOND).await;
         let gone = nodes.iter().filter(|node| node.members.find(&nodes[4].name).is_none()).count();
-        nodes[4].life.set(State::Running);
-        let known = world.wait(30 * SECOND, || world.has_converged()).await;
-        (gone, world.least(20 * SECOND, || least_up(&nodes)).await, known)
+        nodes[4].process.set(State::Running);
+        let known = world.wait_until(30 * SECOND, || world.has_converged()).await;
+        (gone, world.min_during(20 * SECOND, || min_up(&nodes)).await, known)
     });
 
     assert_eq!(gone, 29);
@@ -91,10 +91,10 @@
 /// suspect is long overdue; the time it lost must not count, or it would drop a
 /// node that is well until an exchange finds the difference.
 #[parameterized(
-    with = { SECOND, 20 },
-    without = { 3_600 * SECOND, 19 },
+    with_freeze_detection = { SECOND, 20 },
+    without_freeze_detection = { 3_600 * SECOND, 19 },
 )]
-fn a_node_that_wakes_ends_no_suspicion(freeze_limit: Duration, expected: usize) {
+fn unfrozen_node_expires_no_suspicion(freeze_limit: Duration, expected: usize) {
     let least = run(12, async move |world| {
         let change = move |options: &mut MembershipOptions| {
             options.freeze_limit = freeze_limit;
@@ -102,22 +102,22 @@
         let nodes: Vec<_> = (0..20)
             .map(|number| world.add_with(&format!("n{number}"), number, None, change))
             .collect();
-        world.pass(20 * SECOND).await;
+        world.sleep(20 * SECOND).await;
         world.network.cut(|from, to| from == address(9) || to == address(9));
         let suspects = || {
             let record = nodes[4].members.find(&nodes[9].name);
             record.is_some_and(|record| record.state == NodeState::Suspect)
         };
-        assert!(world.wait(30 * SECOND, suspects).await.is_some());
-        nodes[4].life.set(State::Frozen);
+        assert!(world.wait_until(30 * SECOND, suspects).await.is_some());
+        nodes[4].process.set(State::Frozen);
         // What is sent to a machine that stands still for long is given up.
         world.network.cut(|_, to| to == address(4));
-        world.pass(60 * SECOND).await;
-        nodes[4].life.set(State::Running);
+        world.sleep(60 * SECOND).await;
+        nodes[4].process.set(State::Running);
         // Its connections are broken, so for a moment it has only its own timers.
-        let alone = world.least(SECOND, || nodes[4].members.known().len()).await;
+        let alone = world.min_during(SECOND, || nodes[4].members.known().len()).await;
         world.network.cut(|_, _| false);
-        alone.min(world.least(10 * SECOND, || nodes[4].members.known().len()).await)
+        alone.min(world.min_during(10 * SECOND, || nodes[4].members.known().len()).await)
     });
 
     assert_eq!(least, expected);
@@ -128,23 +128,23 @@
 /// reaches nodes of that other half. None may drop nodes of its own half for it,
 /// and the halves must find each other without any help.
 #[test]
-fn regions_that_were_apart_find_each_other() {
-    let (apart, least, healed) = run(4, async |world| {
-        let nodes = settled(&world, 60).await;
-        let is_south = |address| centre_of(address) == 2;
-        world.network.cut(move |from, to| is_south(from) != is_south(to));
-        world.pass(180 * SECOND).await;
-        let apart: Vec<usize> = nodes.iter().map(|node| node.up_count()).collect();
+fn partitioned_regions_rejoin() {
+    let (partitioned, least, healed) = run(4, async |world| {
+        let nodes = start_converged(&world, 60).await;
+        let in_south = |address| centre_of(address) == 2;
+        world.network.cut(move |from, to| in_south(from) != in_south(to));
+        world.sleep(180 * SECOND).await;
+        let partitioned: Vec<usize> = nodes.iter().map(|node| node.up_count()).collect();
         world.network.cut(|_, _| false);
         let south: Vec<_> = world.in_centre("aqaba");
-        let least = world.least(10 * SECOND, || least_up(&south)).await;
-        let healed = world.wait(60 * SECOND, || world.has_converged()).await;
-        (apart, least, healed)
+        let least = world.min_during(10 * SECOND, || min_up(&south)).await;
+        let healed = world.wait_until(60 * SECOND, || world.has_converged()).await;
+        (partitioned, least, healed)
     });
 
     let expected: Vec<usize> =
         (0..60).map(|number| if number % 3 == 2 { 20 } else { 40 }).collect();
-    assert_eq!(apart, expected);
+    assert_eq!(partitioned, expected);
     assert_eq!(least, 20);
     // Ten seconds have passed before this wait.
     assert!(healed.unwrap() < 50 * SECOND, "took {healed:?}");
@@ -154,11 +154,11 @@
 /// Probes across fail in both directions, as a reply goes the way that is cut,
 /// or the question does. Helpers elsewhere still reach everybody.
 #[test]
-fn a_one_way_cut_removes_nobody() {
+fn one_way_partition_removes_nobody() {
     let least = run(5, async |world| {
-        let nodes = settled(&world, 30).await;
+        let nodes = start_converged(&world, 30).await;
         world.network.cut(|from, to| centre_of(from) == 0 && centre_of(to) == 2);
-        world.least(120 * SECOND, || least_known(&nodes)).await
+        world.min_during(120 * SECOND, || min_known(&nodes)).await
     });
 
     assert_eq!(least, 30);
@@ -168,23 +168,23 @@
 /// everybody looks dead, and what it sends still arrives. Without a helper that
 /// answers it has no right to accuse; the others must not have to refute.
 #[parameterized(
-    with = { true, true },
-    without = { false, false },
+    with_required_helper = { true, true },
+    without_required_helper = { false, false },
 )]
-fn a_deaf_node_accuses_nobody(need_witness: bool, expected: bool) {
+fn node_without_inbound_traffic_suspects_nobody(require_helper: bool, expected: bool) {
     let least = run(6, async move |world| {
         let change = move |options: &mut MembershipOptions| {
-            options.need_witness = need_witness;
+            options.require_helper = require_helper;
         };
         let nodes: Vec<_> = (0..20)
             .map(|number| world.add_with(&format!("n{number}"), number, None, change))
             .collect();
-        world.wait(30 * SECOND, || world.has_converged()).await;
-        world.pass(10 * SECOND).await;
+        world.wait_until(30 * SECOND, || world.has_converged()).await;
+        world.sleep(10 * SECOND).await;
         world.network.cut(|_, to| to == address(7));
         let others: Vec<_> = nodes.iter().filter(|node| &*node.name != "n7").cloned().collect();
-        let up = || others.iter().map(|node| up_besides(node, "n7")).min().unwrap();
-        world.least(120 * SECOND, up).await
+        let up = || others.iter().map(|node| up_excluding(node, "n7")).min().unwrap();
+        world.min_during(120 * SECOND, up).await
     });
 
     assert_eq!(least == 19, expected, "least {least}");
@@ -194,15 +194,15 @@
 /// out soon though a third of their probes and helpers are dead too, and must
 /// not take each other for dead meanwhile.
 #[test]
-fn a_data_centre_is_lost_at_once() {
+fn loss_of_a_data_centre_is_detected() {
     let (took, least) = run(7, async |world| {
-        let nodes = settled(&world, 90).await;
+        let nodes = start_converged(&world, 90).await;
         for node in world.in_centre("aqaba") {
             world.kill(&node);
         }
-        let rest: Vec<_> = nodes.iter().filter(|node| node.life.is_running()).cloned().collect();
-        let took = world.wait(60 * SECOND, || world.has_converged()).await;
-        (took, world.least(20 * SECOND, || least_up(&rest)).await)
+        let rest: Vec<_> = nodes.iter().filter(|node| node.process.is_running()).cloned().collect();
+        let took = world.wait_until(60 * SECOND, || world.has_converged()).await;
+        (took, world.min_during(20 * SECOND, || min_up(&rest)).await)
     });
 
     assert!(took.unwrap() < 30 * SECOND, "took {took:?}");
@@ -215,23 +215,23 @@
 #[parameterized(
     other_name = { "other", 1_000 },
     same_name = { "n4", 1_000 },
-    other_name_with_clock_behind = { "other", 0 },
-    same_name_with_clock_behind = { "n4", 0 },
+    other_name_with_earlier_clock = { "other", 0 },
+    same_name_with_earlier_clock = { "n4", 0 },
 )]
-fn an_address_is_used_again(name: &'static str, stamp: u64) {
+fn reused_address_belongs_to_new_incarnation(name: &'static str, stamp: u64) {
     let (known, took) = run(8, async move |world| {
-        let nodes = settled(&world, 20).await;
+        let nodes = start_converged(&world, 20).await;
         world.kill(&nodes[4]);
-        world.pass(SECOND).await;
+        world.sleep(SECOND).await;
         let change = |options: &mut MembershipOptions| {
             options.incarnation = Some(Incarnation(stamp << 22 | 1));
         };
         let new = world.add_with(name, 4, None, change);
-        let took = world.wait(30 * SECOND, || {
-            let life = new.members.local().incarnation;
+        let took = world.wait_until(30 * SECOND, || {
+            let incarnation = new.members.local().incarnation;
             let known = |node: &Rc<Node>| {
                 let record = node.members.find(&new.name);
-                record.is_some_and(|record| record.incarnation == life)
+                record.is_some_and(|record| record.incarnation == incarnation)
             };
             world.has_converged() && world.nodes.borrow().iter().all(known)
         });
@@ -250,17 +250,17 @@
 /// So it has to be listed when an operator asks what is in force, though not for
 /// good, and the one that said itself that it goes must not be.
 #[test]
-fn a_node_that_went_without_a_word_is_lost_for_ten_minutes() {
+fn partitioned_node_is_listed_as_lost_for_ten_minutes() {
     let (early, late, back) = run(15, async |world| {
-        let nodes = settled(&world, 20).await;
+        let nodes = start_converged(&world, 20).await;
         world.network.cut(|from, to| from == address(4) || to == address(4));
-        world.pass(60 * SECOND).await;
+        world.sleep(60 * SECOND).await;
         let leaver = nodes[7].clone();
         leaver.members.leave();
-        world.pass(12 * SECOND).await;
-        leaver.members.farewell().await;
+        world.sleep(12 * SECOND).await;
+        leaver.members.announce_shutdown().await;
         world.kill(&leaver);
-        world.pass(60 * SECOND).await;
+        world.sleep(60 * SECOND).await;
         let lost = || {
             let others = nodes.iter().filter(|node| !["n4", "n7"].contains(&&*node.name));
             let lost = others.map(|node| node.members.lost());
@@ -268,10 +268,10 @@
                 .collect::<Vec<Vec<String>>>()
         };
         let early = lost();
-        world.pass(500 * SECOND).await;
+        world.sleep(500 * SECOND).await;
         let late = lost();
         world.network.cut(|_, _| false);
-        let back = world.wait(60 * SECOND, || world.has_converged()).await;
+        let back = world.wait_until(60 * SECOND, || world.has_converged()).await;
         (early, late, back)
     });
 
@@ -281,22 +281,22 @@
 }
 
 #[test]
-fn leaving_is_known_everywhere_and_ends_at_once() {
-    let (told, ended) = run(9, async |world| {
-        let nodes = settled(&world, 50).await;
+fn leaving_node_is_known_and_removed_everywhere() {
+    let (announced, removed) = run(9, async |world| {
+        let nodes = start_converged(&world, 50).await;
         let leaver = nodes[7].clone();
         leaver.members.leave();
         let is_leaving = |node: &Rc<Node>| {
             node.members.find(&leaver.name).map(|record| record.state) == Some(NodeState::Leaving)
         };
-        let told = world.wait(20 * SECOND, || nodes.iter().all(is_leaving)).await;
-        leaver.members.farewell().await;
+        let announced = world.wait_until(20 * SECOND, || nodes.iter().all(is_leaving)).await;
+        leaver.members.announce_shutdown().await;
         world.kill(&leaver);
-        (told, world.wait(20 * SECOND, || world.is_gone_everywhere(&leaver.name)).await)
+        (announced, world.wait_until(20 * SECOND, || world.is_gone_everywhere(&leaver.name)).await)
     });
 
-    assert!(told.unwrap() < 3 * SECOND, "took {told:?}");
-    assert!(ended.unwrap() < 3 * SECOND, "took {ended:?}");
+    assert!(announced.unwrap() < 3 * SECOND, "took {announced:?}");
+    assert!(removed.unwrap() < 3 * SECOND, "took {removed:?}");
 }
 
 /// A node joins and is up before it has a document. Callers that are sent to it are
@@ -306,18 +306,19 @@
     by_news = { 3.0, 3 },
     by_exchange = { 0.0, 30 },
 )]
-fn a_node_is_known_to_serve_once_it_does(spread_factor: f64, limit: u32) {
+fn serving_state_reaches_all_nodes(retransmit_factor: f64, limit: u32) {
     let (before, took) = run(13, async move |world| {
-        let change = |options: &mut MembershipOptions| options.spread_factor = spread_factor;
+        let change =
+            |options: &mut MembershipOptions| options.retransmit_factor = retransmit_factor;
         let nodes: Vec<_> = (0..50)
             .map(|number| world.add_with(&format!("n{number}"), number, None, change))
             .collect();
-        assert!(world.wait(60 * SECOND, || world.has_converged()).await.is_some());
+        assert!(world.wait_until(60 * SECOND, || world.has_converged()).await.is_some());
         let serves = |node: &Rc<Node>| node.members.find(&nodes[7].name).unwrap().serving;
         let before = nodes.iter().filter(|node| serves(node)).count();
         let lifecycle: Lifecycle = nodes[7].registry.find(services::LIFECYCLE).unwrap();
         lifecycle.advance(Stage::Serving);
-        (before, world.wait(60 * SECOND, || nodes.iter().all(serves)).await)
+        (before, world.wait_until(60 * SECOND, || nodes.iter().all(serves)).await)
     });
 
     assert_eq!(before, 0);
@@ -327,12 +328,12 @@
 /// One message in ten is lost, and each round trip has two. Probes fail often,
 /// helpers and refutations make up for it: nobody is taken as gone.
 #[test]
-fn lost_messages_remove_nobody() {
+fn message_loss_removes_nobody() {
     let least = run(10, async |world| {
-        let nodes = settled(&world, 30).await;
+        let nodes = start_converged(&world, 30).await;
         world.network.loss.set(0.1);
-        world.network.repeats.set(0.05);
-        world.least(180 * SECOND, || least_known(&nodes)).await
+        world.network.duplicates.set(0.05);
+        world.min_during(180 * SECOND, || min_known(&nodes)).await
     });
 
     assert_eq!(least, 30);
@@ -341,18 +342,18 @@
 /// A mark is set once and circulates among nodes that send it again and again,
 /// some copies seconds late. If a copy counted as a renewal, it would never end.
 #[test]
-fn a_mark_ends_by_itself() {
+fn mark_expires_everywhere() {
     let (spread, early, late) = run(11, async |world| {
-        let nodes = settled(&world, 40).await;
-        world.network.repeats.set(0.3);
-        world.network.extra.set(Duration::from_millis(200));
+        let nodes = start_converged(&world, 40).await;
+        world.network.duplicates.set(0.3);
+        world.network.extra_delay.set(Duration::from_millis(200));
         let kind = MarkKind::Draining("target-1".into());
         nodes[0].members.set(Mark { kind: kind.clone(), left_ms: 30_000 });
         let held = || nodes.iter().filter(|node| node.members.left_ms(&kind).is_some()).count();
-        let spread = world.wait(20 * SECOND, || held() == 40).await;
-        world.pass(24 * SECOND).await;
+        let spread = world.wait_until(20 * SECOND, || held() == 40).await;
+        world.sleep(24 * SECOND).await;
         let early = held();
-        world.pass(12 * SECOND).await;
+        world.sleep(12 * SECOND).await;
         (spread, early, held())
     });
 
@@ -365,7 +366,7 @@
 }
 
 /// How many nodes besides `name` a node knows as up.
-fn up_besides(node: &Node, name: &str) -> usize {
+fn up_excluding(node: &Node, name: &str) -> usize {
     let known = node.members.known();
     known.iter().filter(|record| record.state == NodeState::Up && &*record.name != name).count()
 }
@@ -375,19 +376,19 @@
 /// It saw the killed node as up for good, and so did the operators who asked it. The
 /// VMs answer that no process listens there, which needs no witness.
 #[test]
-fn the_last_node_of_a_group_tells_that_the_others_have_ended() {
+fn last_node_detects_that_all_others_ended() {
     let (suspect, gone, left) = run(21, async |world| {
-        let nodes = settled(&world, 3).await;
+        let nodes = start_converged(&world, 3).await;
         nodes[2].members.leave();
-        world.pass(SECOND).await;
+        world.sleep(SECOND).await;
         for node in &nodes[1..] {
             world.kill(node);
             world.network.refuse(node.address);
         }
         let state =
             |index: usize| nodes[0].members.find(&nodes[index].name).map(|record| record.state);
-        let suspect = world.wait(10 * SECOND, || state(1) == Some(NodeState::Suspect)).await;
-        let gone = world.wait(10 * SECOND, || state(1).is_none()).await;
+        let suspect = world.wait_until(10 * SECOND, || state(1) == Some(NodeState::Suspect)).await;
+        let gone = world.wait_until(10 * SECOND, || state(1).is_none()).await;
         (suspect, gone, state(2))
     });
 
--- a/crates/kumquatnotch/src/node.rs
+++ b/crates/kumquatnotch/src/node.rs
@@ -181,7 +181,7 @@
     }
 
     async fn outlived(&self) {
-        while !self.members.is_outlived() {
+        while !self.members.is_superseded() {
             clock::sleep(&*self.clock, OUTLIVED_GAP).await;
         }
     }
@@ -194,7 +194,7 @@
     /// unknown. Searches change nothing, and their document is asked for on.
     pub async fn leave(&self) -> Shutdown {
         // What another process does once this one leaves is no reason to start again.
-        let outlived = self.members.is_outlived();
+        let outlived = self.members.is_superseded();
         // Callers keep the address of this node for as long as their advice said,
         // and other nodes go on giving it out until they hear that this one leaves.
         // A node that waited for its own advice only would refuse callers that
@@ -217,7 +217,7 @@
         // keeps an idle connection: a message sent on one just as it is closed
         // would have an unknown outcome.
         self.peer.drain();
-        self.members.farewell().await;
+        self.members.announce_shutdown().await;
         clock::sleep(&*self.clock, FAREWELL_TIME).await;
         let peer = self.close_peer(deadline).await;
         match entry && peer {
