--- a/crates/kumquatnotch-member/src/config_service.rs
+++ b/crates/kumquatnotch-member/src/config_service.rs
@@ -1,9 +1,9 @@
-//! The configuration service: the document in force and how it gets there.
+//! The configuration service: the document in force and how it is updated.
 //!
-//! A document is put in force only if its version is above the one in force, so
-//! no message, however late, can bring an earlier one back. Reading the
-//! platform's head is in [`crate::readers`], fetching parts in [`crate::fetch`],
-//! and what a node does at birth and after a freeze in [`crate::recheck`].
+//! A document is put in force only if its version is above the one in force, so a delayed
+//! message can't restore an earlier one. The platform's head is read in [`crate::readers`],
+//! parts are fetched in [`crate::fetch`], and [`crate::recheck`] contains the checks at
+//! startup and after a freeze.
 
 use std::{
     cell::{Cell, RefCell},
@@ -37,7 +37,7 @@
     traffic,
 };
 
-/// Keeps the operators' document in force on this node.
+/// Maintains the operators' document on this node.
 pub struct ConfigService {
     pub(crate) options: ConfigOptions,
     pub(crate) clock: Rc<dyn Clock>,
@@ -49,24 +49,25 @@
     pub(crate) backoff: RefCell<Backoff>,
     pub(crate) freeze_detector: FreezeDetector,
     pub(crate) gate: Gate,
-    /// The view by which the readers were ranked, and whether this node is one.
+    /// The membership generation at which the readers were ranked, and whether this node is one.
     pub(crate) reader_cache: Cell<(u64, bool)>,
-    /// Rumours are only collected until the node has decided on its first document.
+    /// Whether the first document was decided on; until then versions are only collected.
     pub(crate) bootstrapped: Cell<bool>,
     pub(crate) me: Weak<ConfigService>,
     document: RefCell<Option<Rc<Document>>>,
-    /// The digests of the document in force and of the one before.
+    /// Digests of the values of the document in force and of the previous one.
     retained: RefCell<[HashSet<Digest>; 2]>,
     lifecycle: Option<Lifecycle>,
 }
 
 impl ConfigService {
-    /// Puts the service together and registers it.
+    /// Creates the service and registers it.
     ///
-    /// Needs the store and a [`MembershipService`] in the registry.
+    /// Requires the store and a [`MembershipService`] in the registry.
     pub fn try_new(options: ConfigOptions, registry: &Registry) -> Result<Rc<ConfigService>> {
         if options.readers == 0 || options.read_period.is_zero() {
-            let detail = "configuration needs a reader and a period".to_owned();
+            let detail =
+                "configuration needs at least one reader and a read period above zero".to_owned();
             return Err(Error::BadSettings { detail });
         }
         let clock: Rc<dyn Clock> = registry.find(services::CLOCK)?;
@@ -108,25 +109,25 @@
         monoio::spawn(me.run_config());
     }
 
-    /// The version in force; zero for none.
+    /// Returns the version in force, or zero if there is none.
     pub fn version(&self) -> ConfigVersion {
         self.members.head_state.in_force().map(|state| state.version).unwrap_or_default()
     }
 
-    /// Whether the document in force may be served.
+    /// Returns true if the document in force may be served.
     ///
-    /// False from a freeze of this process until peers or the platform were asked
-    /// again, at most for the time that the options give.
+    /// Returns false after a freeze of this process until peers or the platform have been
+    /// queried, at most for [`ConfigOptions::recheck_timeout`].
     pub fn may_serve(&self) -> bool {
         let now = self.clock.now();
         if self.freeze_detector.is_overdue(now) {
-            // A request may be handled before the task that notices the freeze runs.
+            // A request may be handled before the task that detects the freeze runs.
             self.gate.close(now + self.options.recheck_timeout);
         }
         self.gate.is_open(now)
     }
 
-    /// Puts a document in force if its version is above the present one.
+    /// Puts a document in force if its version is above the current one.
     pub(crate) fn put_in_force(&self, state: InForce, manifest: &Manifest, document: Document) {
         if !self.members.head_state.advance(state) {
             return;
@@ -146,9 +147,9 @@
         monoio::spawn(async move { members.push_to(fanout).await });
     }
 
-    /// Drops the values that neither this document nor the one before has.
+    /// Drops the values that belong neither to this document nor to the previous one.
     ///
-    /// Peers that were told of the earlier one may still be fetching it.
+    /// Peers to which the previous one was announced may still be fetching it.
     fn drop_unused_values(&self, digest: Digest, manifest: &Manifest) {
         let digests: HashSet<Digest> = manifest.digests().chain([digest]).collect();
         let mut retained = self.retained.borrow_mut();
@@ -158,7 +159,7 @@
         values.retain(|digest, _| retained.iter().any(|digests| digests.contains(digest)));
     }
 
-    /// Notices freezes, and asks again after one.
+    /// Detects freezes, and starts a recheck after each.
     async fn run_ticks(self: Rc<Self>) {
         loop {
             clock::sleep(&*self.clock, TICK_PERIOD).await;
@@ -183,7 +184,8 @@
         let mut found = Vec::new();
         for value in digests.iter().filter_map(|digest| values.get(digest)) {
             bytes += value.value.len();
-            // One value always goes, or a large one could never be had.
+            // At least one value is always sent; otherwise a value above the limit could never
+            // be fetched.
             if bytes > self.options.reply_limit && !found.is_empty() {
                 break;
             }
@@ -227,7 +229,7 @@
                 PeerMessage::ConfigState => {
                     PeerReply::ConfigState(self.members.head_state.confirmation())
                 }
-                _ => return Err(Error::protocol("not for configuration")),
+                _ => return Err(Error::protocol("not a configuration message")),
             };
             traffic::count_reply(&reply);
             Ok(reply)
--- a/crates/kumquatnotch-member/src/fetch.rs
+++ b/crates/kumquatnotch-member/src/fetch.rs
@@ -1,7 +1,8 @@
-//! Fetching the parts of a version: from who told of it, from others, from the platform.
+//! Fetches the parts of a version: from the peers that announced it, from others, or from
+//! the platform.
 //!
-//! Only digests that this node lacks are asked for, and every value is checked
-//! against its digest, so it does not matter who sends it.
+//! Only the digests that this node lacks are requested, and every value is verified against
+//! its digest, so it can come from any peer.
 
 use std::{
     collections::VecDeque,
@@ -25,39 +26,39 @@
 
 use crate::{config_service::ConfigService, head_state::InForce, traffic};
 
-/// How many sources of a version are remembered.
+/// Maximum number of sources remembered per version.
 const SOURCE_LIMIT: usize = 8;
 
-/// How many other peers are asked if no teller has a value.
+/// Number of random peers asked if no source has a value.
 const RANDOM_PEERS: usize = 3;
 
-/// How many attempts are made before the next message has to tell of it again.
+/// Number of attempts before the version has to be announced again.
 const MAX_ATTEMPTS: usize = 3;
 
-/// The time a peer has to send values; they are longer than control messages.
+/// Timeout of a fetch from a peer; its reply is larger than other control messages.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// After how long the next peer is asked, while those before it still send.
+/// Delay after which the next peer is asked as well if the earlier ones have not finished.
 const HEDGE_DELAY: Duration = Duration::from_millis(500);
 
-/// The time between two attempts.
+/// Time between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// All nodes together turn to the platform for values about this often a second.
+/// Approximate rate at which all nodes together read values from the platform, per second.
 const PLATFORM_FETCH_RATE: f64 = 20.0;
 
-/// The highest version that is known, and who has it.
+/// The highest known version, and the peers that have it.
 #[derive(Debug, Default)]
 pub(crate) struct Wanted {
     pub(crate) head: Option<InForce>,
     sources: VecDeque<SocketAddr>,
-    /// Whether this node read it from the platform, where no peer may have it yet.
+    /// Whether this node read it from the platform, so that no peer may have it yet.
     from_platform: bool,
     fetching: bool,
 }
 
 impl Wanted {
-    /// Adds what a peer told.
+    /// Adds a version announced by a peer.
     pub(crate) fn add(&mut self, head: HeadInfo, source: SocketAddr, confirmed: Instant) {
         self.advance(head, confirmed);
         let wanted = self.version();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Adds what the platform told.
+    /// Adds a version read from the platform.
     pub(crate) fn add_read(&mut self, head: HeadInfo, sent_at: Instant) {
         self.advance(head, sent_at);
         self.from_platform |= head.version == self.version();
@@ -96,7 +97,7 @@
 }
 
 impl ConfigService {
-    /// Fetches the wanted version in its own task, unless that is under way.
+    /// Starts to fetch the wanted version in its own task, unless a fetch is running.
     pub(crate) fn start_fetch(&self) {
         let Some(me) = self.me.upgrade() else {
             return;
@@ -126,12 +127,11 @@
         self.wanted.borrow_mut().fetching = false;
     }
 
-    /// Gets every value of a version and puts it in force.
+    /// Fetches every value of a version and puts it in force.
     async fn fetch_version(&self, head: InForce) -> Result<()> {
-        // The reply of a teller also tells how old its confirmation is.
-        let (fetch_missing, ()) =
-            join(self.fetch_missing(&[head.manifest]), self.ask_source()).await;
-        fetch_missing?;
+        // The reply of the source also carries the age of its confirmation.
+        let (fetched, ()) = join(self.fetch_missing(&[head.manifest]), self.ask_source()).await;
+        fetched?;
         let manifest: Manifest = codec::decode(&self.value(head.manifest)?.value)?;
         let digests: Vec<Digest> = manifest.digests().collect();
         self.fetch_missing(&digests).await?;
@@ -140,13 +140,13 @@
             let value = |digest: Digest| values.get(&digest).map(|value| value.value.as_slice());
             stored::join(head.version, &manifest, value)?
         };
-        // A confirmation may have come while the parts were fetched.
+        // A confirmation may have arrived during the fetch.
         let wanted = self.wanted.borrow().head.filter(|wanted| wanted.version == head.version);
         self.put_in_force(wanted.unwrap_or(head), &manifest, document);
         Ok(())
     }
 
-    /// Asks the last teller for the version that it has.
+    /// Queries the version of the most recent source.
     async fn ask_source(&self) {
         let source = self.wanted.borrow().sources.front().copied();
         if let Some(source) = source {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Gets those of `digests` that are not here.
+    /// Fetches the values of `digests` that this node lacks.
     async fn fetch_missing(&self, digests: &[Digest]) -> Result<()> {
         if self.missing(digests).is_empty() {
             return Ok(());
@@ -163,7 +163,8 @@
             let wanted = self.wanted.borrow();
             (wanted.sources.iter().copied().collect::<Vec<_>>(), wanted.from_platform)
         };
-        // Nobody but the platform may have what this node is among the first to read.
+        // If this node is among the first to read a version, only the platform may have its
+        // values.
         if from_platform && sources.is_empty() {
             self.fetch_from_platform(digests).await?;
         }
@@ -182,11 +183,11 @@
         }
     }
 
-    /// Asks peers until nothing is lacking, in their order.
+    /// Fetches from peers in order until no value is missing.
     ///
-    /// What is sent to a peer that hangs or is cut off is noticed only after a full timeout.
-    /// Several of these in turn would keep a change from being in force in time, so the next
-    /// one is asked beside it before that.
+    /// A request to a peer that hangs or is partitioned fails only after the full timeout.
+    /// Several of these in sequence would delay a change beyond the time within which it must be
+    /// in force, so the next peer is asked as well after [`HEDGE_DELAY`].
     async fn fetch_from_peers(&self, sources: Vec<SocketAddr>, digests: &[Digest]) {
         let mut sources = sources.into_iter();
         let mut running = FuturesUnordered::new();
@@ -194,13 +195,13 @@
             let Some(source) = sources.next() else { break };
             running.push(self.fetch_from(source, digests));
             let next = clock::sleep(&*self.clock, HEDGE_DELAY);
-            // One that is done has nothing more to tell.
+            // The result of a finished fetch is already stored.
             select(running.next(), next).await;
         }
         while !self.missing(digests).is_empty() && running.next().await.is_some() {}
     }
 
-    /// Asks one peer as long as it sends something.
+    /// Fetches from one peer as long as it returns new values.
     async fn fetch_from(&self, source: SocketAddr, digests: &[Digest]) {
         loop {
             let missing = self.missing(digests);
@@ -232,12 +233,12 @@
         Ok(())
     }
 
-    /// Keeps values that have their digests; whether one was of use.
+    /// Stores the values that match their digests; returns true if one of them is new.
     fn store_values(&self, values: Vec<StoredValue>) -> bool {
         let mut useful = false;
         for value in values {
             if let Err(error) = stored::check_value(&value) {
-                warn!("config: part {} refused: {error}", value.digest);
+                warn!("config: rejected part {}: {error}", value.digest);
                 continue;
             }
             let earlier = self.values.borrow_mut().insert(value.digest, Rc::new(value));
--- a/crates/kumquatnotch-member/src/head_state.rs
+++ b/crates/kumquatnotch-member/src/head_state.rs
@@ -1,8 +1,8 @@
-//! Where membership and configuration meet: the version in force and its confirmation.
+//! The configuration version in force and its confirmation, shared by both services.
 //!
-//! Membership messages carry the version that is in force here, so a peer that
-//! is told of a higher one can fetch it from the teller. The age of the last
-//! reading of the platform travels as a span, and is never told younger than it is.
+//! Membership messages carry the version that is in force on the sender, so that a peer can
+//! fetch a newer version from the sender. The age of the last read of the platform is sent
+//! as a duration, and is never understated.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,18 +18,19 @@
     peer::HeadInfo,
 };
 
-/// The oldest confirmation that is told apart.
+/// Maximum age of a confirmation; older ones are reported with this age.
 const AGE_LIMIT: Duration = Duration::from_secs(365 * 24 * 3_600);
 
-/// Told of versions that are above the one in force.
+/// Receives the versions that are above the one in force.
 pub(crate) trait HeadListener {
-    /// A peer at `sender` has `head` in force, which was the newest at `confirmed`.
+    /// Handles the version in force on the peer at `sender`, which was the newest at
+    /// `confirmed`.
     fn on_head(&self, head: HeadInfo, sender: SocketAddr, confirmed: Instant);
 
-    /// Whether a version is known that is not in force here.
+    /// Returns true if a version is known that is above the one in force.
     fn has_newer(&self) -> bool;
 
-    /// Others took this node as gone, so it may have missed changes.
+    /// Handles that others declared this node gone, so that it may have missed changes.
     fn on_declared_gone(&self);
 }
 
@@ -38,7 +39,7 @@
 pub(crate) struct InForce {
     pub(crate) version: ConfigVersion,
     pub(crate) manifest: Digest,
-    /// When the platform was last known to have it as the newest.
+    /// When it was last known to be the newest version on the platform.
     pub(crate) confirmed: Instant,
 }
 
@@ -58,7 +59,7 @@
         *self.listener.borrow_mut() = Some(listener);
     }
 
-    /// Whether peers have a version while there is none here.
+    /// Returns true if no version is in force here, but a peer has one.
     pub(crate) fn awaits_first_version(&self) -> bool {
         self.state.get().is_none() && self.listener().is_some_and(|listener| listener.has_newer())
     }
@@ -67,7 +68,7 @@
         self.state.get()
     }
 
-    /// Puts a version in force, if it is higher.
+    /// Puts a version in force if it is higher.
     pub(crate) fn advance(&self, next: InForce) -> bool {
         let higher = self.state.get().is_none_or(|state| state.version < next.version);
         if higher {
@@ -76,7 +77,7 @@
         higher
     }
 
-    /// Notes that `version` was the newest at `when`.
+    /// Records that `version` was the newest at `when`.
     pub(crate) fn confirm(&self, version: ConfigVersion, when: Instant) {
         let Some(mut state) = self.state.get() else {
             return;
@@ -87,12 +88,13 @@
         }
     }
 
-    /// Takes the head of a peer's message; `sent_at` is when the request for it was sent.
+    /// Handles the head in a peer's message; `sent_at` is when the request that it answers was
+    /// sent.
     ///
-    /// An age counts only in a reply, and from the request on: the time on the way
-    /// is then in it. Counted from the arrival, each hop would make the
-    /// confirmation younger by its delay, and as it goes round and round, by far
-    /// more: in an outage of 120 s the age came out 5.5 s too low.
+    /// The age is used only in a reply, and counts from the sending of the request, so that it
+    /// includes the time in transit. If it counted from the arrival, each hop would make the
+    /// confirmation younger by its delay. As confirmations circulate, this adds up: in an outage
+    /// of 120 s the age would be 5.5 s too low.
     pub(crate) fn on_head(
         &self,
         head: HeadInfo,
@@ -113,14 +115,14 @@
         }
     }
 
-    /// Passes on that others took this node as gone.
+    /// Notifies the listener that others declared this node gone.
     pub(crate) fn on_declared_gone(&self) {
         if let Some(listener) = self.listener() {
             listener.on_declared_gone();
         }
     }
 
-    /// The version in force as it is told to peers.
+    /// Returns the version in force as sent to peers.
     pub(crate) fn head_info(&self) -> HeadInfo {
         match self.state.get() {
             Some(state) => HeadInfo {
@@ -136,7 +138,7 @@
 
     pub(crate) fn confirmation(&self) -> Confirmation {
         let head = self.head_info();
-        // A version that came without a confirmation has the oldest one there is.
+        // A version received without a confirmation has the maximum age.
         let is_confirmed = u128::from(head.age_ms) < AGE_LIMIT.as_millis();
         let age_ms = is_confirmed.then_some(head.age_ms);
         Confirmation { version: head.version, age_ms }
@@ -144,7 +146,7 @@
 
     fn age_ms(&self, state: InForce) -> u64 {
         let age = self.clock.now().saturating_duration_since(state.confirmed);
-        // Rounded up, as what each hop cuts off would add up.
+        // Rounded up, as truncation errors of the hops would add up.
         age.as_nanos().div_ceil(1_000_000) as u64
     }
 
@@ -153,7 +155,7 @@
     }
 }
 
-/// The moment that was `age_ms` before `now`.
+/// Returns the instant `age_ms` before `now`.
 pub(crate) fn instant_before(now: Instant, age_ms: u64) -> Instant {
     let age = Duration::from_millis(age_ms).min(AGE_LIMIT);
     now.checked_sub(age).unwrap_or(now)
--- a/crates/kumquatnotch-member/src/readers.rs
+++ b/crates/kumquatnotch-member/src/readers.rs
@@ -1,16 +1,15 @@
-//! Who reads the platform's head, and how often.
+//! Selection of the nodes that read the platform's head, and their read rate.
 //!
-//! The readers are the first few of the known nodes by rendezvous hashing. No
-//! lease is involved: views differ for a while and there may be more or fewer
-//! readers, which costs calls and never truth. A node that has heard no
-//! confirmation for some seconds reads with a chance of one over the number of
-//! nodes, so that all of them together read about once a second.
+//! The readers are the first few known nodes by rendezvous hashing. There is no lease:
+//! while views differ there may be more or fewer readers, which changes the number of calls
+//! but is always correct. A node that has received no confirmation for some seconds reads
+//! with a probability of one over the number of nodes, so that all nodes together read
+//! about once per second.
 //!
-//! At 1,900 nodes that is 5 calls/s in the steady state. In an outage each node
-//! waits up to [`crate::ConfigOptions::backoff_limit`] between attempts: 5/8
-//! calls/s of the readers and at most one of all others. The return of the
-//! platform changes no rate at once, as nobody waits for it; the first to
-//! succeed tells the others.
+//! At 1,900 nodes this makes 5 calls/s in the steady state. In an outage each node waits up
+//! to [`crate::ConfigOptions::backoff_limit`] between attempts: 5/8 calls/s from the
+//! readers and at most one from all other nodes. The return of the platform causes no burst
+//! of calls, as no calls are queued; the first node to succeed informs the others.
 
 use std::{
     rc::Rc,
@@ -32,7 +31,7 @@
 /// The key by which the readers are ranked.
 const READERS_KEY: &[u8] = b"config-readers";
 
-/// When the platform may be called again after failures.
+/// Backoff after failed calls to the platform.
 #[derive(Debug, Default)]
 pub(crate) struct Backoff {
     failures: u32,
@@ -67,15 +66,15 @@
         loop {
             clock::sleep(&*self.clock, self.random.jitter(self.options.read_period)).await;
             if self.may_read() {
-                // The backoff has noted a failure.
+                // The backoff has recorded the failure.
                 let _ = self.read_head().await;
             }
         }
     }
 
-    /// Reads the head; what it says is confirmed or wanted from now on.
+    /// Reads the head, which then is confirmed or becomes the wanted version.
     pub(crate) async fn read_head(&self) -> Result<Option<HeadInfo>> {
-        // The reading took place after this moment, whenever the reply comes.
+        // The platform answered after this instant, however late the reply arrives.
         let sent_at = self.clock.now();
         let result = self.store.read(HEAD_KEY).await;
         metrics::counter!("kumquatnotch_head_readings_total").increment(1);
@@ -92,10 +91,10 @@
         Ok(Some(head_info))
     }
 
-    /// Whether this node is one of the readers.
+    /// Returns true if this node is one of the readers.
     ///
-    /// Ranking 1,900 names each second would be most of the processor time that
-    /// control takes, so it is done once for each change of the view.
+    /// Ranking 1,900 names each second would take most of the CPU time of the control plane, so
+    /// the result is cached until the membership changes.
     pub(crate) fn is_reader(&self) -> bool {
         let generation = self.members.generation();
         let (ranked, reader) = self.reader_cache.get();
@@ -119,7 +118,7 @@
         first.any(|name| name == local.as_str())
     }
 
-    /// How many nodes are known, this one too.
+    /// Returns the number of known nodes, including this one.
     pub(crate) fn node_count(&self) -> usize {
         self.members.table.borrow().live_count() + 1
     }
@@ -139,9 +138,12 @@
     fn apply_read(&self, head_info: HeadInfo, sent_at: Instant) -> Result<()> {
         let version = self.version();
         if head_info.version < version {
-            // The service was set back, as from an old backup. What was in force
-            // stays: going back would undo an accepted change.
-            warn!("config: the platform has version {}, below {version}", head_info.version);
+            // The platform was reverted, for example to an old backup. The version in force is
+            // kept, as going back would undo an accepted change.
+            warn!(
+                "config: the platform has version {}, below the current version {version}",
+                head_info.version
+            );
             metrics::counter!("kumquatnotch_head_reverted_total").increment(1);
             return Err(Error::StaleVersion { version: head_info.version.0 });
         }
--- a/crates/kumquatnotch-member/src/recheck.rs
+++ b/crates/kumquatnotch-member/src/recheck.rs
@@ -1,20 +1,20 @@
-//! Birth, and waking from a freeze: asking before serving.
+//! Checks before a node serves: at startup and after a freeze.
 //!
-//! A newborn node asks a few random peers and takes the highest version, if more
-//! than half answered and a confirmation is young. If the confirmations are old,
-//! as in an outage of the platform, it asks others too, and then takes the
-//! highest: nothing new can be accepted in an outage, so what they have is still
-//! true. It calls the platform only if no peer has a document, and then as every
-//! node does, by rank or by chance, so that 1,900 that start at once do not all.
+//! A starting node queries a few random peers and takes the highest version if more than
+//! half of them answered and one confirmation is recent. If all confirmations are old, as
+//! in an outage of the platform, it queries further peers and then takes the highest
+//! version: no change can be accepted during an outage, so the version that they have is
+//! still the newest. It reads the platform only if no peer has a document, and then as any
+//! node does, by rank or by chance, so that 1,900 nodes that start at once do not all call
+//! the platform.
 //!
-//! What remains unprovable: a version may have been accepted just before the
-//! outage and be in force only on nodes that this one can't reach. It then
-//! serves the version before, as the peers that it asked do, and the age of its
-//! confirmation says how long that has been so.
+//! One case can't be detected: a version may have been accepted just before the outage and
+//! be in force only on nodes that this one can't reach. The node then serves the version
+//! before it, as the queried peers do, and the age of its confirmation shows for how long.
 //!
-//! A node that wakes from a freeze holds back its document until the platform or
-//! peers have answered, at most [`crate::ConfigOptions::recheck_timeout`]. If
-//! nobody answers it serves again what it had, as in an outage.
+//! After a freeze a node withholds its document until the platform or enough peers have
+//! answered, at most for [`crate::ConfigOptions::recheck_timeout`]. If none answers, it
+//! serves the document that it had, as in an outage.
 
 use std::{
     cell::Cell,
@@ -33,20 +33,21 @@
 
 use crate::{config_service::ConfigService, membership_service::MembershipService};
 
-/// How often a waiting node looks whether it has what it waits for.
+/// Time between two checks whether a fetch has completed.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// The time between two rounds of a newborn node, at first and at last.
+/// Initial and maximum time between two rounds of queries at startup.
 const BOOTSTRAP_INTERVALS: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_secs(1));
 
-/// How many rounds with old confirmations are enough.
+/// Number of rounds with only old confirmations that are sufficient.
 const STALE_ROUNDS: usize = 2;
 
-/// How long a newborn node waits for a peer with a document before the platform may be read.
+/// Time that a starting node waits for a peer with a document before it may read the
+/// platform.
 const PLATFORM_READ_DELAY: Duration = Duration::from_secs(2);
 
-/// Whether the document may be served.
+/// Blocks serving of the document until a recheck is done.
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
     closed_until: Cell<Option<Instant>>,
@@ -54,7 +55,7 @@
 }
 
 impl Gate {
-    /// Closes until `limit` and asks for a recheck, unless it is closed already.
+    /// Closes the gate until `limit` and requests a recheck, unless it is already closed.
     pub(crate) fn close(&self, limit: Instant) {
         if self.closed_until.get().is_none() {
             self.closed_until.set(Some(limit));
@@ -66,7 +67,7 @@
         self.closed_until.get().is_none_or(|limit| limit <= now)
     }
 
-    /// Whether a recheck was asked for; asked once.
+    /// Returns and clears the request for a recheck.
     pub(crate) fn take_request(&self) -> bool {
         self.requested.take()
     }
@@ -76,18 +77,18 @@
     }
 }
 
-/// What peers answered.
+/// Summary of the answers of peers.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerPoll {
     answers: usize,
     asked: usize,
     version: ConfigVersion,
-    /// The age of the youngest confirmation of that version.
+    /// Age of the most recent confirmation of that version.
     age: Duration,
 }
 
 impl ConfigService {
-    /// Decides on the first document.
+    /// Waits until the first version can be chosen safely, then starts to fetch it.
     pub(crate) async fn bootstrap(self: &Rc<Self>) {
         let start = self.clock.now();
         let mut gap = BOOTSTRAP_INTERVALS.0;
@@ -108,9 +109,9 @@
         self.start_fetch();
     }
 
-    /// Whether no peer has a document, but the platform does.
+    /// Returns true if no peer has a document, but the platform does.
     async fn can_use_platform(&self, poll: &PeerPoll, start: Instant) -> bool {
-        // By then the peers are known, and so is which node is to read.
+        // By then the peers are known, and therefore the readers too.
         let alone = self.clock.now().saturating_duration_since(start) >= PLATFORM_READ_DELAY;
         if poll.version > ConfigVersion(0) || !alone || !self.may_read() {
             return false;
@@ -118,7 +119,7 @@
         matches!(self.read_head().await, Ok(Some(_)))
     }
 
-    /// Asks again after a freeze, then opens the gate.
+    /// Queries peers and the platform after a freeze, then opens the gate.
     pub(crate) async fn recheck(self: Rc<Self>) {
         let limit = self.clock.now() + self.options.recheck_timeout;
         let work = async {
@@ -135,13 +136,13 @@
         self.gate.open();
     }
 
-    /// Whether enough peers or the platform answered.
+    /// Returns true if enough peers, or the platform, answered.
     async fn recheck_once(&self) -> bool {
         let poll = self.poll_peers().await;
         self.is_conclusive(&poll, true) || self.read_head().await.is_ok()
     }
 
-    /// Asks several peers which version they have; what they say is taken in.
+    /// Queries the versions of several peers; their gossip is merged.
     async fn poll_peers(&self) -> PeerPoll {
         let peers = self.members.pick_peers(self.options.queried_peers, |_| true);
         let asks = peers.iter().map(|peer| self.members.query_head(peer.peer, Some(&peer.name)));
@@ -159,16 +160,18 @@
         poll
     }
 
-    /// Whether more than half of the peers answered, and one has a document.
+    /// Returns true if more than half of the peers answered and one has a document.
+    ///
+    /// With `require_fresh`, its confirmation also has to be recent.
     fn is_conclusive(&self, poll: &PeerPoll, require_fresh: bool) -> bool {
-        let most = poll.answers * 2 > poll.asked;
+        let majority = poll.answers * 2 > poll.asked;
         let fresh = !require_fresh || poll.age <= self.options.fresh_age;
-        most && poll.version > ConfigVersion(0) && fresh
+        majority && poll.version > ConfigVersion(0) && fresh
     }
 }
 
 impl MembershipService {
-    /// The configuration that the peer at `address` has in force.
+    /// Returns the configuration in force on the peer at `address`.
     pub(crate) async fn query_head(
         &self,
         address: SocketAddr,
