--- a/crates/kumquatnotch-member/src/deltas.rs
+++ b/crates/kumquatnotch-member/src/deltas.rs
@@ -1,10 +1,10 @@
-//! Changed records and marks that wait to be sent, a bounded number of times each.
+//! Queue of changed records and marks, each sent a bounded number of times.
 //!
-//! Each change is sent a multiple of ln of the nodes times by each node that
-//! learns it, the least sent first. With a multiple of m a node misses it with a
-//! chance of about n^-m, and the cost is known: 23 times 75 bytes at 1,900 nodes.
-//! The exchange of hashes finds what was missed. While bytes are short, hearing a
-//! change again counts as a sending, since it shows that others know it.
+//! Each node that learns a change sends it a number of times proportional to ln(n),
+//! least-sent changes first. With a factor of m a node misses a change with a probability
+//! of about n^-m, and the cost is bounded: 23 times 75 bytes at 1,900 nodes. The exchange
+//! of hashes repairs what was missed. While the byte budget is low, receiving a change
+//! again counts as a transmission, since it shows that others know it.
 
 use kumquatnotch_core::{
     collections::HashMap,
@@ -15,14 +15,14 @@
 
 use crate::traffic::encoded_len;
 
-/// What a change is about.
+/// The subject of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum DeltaKey {
     Node(NodeName),
     Mark(MarkKind),
 }
 
-/// The changes that wait, with how often each was sent.
+/// The queued changes, with the number of times that each was sent.
 #[derive(Debug, Default)]
 pub(crate) struct DeltaQueue {
     waiting: HashMap<DeltaKey, Delta>,
@@ -44,34 +44,33 @@
 }
 
 impl DeltaQueue {
-    /// Adds a changed record.
     pub(crate) fn add_node(&mut self, record: &NodeRecord) {
         self.add(DeltaKey::Node(record.name.clone()), encoded_len(record));
     }
 
-    /// Adds a changed mark.
     pub(crate) fn add_mark(&mut self, update: &MarkUpdate) {
         self.add(DeltaKey::Mark(update.mark.kind.clone()), encoded_len(update));
     }
 
-    /// Whether a change was sent fewer than `transmit_limit` transmit_limit.
-    pub(crate) fn has_fresh(&self, transmit_limit: u32) -> bool {
-        self.waiting.values().any(|delta| delta.sent < transmit_limit)
+    /// Returns true if a change was sent fewer than `limit` times.
+    pub(crate) fn has_fresh(&self, limit: u32) -> bool {
+        self.waiting.values().any(|delta| delta.sent < limit)
     }
 
-    /// Notes that a peer sent what waits here too.
+    /// Counts a change received from a peer as a transmission of the queued one.
     pub(crate) fn note_received(&mut self, name: &NodeName, transmit_limit: u32) {
         self.note_sent(&DeltaKey::Node(name.clone()), transmit_limit);
     }
 
-    /// Picks changes of at most `limit` bytes that were sent less than `below` transmit_limit.
+    /// Picks changes of at most `limit` bytes in total that were sent fewer than `below` times.
     ///
-    /// Each is dropped after `transmit_limit` sendings.
+    /// Each change is dropped after `transmit_limit` transmissions.
     pub(crate) fn pick(&mut self, limit: usize, below: u32, transmit_limit: u32) -> Picked {
         if self.waiting.is_empty() || limit == 0 {
             return Picked::default();
         }
-        // Of those sent as often, the newest goes first: older ones reached more nodes.
+        // Of changes sent equally often, the newest goes first, as older ones have reached more
+        // nodes.
         let mut order: Vec<(u32, u64, &DeltaKey)> = self
             .waiting
             .iter()
@@ -111,7 +110,7 @@
     }
 }
 
-/// An allowance of bytes that refills with time.
+/// A token bucket for bytes.
 #[derive(Debug)]
 pub(crate) struct ByteBudget {
     available: f64,
@@ -125,7 +124,7 @@
         ByteBudget { available: burst, rate, burst, refilled: now }
     }
 
-    /// The bytes left now.
+    /// Returns the bytes available now.
     pub(crate) fn available(&mut self, now: std::time::Instant) -> usize {
         let span = now.saturating_duration_since(self.refilled).as_secs_f64();
         self.refilled = now;
@@ -133,12 +132,13 @@
         self.available.max(0.0) as usize
     }
 
-    /// Whether more than half of the burst is left, so that less urgent bytes may go.
+    /// Returns true if more than half of the burst is left, so that less urgent changes may be
+    /// sent.
     pub(crate) fn is_half_full(&self) -> bool {
         self.available > self.burst / 2.0
     }
 
-    /// Takes `bytes`; it may go below zero.
+    /// Takes `bytes`; the balance may become negative.
     pub(crate) fn take(&mut self, bytes: usize) {
         self.available -= bytes as f64;
     }
--- a/crates/kumquatnotch-member/src/exchange.rs
+++ b/crates/kumquatnotch-member/src/exchange.rs
@@ -1,9 +1,9 @@
-//! Joining, and finding what was missed: exchanges of everything, by hash first.
+//! Joining, and anti-entropy: exchanges of the full state, which compare hashes first.
 //!
-//! A node that knows nobody asks the seeds, and the platform's list of VMs if no
-//! seed answers. Both are only addresses to try; neither is believed about who
-//! is there. Now and then a node also tries one that it holds for gone, or a
-//! seed: that is how two halves that were apart find each other again.
+//! A node that knows no others contacts the seeds, and the VMs on the platform's list if no
+//! seed answers. Both only provide addresses to try; the membership is learnt from the
+//! peers alone. From time to time a node also contacts one that it considers gone, or a
+//! seed, so that the two sides of a healed partition find each other.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,28 +22,28 @@
     traffic,
 };
 
-/// The hash that asks for everything.
+/// The hash that requests all records.
 const EMPTY_HASH: u64 = 0;
 
-/// The records in one exchange, besides the first one of a node that joins.
+/// Maximum number of records in one exchange, except in the first one of a joining node.
 const RECORD_LIMIT: usize = 100;
 
-/// The marks in one exchange.
+/// Maximum number of marks in one exchange.
 const MARK_LIMIT: usize = 64;
 
-/// How long a joining node waits between two rounds, at first and at last.
+/// Initial and maximum time between two join rounds.
 const JOIN_INTERVALS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
-/// The addresses tried in one round of joining.
+/// Maximum number of addresses tried in one join round.
 const JOIN_ADDRESS_LIMIT: usize = 5;
 
-/// The fewest seconds between two readings of the platform's list by one node.
+/// Minimum time between two reads of the platform's list of VMs by one node.
 ///
-/// It grows with the nodes, so that all of them together read once a second.
+/// It grows with the number of nodes, so that all nodes together read once per second.
 const VM_LIST_PERIOD: Duration = Duration::from_secs(60);
 
 impl MembershipService {
-    /// Joins, then announces this node.
+    /// Joins the tier, then announces this node.
     pub(crate) async fn run_join(self: Rc<Self>) {
         let start = self.clock.now();
         let mut gap = JOIN_INTERVALS.0;
@@ -53,7 +53,7 @@
             gap = (gap * 2).min(JOIN_INTERVALS.1);
             addresses.extend(self.listed().await);
         }
-        // Callers and peers should not meet a node without a document.
+        // Callers and peers should not be sent to a node without a document.
         while self.awaits_document() && !self.has_waited(start) {
             clock::sleep(&*self.clock, JOIN_INTERVALS.0 / 10).await;
         }
@@ -62,10 +62,10 @@
         self.join_round(&addresses).await;
     }
 
-    /// Whether there is a document to wait for.
+    /// Returns true if peers have a document that this node can wait for.
     ///
-    /// If no peer has one, as when all nodes start at once, this node must be
-    /// known: the nodes share the readings of the platform by their number.
+    /// If no peer has one, as when all nodes start at once, this node must announce itself: the
+    /// nodes divide the reads of the platform by the number of known nodes.
     fn awaits_document(&self) -> bool {
         self.head_state.awaits_first_version()
     }
@@ -74,11 +74,11 @@
         self.clock.now().saturating_duration_since(start) >= self.options.announce_wait
     }
 
-    /// Exchanges with one random peer now and then, and sooner after a difference.
+    /// Exchanges the state with a random peer periodically, and sooner after a difference.
     ///
-    /// After many changes at once the count of sendings of each is used up before
-    /// all nodes have heard of it. Each exchange that finds a difference is then
-    /// followed by another, as far as the allowance of bytes goes.
+    /// After many simultaneous changes, each reaches its transmit limit before all nodes have
+    /// received it. An exchange that finds a difference is therefore followed by another one
+    /// soon, as far as the byte budget allows.
     pub(crate) async fn run_exchanges(self: Rc<Self>) {
         let mut gap = self.options.exchange_min;
         loop {
@@ -89,13 +89,13 @@
             };
             gap = match self.exchange_with(peer.peer).await {
                 Ok(Difference::Found) => self.options.exchange_min,
-                // The next one makes up for a failure.
+                // The next exchange makes up for a failed one.
                 Ok(Difference::None) | Err(_) => (gap * 2).min(self.options.exchange_period),
             };
         }
     }
 
-    /// Tries nodes that are gone or not known.
+    /// Contacts nodes that are gone or unknown.
     pub(crate) async fn run_reconnects(self: Rc<Self>) {
         let mut listed = Vec::new();
         let mut list_due = self.clock.now() + self.random.jitter(VM_LIST_PERIOD);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Exchanges with the node at `address`.
+    /// Exchanges the state with the node at `address`.
     pub(crate) async fn exchange_with(&self, address: SocketAddr) -> Result<Difference> {
         let known = self.table.borrow().live_count() > 0;
         let buckets = self.table.borrow().buckets();
@@ -130,7 +130,7 @@
         if hash == EMPTY_HASH {
             return Ok(Difference::Found);
         }
-        // The tables differ; the hashes that the other sent tell where.
+        // The tables differ; the bucket hashes in the reply show where.
         let buckets = self.table.borrow().buckets();
         let mut gossip = self.gossip(to.as_deref(), false);
         self.add_differing(&mut gossip, &buckets, &reply.buckets);
@@ -160,11 +160,11 @@
         let deadline = self.clock.now() + self.options.probe_timeout;
         match self.send(address, &PeerMessage::Exchange(exchange), deadline).await? {
             PeerReply::Exchange(exchange) => Ok(exchange),
-            _ => Err(kumquatnotch_core::Error::protocol("not an exchange")),
+            _ => Err(kumquatnotch_core::Error::protocol("unexpected reply to an exchange")),
         }
     }
 
-    /// Whether a peer answered.
+    /// Returns true if a peer answered.
     async fn join_round(&self, addresses: &[SocketAddr]) -> bool {
         let mut others: Vec<SocketAddr> =
             addresses.iter().copied().filter(|address| *address != self.options.peer).collect();
@@ -181,19 +181,19 @@
         false
     }
 
-    /// The addresses on the platform's list, which lags.
+    /// Returns the addresses on the platform's list of VMs, which may be out of date.
     async fn listed(&self) -> Vec<SocketAddr> {
         let Some(store) = &self.store else {
             return Vec::new();
         };
         let vms = read_vms(&**store).await.unwrap_or_else(|error| {
-            debug!("membership: the list of VMs can't be read: {error}");
+            debug!("membership: failed to read the list of VMs: {error}");
             Vec::new()
         });
         vms.into_iter().map(|vm| vm.peer).collect()
     }
 
-    /// A node that is gone, or an address at which none is known.
+    /// Picks the address of a gone node, or one at which no node is known.
     fn pick_reconnect_address(&self, listed: &[SocketAddr]) -> Option<SocketAddr> {
         let table = self.table.borrow();
         let gone = table.others().filter(|entry| entry.record.state == NodeState::Gone);
@@ -208,9 +208,9 @@
         self.random.pick(pool).copied()
     }
 
-    /// Adds this node's records in the buckets that differ, those of gone nodes too.
+    /// Adds the records of other nodes in the buckets that differ, including gone nodes.
     ///
-    /// A record of a gone node lets the other check it, and lets it refute.
+    /// The record of a gone node lets the peer verify it, and lets the node itself refute it.
     fn add_differing(&self, gossip: &mut Gossip, ours: &[u32], theirs: &[u32]) {
         let table = self.table.borrow();
         let mut records: Vec<NodeRecord> = table
@@ -237,16 +237,16 @@
     }
 }
 
-/// What an exchange found.
+/// The result of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Difference {
-    /// The tables are alike.
+    /// The tables are equal.
     None,
-    /// They were not.
+    /// The tables differed.
     Found,
 }
 
-/// The hash of all buckets; never the one that asks for everything.
+/// Returns the hash of all buckets, which is never [`EMPTY_HASH`].
 fn table_hash(buckets: &[u32]) -> u64 {
     let bytes: Vec<u8> = buckets.iter().flat_map(|bucket| bucket.to_be_bytes()).collect();
     stable_hash(&[&bytes]).max(EMPTY_HASH + 1)
--- a/crates/kumquatnotch-member/src/freeze_detector.rs
+++ b/crates/kumquatnotch-member/src/freeze_detector.rs
@@ -1,19 +1,19 @@
-//! Noticing that this process itself was frozen.
+//! Detection of freezes of this process.
 //!
-//! A process that was paused wakes with every timer overdue: probes that were
-//! under way look unanswered, and suspicions look as if nobody had refuted
-//! them. Acting on that, it would accuse nodes that are well. A beat far later
-//! than the one before tells it apart from silence of others.
+//! After a pause, all timers of the process are overdue at once: pending probes look
+//! unanswered, and suspicions look as if nobody had refuted them. If the process acted on
+//! that, it would suspect healthy nodes. A tick far later than the previous one
+//! distinguishes a freeze of this process from silence of its peers.
 
 use std::{
     cell::Cell,
     time::{Duration, Instant},
 };
 
-/// The time between two beats.
+/// Time between two ticks.
 pub(crate) const TICK_PERIOD: Duration = Duration::from_millis(250);
 
-/// A beat that shows how late this process runs.
+/// Detects freezes by the delay of a periodic tick.
 #[derive(Debug)]
 pub(crate) struct FreezeDetector {
     last: Cell<Instant>,
@@ -26,7 +26,7 @@
         FreezeDetector { last: Cell::new(now), limit, freezes: Cell::new(0) }
     }
 
-    /// Beats; the time lost, if the process was frozen since the last beat.
+    /// Records a tick; returns the time lost if the process was frozen since the last one.
     pub(crate) fn tick(&self, now: Instant) -> Option<Duration> {
         let gap = now.saturating_duration_since(self.last.replace(now));
         let lost = gap.saturating_sub(TICK_PERIOD);
@@ -37,12 +37,12 @@
         Some(lost)
     }
 
-    /// Whether the process was frozen since the last beat, without a beat.
+    /// Returns true if the process was frozen since the last tick; does not record a tick.
     pub(crate) fn is_overdue(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.last.get()).saturating_sub(TICK_PERIOD) > self.limit
     }
 
-    /// How many freezes were noticed.
+    /// Returns the number of detected freezes.
     pub(crate) fn freezes(&self) -> u64 {
         self.freezes.get()
     }
--- a/crates/kumquatnotch-member/src/gossip.rs
+++ b/crates/kumquatnotch-member/src/gossip.rs
@@ -1,10 +1,10 @@
-//! Changes on messages: what rides along, what is pushed, and what is taken in.
+//! Dissemination of changes: piggybacked on messages, pushed, and merged on receipt.
 //!
-//! A fresh change is pushed to a few peers at once, and again by each that
-//! learns it, so that it passes most nodes within a second or two. After that
-//! it rides on probes until its count is used up. Pushes stop while the
-//! allowance of bytes is empty, as when a data centre is lost and hundreds of
-//! changes come together; those then take their turn.
+//! A fresh change is pushed to a few peers at once, and again by each node that learns it,
+//! so that it reaches most nodes within one or two seconds. After that it is piggybacked on
+//! probes until its transmit limit is reached. Pushes stop while the byte budget is empty,
+//! as when a data centre is lost and hundreds of changes arrive together; those are then
+//! sent as the budget allows.
 
 use std::{rc::Rc, time::Instant};
 
@@ -19,14 +19,15 @@
 
 use crate::{deltas::DeltaKey, membership_service::MembershipService, table::Effect, traffic};
 
-/// A change is pushed until it was sent this often; from then on it rides along.
+/// Number of times that a change is sent before it is no longer pushed but only
+/// piggybacked.
 const PUSH_TRANSMITS: u32 = 4;
 
-/// The bytes of changes on a probe while the allowance is empty.
+/// Maximum size of the changes on a probe while the byte budget is empty.
 const MIN_DELTA_BYTES: usize = 200;
 
 impl MembershipService {
-    /// News for the node `to`, with changes if `deltas`.
+    /// Returns the gossip for the node `to`, with changes if `deltas` is set.
     pub(crate) fn gossip(&self, to: Option<&str>, deltas: bool) -> Gossip {
         let mut gossip = self.local_gossip();
         self.add_suspicion(to, &mut gossip.nodes);
@@ -36,10 +37,10 @@
         gossip
     }
 
-    /// News with this node's own record only.
+    /// Returns gossip with only this node's own record.
     ///
-    /// The own record rides on every message, 75 bytes, so that a node that
-    /// restarted, or that took over an address, is known by its first message.
+    /// The own record is sent on every message, at 75 bytes, so that a node that restarted or
+    /// took over an address is recognised by its first message.
     pub(crate) fn local_gossip(&self) -> Gossip {
         let table = self.table.borrow();
         let local = table.local();
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Takes in the news of a peer; `sent_at` is when the request for it was sent.
+    /// Merges the gossip of a peer; `sent_at` is when the request that it answers was sent.
     pub(crate) fn merge_gossip(&self, gossip: &Gossip, sent_at: Option<Instant>) {
         let now = self.clock.now();
         for record in &gossip.nodes {
@@ -76,10 +77,10 @@
         self.apply_effect(effect, record);
     }
 
-    /// Counts a change that a peer sent too as sent, while bytes are short.
+    /// Counts a change received again as a transmission while the byte budget is low.
     ///
-    /// Otherwise every sending is worth its bytes: with fewer, a node in some
-    /// hundred missed an accusation and found out by its own probes, late.
+    /// With enough budget every transmission is made: with fewer, about one node in a hundred
+    /// missed a suspicion and detected the failure late, by its own probes.
     fn note_duplicate(&self, record: &NodeRecord) {
         if self.byte_budget.borrow().is_half_full() {
             return;
@@ -104,7 +105,7 @@
         reply
     }
 
-    /// Sends a message and takes in the news of the reply.
+    /// Sends a message and merges the gossip of the reply.
     pub(crate) async fn send(
         &self,
         address: SocketAddr,
@@ -117,7 +118,8 @@
             self.peers.send(address, message, deadline).await
         });
         let reply = sent.await??;
-        // After a freeze the reply may be old; this is noticed before it counts.
+        // After a freeze the reply may be old, so the freeze is detected before the reply is
+        // used.
         self.detect_freeze();
         match &reply {
             PeerReply::Ack(gossip) => self.merge_gossip(gossip, Some(sent_at)),
@@ -128,14 +130,14 @@
         Ok(reply)
     }
 
-    /// Pushes to random peers at once, whatever the allowance: for rare, urgent news.
+    /// Pushes to random peers regardless of the byte budget, for rare and urgent changes.
     pub(crate) async fn push_to(&self, count: usize) {
         let peers = self.pick_peers(count, |_| true);
         let pushes = peers.iter().map(|peer| self.push_one(peer));
         futures_util::future::join_all(pushes).await;
     }
 
-    /// Up to `count` random nodes that are up and pass `filter`.
+    /// Returns up to `count` random nodes that are up or leaving and pass `filter`.
     pub(crate) fn pick_peers(
         &self,
         count: usize,
@@ -147,7 +149,7 @@
             .filter(|record| record.state != NodeState::Suspect && filter(record))
             .collect();
         let count = count.min(fit.len());
-        // Only the head of the list is drawn; shuffling 1,900 for two would be a waste.
+        // A partial shuffle: shuffling 1,900 nodes to draw two would be wasteful.
         for i in 0..count {
             let j = i + self.random.below(fit.len() - i);
             fit.swap(i, j);
@@ -170,7 +172,7 @@
         }
     }
 
-    /// One in the own data centre, the others anywhere.
+    /// Picks one node in the same data centre, and the others anywhere.
     fn push_peers(&self) -> Vec<NodeRecord> {
         let centre = &self.options.centre;
         let mut peers = self.pick_peers(1, |record| record.centre == *centre);
@@ -183,11 +185,11 @@
     async fn push_one(&self, peer: &NodeRecord) {
         let gossip = self.gossip(Some(&peer.name), true);
         let deadline = self.clock.now() + self.options.probe_timeout;
-        // A push that is lost is made up for by the others and by probes.
+        // Pushes by other nodes and probes make up for a lost one.
         let _ = self.send(peer.peer, &PeerMessage::News(gossip), deadline).await;
     }
 
-    /// Adds what this node holds against `to`, so that it can refute.
+    /// Adds the suspicion or the loss of `to` that is recorded here, so that it can refute it.
     fn add_suspicion(&self, to: Option<&str>, nodes: &mut Vec<NodeRecord>) {
         let table = self.table.borrow();
         let suspicion = to
@@ -201,8 +203,8 @@
         let now = self.clock.now();
         let available = self.byte_budget.borrow_mut().available(now);
         let limit = available.clamp(MIN_DELTA_BYTES, self.options.delta_limit);
-        // Half of the allowance is kept for fresh changes, or hundreds of old ones
-        // that still ride along would hold up an accusation and its refutation.
+        // Half of the budget is reserved for fresh changes. Otherwise hundreds of old ones that
+        // are still piggybacked would delay a suspicion and its refutation.
         let half_full = self.byte_budget.borrow().is_half_full();
         let below = if half_full { u32::MAX } else { PUSH_TRANSMITS };
         let picked = self.deltas.borrow_mut().pick(limit, below, self.transmit_limit());
@@ -217,12 +219,12 @@
         }
     }
 
-    /// The record of a node as it is now; this node's own rides along anyway.
+    /// Returns the current record of another node; this node's own is sent on every message.
     fn record(&self, name: &NodeName) -> Option<NodeRecord> {
         self.table.borrow().get(name).map(|entry| entry.record.clone())
     }
 
-    /// How often a change is sent.
+    /// Returns the number of times that a change is sent.
     fn transmit_limit(&self) -> u32 {
         (self.options.retransmit_factor * self.node_scale() * std::f64::consts::LN_10).ceil() as u32
     }
--- a/crates/kumquatnotch-member/src/lib.rs
+++ b/crates/kumquatnotch-member/src/lib.rs
@@ -1,14 +1,15 @@
 //! Membership and configuration of the tier.
 //!
-//! [`MembershipService`] keeps the list of nodes by probing with suspicion and
-//! spreads changes, marks and the version of the configuration on its messages.
-//! [`ConfigService`] keeps the operators' document: a few nodes read the
-//! platform's head, the news of a higher one rides on membership messages, and
-//! each node fetches the parts that it lacks from its peers.
+//! [`MembershipService`] maintains the list of nodes with a SWIM-style protocol: nodes are
+//! probed, and are suspected before they are declared gone. Membership changes, marks and
+//! the configuration version are piggybacked on its messages. [`ConfigService`] maintains
+//! the operators' document: a few nodes read the platform's head, newer versions are
+//! announced on membership messages, and each node fetches the parts that it lacks from its
+//! peers.
 //!
-//! No group of nodes has to agree on anything here. What must be agreed on, the
-//! order of the versions, is settled by compare-and-swap in the platform's
-//! service; everything else is knowledge that may lag.
+//! Nothing here needs consensus among nodes. Only the order of the configuration versions
+//! must be agreed on, which the platform's service decides by compare-and-swap. All other
+//! state is eventually consistent.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatnotch-member/src/mark_store.rs
+++ b/crates/kumquatnotch-member/src/mark_store.rs
@@ -1,14 +1,14 @@
-//! The marks that this node knows.
+//! The marks known to this node.
 //!
-//! A mark must end by itself, so circulation must not keep it alive. Each
-//! setting or renewal draws a stamp, and a node adopts a stamp once in its life:
-//! a copy that comes back, however late, changes nothing. What a stamp can gain
-//! is the time its messages travel, once for each node it passes, and never
-//! more, as the time left is counted anew from what the sender had left.
+//! A mark must expire even while it is gossiped. Each setting or renewal therefore draws a
+//! random stamp, and a node adopts a stamp only once, so a copy that returns later has no
+//! effect. The lifetime of a mark can grow only by the transit time of its messages, once
+//! per node that it passes, as each node counts the remaining time from the time left at
+//! the sender.
 //!
-//! The stamp of a mark is remembered for [`STAMP_MEMORY`] after its end. Only a
-//! node that was suspended for longer, by a host that stopped its clock too,
-//! can bring the mark back, for the time that it had left then.
+//! The stamp of a mark is remembered for [`STAMP_MEMORY`] after it expires. Only a node
+//! that was suspended for longer, on a host that also stopped its clock, can reintroduce
+//! the mark, for the time that was left at the suspension.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,10 @@
 
 const STAMP_MEMORY: Duration = Duration::from_secs(600);
 
-/// A renewal by less than this share of the time left is not worth its messages.
+/// A mark is renewed only if its remaining time is below this fraction of the requested
+/// time.
+///
+/// Smaller renewals are not worth their messages.
 const RENEWAL_SHARE: f64 = 0.5;
 
 /// The marks by kind.
@@ -42,10 +45,10 @@
         MarkStore { marks: HashMap::default(), seen: HashMap::default(), limit, max_ttl }
     }
 
-    /// Sets or renews a mark; what has to be told to others.
+    /// Sets or renews a mark; returns the update to send to other nodes.
     ///
-    /// Several nodes notice the same fact, and renew it often; as long as at least
-    /// half of the time asked for is left, nothing is told.
+    /// Several nodes observe the same condition and renew its mark often. No update is sent
+    /// while at least half of the requested time is left.
     pub(crate) fn set(&mut self, mark: &Mark, stamp: u64, now: Instant) -> Option<MarkUpdate> {
         let held = self.left(&mark.kind, now).unwrap_or_default();
         let asked = self.capped(mark.left_ms);
@@ -56,7 +59,7 @@
         self.adopt(&update, now).then_some(update)
     }
 
-    /// Adopts a mark of a peer; whether it is new and travels on.
+    /// Adopts a mark of a peer; returns true if it is new and has to be sent on.
     pub(crate) fn adopt(&mut self, update: &MarkUpdate, now: Instant) -> bool {
         if update.mark.left_ms == 0 || self.seen.contains_key(&update.stamp) {
             return false;
@@ -76,26 +79,26 @@
         longer
     }
 
-    /// The time left of a mark.
+    /// Returns the remaining time of a mark.
     pub(crate) fn left(&self, kind: &MarkKind, now: Instant) -> Option<Duration> {
         let held = self.marks.get(kind)?;
         let left = held.until.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// A mark as it is sent now.
+    /// Returns a mark in its form for sending.
     pub(crate) fn update_for(&self, kind: &MarkKind, now: Instant) -> Option<MarkUpdate> {
         let stamp = self.marks.get(kind)?.stamp;
         let left_ms = self.left(kind, now)?.as_millis() as u64;
         Some(MarkUpdate { mark: Mark { kind: kind.clone(), left_ms }, stamp })
     }
 
-    /// Every mark as it is sent now.
+    /// Returns all marks in their form for sending.
     pub(crate) fn all(&self, now: Instant) -> Vec<MarkUpdate> {
         self.marks.keys().filter_map(|kind| self.update_for(kind, now)).collect()
     }
 
-    /// Drops what has expired.
+    /// Removes expired marks and stamps.
     pub(crate) fn expire(&mut self, now: Instant) {
         self.marks.retain(|_, held| held.until > now);
         self.seen.retain(|_, until| *until > now);
--- a/crates/kumquatnotch-member/src/membership_service.rs
+++ b/crates/kumquatnotch-member/src/membership_service.rs
@@ -1,8 +1,7 @@
-//! The membership service: its state, its tasks and what other services see.
+//! The membership service: its state, its tasks and its interface to other services.
 //!
-//! The tasks are written in [`crate::probe`] (is each node there),
-//! [`crate::gossip`] (changes on messages and pushed) and [`crate::exchange`]
-//! (joining, and finding what was missed).
+//! The tasks are implemented in [`crate::probe`] (failure detection), [`crate::gossip`]
+//! (dissemination of changes) and [`crate::exchange`] (joining and anti-entropy).
 
 use std::{
     cell::{Cell, RefCell},
@@ -36,21 +35,22 @@
     traffic,
 };
 
-/// The membership service itself, an `Rc<MembershipService>`.
+/// Registry key of the membership service itself, an `Rc<MembershipService>`.
 pub const MEMBERSHIP: &str = "membership";
 
-/// How slow this node may take itself for, as a multiple of its time-outs.
+/// Maximum health score; probe timeouts are multiplied by the score plus one.
 const MAX_HEALTH_SCORE: u32 = 4;
 
-/// How long a node that went without a word is listed as lost.
+/// Time for which a node that disappeared without notice is listed as lost.
 ///
-/// It may only be cut off and still serve an earlier document, and an operator who
-/// waits for a change would be told that it is in force everywhere. Regions lose
-/// each other for minutes at a time; what is away for longer is dead in all
-/// likelihood, and a longer list would hide that with the dead of the whole day.
+/// The node may only be partitioned and still serve an earlier document, and without the
+/// list an operator who waits for a change would be told that it is in force everywhere.
+/// Partitions between regions last for minutes. A node that is away for longer has most
+/// likely failed, and a longer list would hide the partitioned nodes among all failures of
+/// the day.
 const LOST_RETENTION: Duration = Duration::from_secs(600);
 
-/// Keeps the list of nodes and spreads what all nodes share.
+/// Maintains the list of nodes and spreads the state that all nodes share.
 pub struct MembershipService {
     pub(crate) options: MembershipOptions,
     pub(crate) clock: Rc<dyn Clock>,
@@ -64,7 +64,7 @@
     pub(crate) byte_budget: RefCell<ByteBudget>,
     pub(crate) checks: RefCell<VecDeque<Check>>,
     pub(crate) freeze_detector: FreezeDetector,
-    /// Zero if this node's own probes work; higher if they fail without a witness.
+    /// Zero if this node's own probes work; higher if they fail and no helper answers.
     pub(crate) health_score: Cell<u32>,
     pub(crate) announced: Cell<bool>,
     superseded: Cell<bool>,
@@ -73,9 +73,9 @@
 }
 
 impl MembershipService {
-    /// Puts the service together and registers it, under the names of core too.
+    /// Creates the service and registers it, also under the service names of core.
     ///
-    /// Needs the clock, the generator and the peers; uses the platform and the
+    /// Requires the clock, the random generator and the peers; uses the platform and the
     /// lifecycle if they are registered.
     pub fn try_new(
         options: MembershipOptions,
@@ -133,10 +133,10 @@
         monoio::spawn(me.run_reconnects());
     }
 
-    /// Tells the others that this node has begun to serve, once.
+    /// Announces, once, that this node has started to serve.
     ///
-    /// Before that it is up, as it answers and reads the platform in its turn, but
-    /// callers and groups sent to it would be refused.
+    /// Before that it is up, as it answers peers and takes its turn in reading the platform, but
+    /// it would refuse callers and groups that are sent to it.
     pub(crate) fn note_serving(&self) {
         if !self.table.borrow_mut().begin_serving() {
             return;
@@ -145,7 +145,7 @@
         self.queue_local_record();
     }
 
-    /// Tells the others that this node ends its work and takes no new callers.
+    /// Announces that this node finishes its work and accepts no new callers.
     pub fn leave(&self) {
         if self.table.borrow().local().state != NodeState::Up {
             return;
@@ -155,7 +155,7 @@
         self.queue_local_record();
     }
 
-    /// Tells the others that this process ends now.
+    /// Announces that this process ends now.
     pub async fn announce_shutdown(&self) {
         self.leave();
         self.table.borrow_mut().update_local(Some(NodeState::Gone));
@@ -163,28 +163,28 @@
         self.push_to(self.options.push_fanout * 2).await;
     }
 
-    /// Whether a later process has this node's name or address.
+    /// Returns true if a later process has this node's name or address.
     ///
-    /// The program should then end its work and be started again.
+    /// The program should then finish its work and be restarted.
     pub fn is_superseded(&self) -> bool {
         self.superseded.get()
     }
 
-    /// How often this process was found to have been frozen.
+    /// Returns the number of detected freezes of this process.
     pub fn freezes(&self) -> u64 {
         self.freeze_detector.freezes()
     }
 
-    /// Notices a freeze of this process; called before anything is judged.
+    /// Detects a freeze of this process; called before any state is judged.
     ///
-    /// What peers did not answer meanwhile is no evidence against them, so the
-    /// suspicions go on from here, and this node refutes what others may hold
-    /// against it before it hears of it.
+    /// Peers that did not answer during a freeze may be healthy. All suspicions are therefore
+    /// extended by the time lost, and this node refutes in advance suspicions that others may
+    /// have of it.
     pub(crate) fn detect_freeze(&self) {
         let Some(lost) = self.freeze_detector.tick(self.clock.now()) else {
             return;
         };
-        warn!("member: frozen for {} ms", lost.as_millis());
+        warn!("member: the process was frozen for {} ms", lost.as_millis());
         metrics::counter!("kumquatnotch_freezes_total").increment(1);
         let mut table = self.table.borrow_mut();
         table.extend_suspicions(lost);
@@ -193,7 +193,7 @@
         self.queue_local_record();
     }
 
-    /// Acts on what a report changed.
+    /// Acts on the result of applying a report.
     pub(crate) fn apply_effect(&self, effect: Effect, report: &NodeRecord) {
         match effect {
             Effect::Stale => {}
@@ -207,7 +207,7 @@
                     self.head_state.on_declared_gone();
                 }
             }
-            // The number must not change once others, and tickets, carry it.
+            // The incarnation must not change once peers and tickets carry it.
             Effect::Superseded(other) if !self.announced.get() => {
                 let number = incarnation::draw_above(other, &self.random);
                 self.table.borrow_mut().set_local_incarnation(number);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Lets this node's own time-outs grow while its probes fail for want of a witness.
+    /// Raises the probe timeout of this node while its probes fail and no helper answers.
     pub(crate) fn update_health_score(&self, success: bool) {
         let health_score = self.health_score.get();
         self.health_score.set(if success {
@@ -230,14 +230,14 @@
         });
     }
 
-    /// When a suspicion that begins now ends.
+    /// Returns when a suspicion that starts now expires.
     pub(crate) fn suspicion_deadline(&self) -> Instant {
         let span =
             self.options.probe_period.mul_f64(self.options.suspicion_factor * self.node_scale());
         self.clock.now() + span.max(self.options.suspicion_min)
     }
 
-    /// log10 of the nodes, at least one.
+    /// Returns log10 of the number of nodes, at least one.
     pub(crate) fn node_scale(&self) -> f64 {
         let count = self.table.borrow().live_count() + 2;
         (count as f64).log10().max(1.0)
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Notices freezes and ends what is over.
+    /// Runs periodic work: detects freezes, expires suspicions and marks, follows the lifecycle.
     async fn run_ticks(self: Rc<Self>) {
         loop {
             clock::sleep(&*self.clock, TICK_PERIOD).await;
@@ -267,12 +267,11 @@
         }
     }
 
-    /// Takes suspects that did not refute in time as gone, and forgets old ones.
+    /// Declares suspects gone that did not refute in time, and forgets nodes gone for long.
     ///
-    /// The end of a suspicion is not told to others: each node that heard of the
-    /// suspicion ends it itself.
-    /// Before that, each asks the suspect itself, once: it may have missed the
-    /// refutation, which it then gets as the answer.
+    /// The expiry of a suspicion is not announced: each node that received the suspicion lets it
+    /// expire itself. Shortly before, each node pings the suspect once. It may have missed the
+    /// refutation, which the reply then contains.
     fn expire_suspicions(&self, now: Instant) {
         let mut table = self.table.borrow_mut();
         for name in table.take_expiring(now + self.options.suspicion_min / 4) {
@@ -361,7 +360,7 @@
                 PeerMessage::Exchange(exchange) => {
                     PeerReply::Exchange(self.answer_exchange(exchange))
                 }
-                _ => return Err(kumquatnotch_core::Error::protocol("not for membership")),
+                _ => return Err(kumquatnotch_core::Error::protocol("not a membership message")),
             };
             traffic::count_reply(&reply);
             Ok(reply)
--- a/crates/kumquatnotch-member/src/options.rs
+++ b/crates/kumquatnotch-member/src/options.rs
@@ -1,9 +1,9 @@
-//! Options of the services, with defaults that fit 9 and 1,900 nodes.
+//! Options of the services, with defaults for 9 to 1,900 nodes.
 //!
-//! The periods follow from the budget of 7 KB/s a node for all control. A probe
-//! and its reply are about 0.6 KB with the headers of HTTP, so one a second
-//! costs 1.2 KB/s sent and received together; the allowance for changes adds at
-//! most 2.5 KB/s in each direction, and the exchange of hashes every 30 s 0.1.
+//! The periods follow from a budget of 7 KB/s per node for all control traffic. A probe and
+//! its reply take about 0.6 KB including HTTP headers, so one per second costs 1.2 KB/s,
+//! sent and received together. The byte budget for changes adds at most 2.5 KB/s in each
+//! direction, and the exchange of hashes every 30 s adds 0.1 KB/s.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,67 +15,67 @@
 /// Options of the membership service.
 #[derive(Clone, Debug)]
 pub struct MembershipOptions {
-    /// The name of this node.
+    /// Name of this node.
     pub name: NodeName,
-    /// Where it listens for peers.
+    /// Address on which it listens for peers.
     pub peer: SocketAddr,
-    /// Where it listens for callers.
+    /// Address on which it listens for callers.
     pub entry: SocketAddr,
-    /// Its data centre.
+    /// Data centre of this node.
     pub centre: DataCentre,
-    /// Its region.
+    /// Region of this node.
     pub region: Region,
-    /// Addresses of peers to try first.
+    /// Addresses of peers to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The life of this process; `None` to draw it from the wall clock.
+    /// Incarnation of this process; `None` to draw it from the wall clock.
     pub incarnation: Option<Incarnation>,
-    /// The time between two probes.
+    /// Time between two probes.
     pub probe_period: Duration,
-    /// The time a probed node has to answer.
+    /// Time within which a probed node has to answer.
     pub probe_timeout: Duration,
-    /// The share of probes that stay in the own data centre.
+    /// Fraction of probes sent to nodes of the same data centre.
     pub local_share: f64,
-    /// How many nodes are asked to probe in this node's place.
+    /// Number of nodes asked to probe a node that did not answer.
     pub helpers: usize,
     /// Whether a node is suspected only if a helper answered in the same round.
     ///
-    /// Off only in tests that show what happens without.
+    /// Disabled only in tests that show the failure that this prevents.
     pub require_helper: bool,
-    /// Whether the word of others that a node is gone is checked by a probe first.
+    /// Whether a peer's report that a node is gone is verified by a probe first.
     ///
-    /// Off only in tests that show what happens without.
+    /// Disabled only in tests that show the failure that this prevents.
     pub check_gone: bool,
-    /// A suspicion lasts this many probe periods, times log10 of the nodes.
+    /// Duration of a suspicion, in probe periods per log10 of the number of nodes.
     pub suspicion_factor: f64,
-    /// The shortest time that a suspicion lasts.
+    /// Minimum duration of a suspicion.
     pub suspicion_min: Duration,
-    /// A change is sent this many times, times ln of the nodes.
+    /// Number of times that a change is sent, per ln of the number of nodes.
     pub retransmit_factor: f64,
-    /// The bytes of changes in one message.
+    /// Maximum size of the changes in one message, in bytes.
     pub delta_limit: usize,
-    /// The bytes of changes that may be sent a second.
+    /// Rate at which changes may be sent, in bytes per second.
     pub delta_rate: f64,
-    /// The bytes of changes that may be sent at once.
+    /// Maximum size of a burst of changes, in bytes.
     pub delta_burst: f64,
-    /// The time between two pushes of fresh changes.
+    /// Time between two pushes of fresh changes.
     pub push_period: Duration,
-    /// How many nodes fresh changes are pushed to at once.
+    /// Number of nodes to which fresh changes are pushed at once.
     pub push_fanout: usize,
-    /// The time between two exchanges of everything, by hash, if none finds a difference.
+    /// Time between two anti-entropy exchanges while they find no difference.
     pub exchange_period: Duration,
-    /// The time to the next exchange after one that found a difference.
+    /// Time to the next exchange after one that found a difference.
     pub exchange_min: Duration,
-    /// The time between two attempts to reach nodes that are gone or unknown.
+    /// Time between two attempts to contact nodes that are gone or unknown.
     pub reconnect_period: Duration,
-    /// How long a node that is gone is remembered and tried.
+    /// Time for which a gone node is remembered and contacted.
     pub forget_after: Duration,
-    /// How long the node waits for a document before it announces itself.
+    /// Maximum time that the node waits for a document before it announces itself.
     pub announce_wait: Duration,
-    /// A clock that jumps by more than this means that the process was frozen.
+    /// Delay of a timer above which the process counts as frozen.
     pub freeze_limit: Duration,
-    /// How many marks are kept.
+    /// Maximum number of marks.
     pub mark_limit: usize,
-    /// The longest time that a mark may have left.
+    /// Maximum remaining time to live of a mark.
     pub mark_ttl: Duration,
 }
 
@@ -117,16 +117,16 @@
 }
 
 impl MembershipOptions {
-    /// Checks what has no default and what would stop the service.
+    /// Checks the options that have no default or would stop the service.
     pub(crate) fn check(&self) -> Result<()> {
         if self.name.is_empty() {
-            return Err(bad_settings("a node needs a name"));
+            return Err(bad_settings("the node name is empty"));
         }
         if self.peer.port() == 0 {
-            return Err(bad_settings("a node needs an address for peers"));
+            return Err(bad_settings("the peer address has no port"));
         }
         if self.probe_period.is_zero() || self.push_period.is_zero() {
-            return Err(bad_settings("periods of membership must be above zero"));
+            return Err(bad_settings("the probe period and the push period must be above zero"));
         }
         Ok(())
     }
@@ -135,25 +135,26 @@
 /// Options of the configuration service.
 #[derive(Clone, Debug)]
 pub struct ConfigOptions {
-    /// How many nodes read the platform's head.
+    /// Number of nodes that read the platform's head.
     pub readers: usize,
-    /// The time between two readings by one reader.
+    /// Time between two reads by one reader.
     pub read_period: Duration,
-    /// Without a confirmation for this long, any node may read, by chance.
+    /// Age of the last confirmation above which any node may read, with a low probability.
     pub fallback_after: Duration,
-    /// The longest time between two attempts while the platform fails.
+    /// Maximum time between two attempts while the platform fails.
     pub backoff_limit: Duration,
-    /// How many peers get the news of a higher version at once.
+    /// Number of peers notified of a newer version at once.
     pub push_fanout: usize,
-    /// How many peers a node asks at birth and after a freeze.
+    /// Number of peers queried at startup and after a freeze.
     pub queried_peers: usize,
-    /// An answer of a peer counts without the platform if its confirmation is this young.
+    /// Maximum age of a confirmation that is accepted from peers without asking the platform.
     pub fresh_age: Duration,
-    /// The time that a node asks peers and the platform before it serves again after a freeze.
+    /// Maximum time after a freeze that a node queries peers and the platform before it serves
+    /// again.
     pub recheck_timeout: Duration,
-    /// A clock that jumps by more than this means that the process was frozen.
+    /// Delay of a timer above which the process counts as frozen.
     pub freeze_limit: Duration,
-    /// The bytes of stored values in one reply.
+    /// Maximum size of the stored values in one reply, in bytes.
     pub reply_limit: usize,
 }
 
--- a/crates/kumquatnotch-member/src/probe.rs
+++ b/crates/kumquatnotch-member/src/probe.rs
@@ -1,11 +1,11 @@
-//! Probing: each node asks one other a second, and asks others to ask in its place.
+//! Failure detection: each node probes one other per second, indirectly if it does not
+//! answer.
 //!
-//! A node is suspected only if it answered neither this node nor a helper, while
-//! at least one helper answered this node. Without such a witness the fault may
-//! lie here: a node that is cut off, or whose incoming packets are lost, would
-//! otherwise accuse everybody, and all would have to refute. A group that is cut
-//! off and smaller than the rest finds few witnesses and therefore judges
-//! slowly.
+//! A node is suspected only if it answered neither this node nor a helper, while at least
+//! one helper answered this node. If no helper answers, the fault may be local: a node that
+//! is partitioned, or whose inbound packets are lost, would otherwise suspect all others,
+//! and all of them would have to refute. The smaller side of a partition finds few helpers
+//! that answer, and therefore detects failures slowly.
 
 use std::{rc::Rc, time::Instant};
 
@@ -21,19 +21,19 @@
     table::{Effect, supersedes},
 };
 
-/// How many checks may wait.
+/// Maximum number of queued checks.
 const CHECK_LIMIT: usize = 256;
 
-/// Checks are made this many times as often as probes.
+/// Number of checks per probe period.
 const CHECKS_PER_PROBE: u32 = 4;
 
-/// A node that has to be probed out of turn.
+/// A node to probe out of turn.
 #[derive(Clone, Debug)]
 pub(crate) struct Check {
     name: NodeName,
     /// A report that it is gone, which the probe carries.
     report: Option<NodeRecord>,
-    /// Whether only a refutation is of interest, and helpers are not asked.
+    /// Whether only a refutation is wanted, so that helpers are not asked.
     final_ping: bool,
 }
 
@@ -46,14 +46,14 @@
         Check { name, report: None, final_ping: false }
     }
 
-    /// The last question to a suspect before it is taken as gone.
+    /// Returns the last ping of a suspect before it is declared gone.
     pub(crate) fn of_suspect(name: NodeName) -> Check {
         Check { name, report: None, final_ping: true }
     }
 }
 
 impl MembershipService {
-    /// Probes one node after another, each in its own task.
+    /// Probes the nodes in random order, each in its own task.
     pub(crate) async fn run_probes(self: Rc<Self>) {
         let mut near = Vec::new();
         let mut far = Vec::new();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Probes the nodes that something speaks against.
+    /// Probes the nodes in the check queue.
     pub(crate) async fn run_checks(self: Rc<Self>) {
         let gap = self.options.probe_period / CHECKS_PER_PROBE;
         loop {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Asks the subject in the place of another node.
+    /// Pings the subject on behalf of another node.
     pub(crate) async fn answer_ping_for(&self, request: PingFor) -> PeerReply {
         self.merge_gossip(&request.gossip, None);
         let subject = &request.subject;
@@ -114,7 +114,7 @@
             PingResult::NoAck => self.ask_helpers(&subject).await,
         };
         self.detect_freeze();
-        // A freeze of this process looks like silence of the others.
+        // A freeze of this process looks like silence of its peers.
         if self.freeze_detector.freezes() != freezes {
             return;
         }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// What the subject itself answers.
+    /// Pings the subject directly.
     async fn ping(&self, subject: &NodeRecord, report: Option<&NodeRecord>) -> PingResult {
         let mut gossip = self.gossip(Some(&subject.name), true);
         let suspicion = report.filter(|report| report.state >= NodeState::Suspect);
@@ -136,7 +136,7 @@
         let wait = self.options.probe_timeout * (1 + self.health_score.get());
         let deadline = self.clock.now() + wait;
         match self.send(subject.peer, &PeerMessage::Ping(gossip), deadline).await {
-            // Another process may have the address now.
+            // Another process may have the address by now.
             Ok(PeerReply::Ack(gossip))
                 if gossip.from == subject.name && gossip.incarnation >= subject.incarnation =>
             {
@@ -150,11 +150,11 @@
     async fn ask_helpers(&self, subject: &NodeRecord) -> ProbeResult {
         let helpers = self.pick_helpers(subject);
         if helpers.is_empty() {
-            // With two nodes there is nobody to ask.
+            // With two nodes there are no helpers.
             let alone = self.table.borrow().live_count() <= 1;
             return if alone { ProbeResult::Unreachable } else { ProbeResult::Inconclusive };
         }
-        // A helper waits for the subject; its own reply needs time too.
+        // The helper waits for the subject, and its own reply takes time too.
         let wait = self.options.probe_timeout * (1 + self.health_score.get()) * 2;
         let deadline = self.clock.now() + wait;
         let asks = helpers.iter().map(|helper| self.ask_helper(helper, subject, deadline));
@@ -177,10 +177,10 @@
         }
     }
 
-    /// One helper near the subject, one in neither centre, one near this node.
+    /// Picks a helper in the subject's data centre, one in neither centre, and one in this one.
     ///
-    /// If the way from one centre to the other is cut, the first can't be asked
-    /// and the last can't ask; the one elsewhere reaches both.
+    /// If the link from this centre to the subject's is cut, the first helper can't be reached
+    /// and the last can't reach the subject, but the one elsewhere reaches both.
     fn pick_helpers(&self, subject: &NodeRecord) -> Vec<NodeRecord> {
         let own = &self.options.centre;
         let other = |record: &NodeRecord| record.name != subject.name;
@@ -203,14 +203,14 @@
         let Some(entry) = table.get(&subject.name) else {
             return;
         };
-        // It has refuted or changed meanwhile.
+        // The subject has refuted or changed its state in the meantime.
         if entry.record.incarnation != subject.incarnation || entry.record.counter > subject.counter
         {
             return;
         }
         let state = match entry.record.state {
             NodeState::Up => NodeState::Suspect,
-            // It went without a farewell.
+            // It stopped without announcing its shutdown.
             NodeState::Leaving => NodeState::Gone,
             NodeState::Suspect | NodeState::Gone => return,
         };
@@ -227,7 +227,7 @@
         self.apply_effect(Effect::Fresh, &record);
     }
 
-    /// The next node in turn; the lists are filled anew, shuffled, when used up.
+    /// Returns the next node to probe; a list that is used up is refilled and shuffled.
     fn next_subject(
         &self,
         near: &mut Vec<NodeName>,
@@ -255,7 +255,7 @@
         None
     }
 
-    /// The next node to check; what has been answered meanwhile is passed over.
+    /// Returns the next node to check; skips checks that are settled by now.
     fn next_check(&self) -> Option<(NodeRecord, Check)> {
         let table = self.table.borrow();
         let mut checks = self.checks.borrow_mut();
@@ -277,27 +277,28 @@
     }
 }
 
-/// What a node answered to a probe.
+/// The result of a ping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PingResult {
-    /// It is there.
+    /// The node answered.
     Ack,
-    /// Its VM says that no process listens.
+    /// The connection was refused: the VM is up, but no process listens.
     ///
-    /// The way there works, so this needs no witness. Without it, the last node of a
-    /// small group would never tell that all others have ended: nobody is left to ask.
+    /// The network path works, so no helper has to confirm this. Otherwise the last node of a
+    /// small group would never detect that all others have ended, as no helper is left.
     Refused,
-    /// Nothing came in time.
+    /// The node did not answer in time.
     NoAck,
 }
 
-/// What the helpers found.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ProbeResult {
-    /// No helper answered.
+    /// Neither the subject nor a helper answered.
     Inconclusive,
-    /// A helper answered that the subject does not.
+    /// The subject refused the connection, or answered no helper while a helper answered this
+    /// node.
     Unreachable,
-    /// The subject answered a helper.
+    /// The subject answered this node or a helper.
     Alive,
 }
--- a/crates/kumquatnotch-member/src/table.rs
+++ b/crates/kumquatnotch-member/src/table.rs
@@ -1,15 +1,15 @@
-//! The records of the nodes, and which of two reports about a node wins.
+//! The membership table, and the precedence of reports about a node.
 //!
-//! Of two lives of one name or one address the greater incarnation wins. Within
-//! a life the greater counter wins, which only the node itself raises; at the
-//! same counter the later state wins, so that an accusation beats what it
-//! accuses and the refutation beats the accusation.
+//! Of two incarnations with the same name or address, the greater one wins. Within an
+//! incarnation the greater counter wins, which only the node itself increments. At the same
+//! counter the later state wins, so a suspicion overrides the record that it refers to, and
+//! the refutation overrides the suspicion.
 //!
-//! One report is not taken at its word: that a node which is up here is gone.
-//! After regions were apart, each half holds that the other is gone. If a node
-//! took that word, the first message across would make it drop its own half,
-//! and it would pass that on. So such a report only leads to a probe of the
-//! node, which carries the report and thereby lets it refute.
+//! A report that a node is gone which is up here is not applied directly. After a partition
+//! between regions, each side considers the other gone. If a node applied such a report,
+//! the first message across would make it drop its own side and spread that further. The
+//! report therefore only triggers a probe of the node, which carries the report and so
+//! allows the node to refute it.
 
 use std::{
     collections::BTreeMap,
@@ -23,36 +23,36 @@
 };
 use std::net::SocketAddr;
 
-/// Into how many buckets the records are spread for finding differences.
+/// Number of buckets into which the records are hashed to find differences.
 ///
-/// At 1,900 nodes a bucket has 15 records, about 1.1 KB, and the hashes of all
-/// buckets are 0.6 KB.
+/// At 1,900 nodes a bucket has 15 records, about 1.1 KB, and the hashes of all buckets take
+/// 0.6 KB.
 pub(crate) const BUCKET_COUNT: usize = 128;
 
-/// What a report changed, and what there is to do.
+/// The result of applying a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// Nothing new.
+    /// The report contains nothing new.
     Stale,
-    /// It is new and travels on.
+    /// The report is new and is sent on.
     Fresh,
-    /// It has to be checked by a probe.
+    /// The report has to be verified by a probe.
     NeedsCheck,
-    /// It accuses this node, which has refuted it; whether it was taken as gone.
+    /// The report suspected this node or declared it `gone`, and has been refuted.
     Refuted { gone: bool },
-    /// A later life of this node's name or address is known.
+    /// A later incarnation with this node's name or address exists.
     Superseded(Incarnation),
 }
 
-/// A node with what this one observed of it.
+/// The record of a node, with the local observations about it.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) record: NodeRecord,
-    /// When a suspicion ends, or when a node that is gone is forgotten.
+    /// When a suspicion expires, or when a gone node is forgotten.
     pub(crate) until: Option<Instant>,
-    /// Whether a suspect was asked itself before its time is over.
+    /// Whether the suspect was pinged directly before the suspicion expires.
     pub(crate) pinged: bool,
-    /// Whether a node that is gone had said itself that it goes.
+    /// Whether a gone node had announced its departure.
     pub(crate) left: bool,
 }
 
@@ -61,7 +61,7 @@
         self.record.state != NodeState::Gone
     }
 
-    /// Whether it said itself that it goes, which no other node can say of it.
+    /// Returns true if it announced its departure, which only the node itself can do.
     fn has_left(&self) -> bool {
         self.record.state == NodeState::Leaving || self.left
     }
@@ -75,7 +75,7 @@
     addresses: HashMap<SocketAddr, NodeName>,
     generation: u64,
     check_gone: bool,
-    /// How many other nodes are not gone.
+    /// Number of other nodes that are not gone.
     live_count: usize,
 }
 
@@ -103,22 +103,23 @@
         self.nodes.get(name)
     }
 
-    /// The other nodes, those that are gone too.
+    /// Returns the other nodes, including those that are gone.
     pub(crate) fn others(&self) -> impl Iterator<Item = &Entry> {
         self.nodes.values()
     }
 
-    /// The other nodes that are not gone.
+    /// Returns the other nodes that are not gone.
     pub(crate) fn live(&self) -> impl Iterator<Item = &NodeRecord> {
         self.others().map(|entry| &entry.record).filter(|record| record.state != NodeState::Gone)
     }
 
-    /// How many other nodes are not gone.
+    /// Returns the number of other nodes that are not gone.
     pub(crate) fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// The nodes that are gone without having said so, to be forgotten after `until`.
+    /// Returns the nodes that are gone without having announced it and are not forgotten before
+    /// `until`.
     pub(crate) fn lost(&self, until: Instant) -> impl Iterator<Item = &NodeRecord> {
         let lost = self.others().filter(move |entry| {
             let recent = entry.until.is_some_and(|end| end > until);
@@ -127,12 +128,12 @@
         lost.map(|entry| &entry.record)
     }
 
-    /// The node that is known at `address`.
+    /// Returns the node known at `address`.
     pub(crate) fn by_address(&self, address: SocketAddr) -> Option<&Entry> {
         self.nodes.get(self.addresses.get(&address)?)
     }
 
-    /// Raises the counter of this node, with a new state if one is given.
+    /// Increments the counter of this node and sets a new state if one is given.
     pub(crate) fn update_local(&mut self, state: Option<NodeState>) {
         self.local.counter += 1;
         if let Some(state) = state {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Raises the counter of this node as it begins to serve; false if it has before.
+    /// Marks this node as serving and increments its counter; returns false if it already was.
     pub(crate) fn begin_serving(&mut self) -> bool {
         if self.local.serving {
             return false;
@@ -152,13 +153,12 @@
         true
     }
 
-    /// Gives this node another incarnation.
     pub(crate) fn set_local_incarnation(&mut self, incarnation: Incarnation) {
         self.local.incarnation = incarnation;
         self.generation += 1;
     }
 
-    /// Applies a report of a peer; `until` is when a suspicion that begins now ends.
+    /// Applies a report of a peer; a suspicion that it starts expires at `until`.
     pub(crate) fn apply(&mut self, report: &NodeRecord, until: Instant) -> Effect {
         if report.name == self.local.name {
             return self.apply_to_local(report);
@@ -180,14 +180,14 @@
             return Effect::Fresh;
         }
         if report.incarnation != entry.record.incarnation {
-            // The life known here ended for certain, as another followed it; about
-            // that one there is only the word of others.
+            // The incarnation known here has ended, as another one followed it. That the later
+            // one is gone is only reported by others.
             self.put(NodeRecord { state: NodeState::Suspect, ..report.clone() }, until);
             return Effect::Fresh;
         }
         match entry.record.state {
             NodeState::Up | NodeState::Suspect => Effect::NeedsCheck,
-            // It said itself that it goes.
+            // The node announced its departure itself.
             NodeState::Leaving | NodeState::Gone => {
                 self.put(report.clone(), until);
                 Effect::Fresh
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Puts `record` in place of what is known.
+    /// Replaces the known record of a node.
     pub(crate) fn put(&mut self, record: NodeRecord, until: Instant) {
         let visible = match self.nodes.get(&record.name) {
             Some(entry) => is_visible_change(&entry.record, &record),
@@ -218,13 +218,13 @@
         self.live_count -= usize::from(earlier.is_some_and(|entry| entry.is_live()));
     }
 
-    /// The records whose time is over: suspects and nodes to forget.
+    /// Returns the records that have expired: suspects, and gone nodes to forget.
     pub(crate) fn overdue(&self, now: Instant) -> Vec<NodeRecord> {
         let due = self.others().filter(|entry| entry.until.is_some_and(|until| until <= now));
         due.map(|entry| entry.record.clone()).collect()
     }
 
-    /// The suspects whose time ends by `end`, each told once.
+    /// Returns the suspects whose suspicion expires by `end`, each only once.
     pub(crate) fn take_expiring(&mut self, end: Instant) -> Vec<NodeName> {
         let expiring = self.nodes.values_mut().filter(|entry| {
             let suspect = entry.record.state == NodeState::Suspect && !entry.pinged;
@@ -237,7 +237,7 @@
         expiring.map(take).collect()
     }
 
-    /// Moves the end of every suspicion by `span`.
+    /// Extends every suspicion by `span`.
     pub(crate) fn extend_suspicions(&mut self, span: Duration) {
         for entry in self.nodes.values_mut() {
             if entry.record.state == NodeState::Suspect {
@@ -246,7 +246,6 @@
         }
     }
 
-    /// Forgets a node.
     pub(crate) fn forget(&mut self, name: &str) {
         let Some(entry) = self.nodes.remove(name) else {
             return;
@@ -257,10 +256,10 @@
         }
     }
 
-    /// The hashes of the nodes that are not gone, by bucket; this node too.
+    /// Returns the hashes by bucket of the nodes that are not gone, including this node.
     ///
-    /// Suspicions are left out: they come and go within seconds, on each node at
-    /// its own time, and would make equal tables look different.
+    /// Suspicions are excluded: they start and end within seconds, at a different time on each
+    /// node, and would make equal tables look different.
     pub(crate) fn buckets(&self) -> Vec<u32> {
         let mut buckets = vec![0; BUCKET_COUNT];
         for record in self.live().chain([&self.local]) {
@@ -287,7 +286,7 @@
         if report.incarnation > self.local.incarnation {
             return Effect::Superseded(report.incarnation);
         }
-        // An earlier process had this address; it must be gone.
+        // An earlier process had this address and must be gone.
         Effect::Stale
     }
 
@@ -299,7 +298,7 @@
         Effect::Fresh
     }
 
-    /// Whether a later life of another name holds the address of `report`.
+    /// Returns true if a later incarnation of another name has the address of `report`.
     fn is_address_taken(&self, report: &NodeRecord) -> bool {
         let Some(occupant) = self.by_address(report.peer) else {
             return false;
@@ -309,13 +308,13 @@
             && occupant.record.incarnation > report.incarnation
     }
 
-    /// Ends the life of another name at the address of `record`.
+    /// Removes a node of another name that has the address of `record`.
     fn clear_address(&mut self, record: &NodeRecord) {
         let occupant = self.addresses.get(&record.peer).filter(|name| **name != record.name);
         if let Some(occupant) = occupant.cloned() {
             self.forget(&occupant);
         }
-        // The node's own earlier address is given up too.
+        // The previous address of the same node is released too.
         let earlier = self.nodes.get(&record.name).map(|entry| entry.record.peer);
         if let Some(earlier) = earlier.filter(|peer| *peer != record.peer) {
             self.addresses.remove(&earlier);
@@ -323,12 +322,12 @@
     }
 }
 
-/// The bucket of a node.
+/// Returns the bucket of a node.
 pub(crate) fn bucket_of(name: &NodeName) -> usize {
     (stable_hash(&[name.as_bytes()]) % BUCKET_COUNT as u64) as usize
 }
 
-/// Whether `report` wins over `known`, about the same name.
+/// Returns true if `report` takes precedence over `known`, a record of the same node.
 pub(crate) fn supersedes(report: &NodeRecord, known: &NodeRecord) -> bool {
     let rank = |record: &NodeRecord| (record.incarnation, record.counter, record.state);
     rank(report) > rank(known)
--- a/crates/kumquatnotch-member/src/traffic.rs
+++ b/crates/kumquatnotch-member/src/traffic.rs
@@ -1,14 +1,14 @@
 //! Counters of control messages and their bytes, by kind.
 //!
-//! The bytes are those of the encoded bodies. What HTTP adds is counted where
-//! it is sent.
+//! The bytes are those of the encoded bodies. The overhead of HTTP is counted by the
+//! transport.
 
 use std::io;
 
 use kumquatnotch_core::peer::{PeerMessage, PeerReply};
 use serde::Serialize;
 
-/// Counts a message that is sent.
+/// Counts a sent message.
 pub(crate) fn count_message(message: &PeerMessage) {
     let kind = match message {
         PeerMessage::Ping(_) => "ping",
@@ -21,7 +21,7 @@
     count(kind, encoded_len(message));
 }
 
-/// Counts a reply that is sent.
+/// Counts a sent reply.
 pub(crate) fn count_reply(reply: &PeerReply) {
     let kind = match reply {
         PeerReply::Ack(_) => "ack",
@@ -33,7 +33,7 @@
     count(kind, encoded_len(reply));
 }
 
-/// The length of the encoded form.
+/// Returns the length of the encoded form.
 pub(crate) fn encoded_len<T: Serialize>(value: &T) -> usize {
     let mut counter = ByteCounter(0);
     match rmp_serde::encode::write(&mut counter, value) {
