--- a/crates/kumquatnotch-member/examples/members.rs
+++ b/crates/kumquatnotch-member/examples/members.rs
@@ -1,9 +1,9 @@
 //! Measures membership and configuration with many nodes in one process.
 //!
-//! The nodes run over the network in memory of the tests, with paused time: the
-//! times are those of the protocol, not of this machine. The processor time is
-//! that of the whole process, the network and the clock of the tests included,
-//! and so an upper bound. Bytes are those of bodies, without HTTP.
+//! The nodes use the in-memory network of the tests, with paused time, so the times are
+//! those of the protocol and not of this machine. CPU time is that of the whole process
+//! including the simulated network and clock, and is therefore an upper bound. Bytes are
+//! those of the bodies, without HTTP.
 
 #[path = "../tests/fixture/mod.rs"]
 mod fixture;
@@ -16,13 +16,13 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// How long the steady state is watched.
+/// Time for which the steady state is observed.
 const STEADY_SPAN: Duration = Duration::from_secs(60);
 
-/// How long the messages of one change are counted.
+/// Time for which the messages of one change are counted.
 const SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// How many changes of the document are timed.
+/// Number of changes of the document that are timed.
 const CHANGES: u64 = 5;
 
 /// Measure membership and configuration with many nodes in one process.
@@ -39,7 +39,7 @@
     targets: usize,
 }
 
-/// Messages, bytes and processor time so far.
+/// Cumulative messages, bytes and CPU time.
 #[derive(Clone, Copy)]
 struct Usage {
     messages: u64,
@@ -47,7 +47,7 @@
     cpu: Duration,
 }
 
-/// What was found for one number of nodes.
+/// The results for one number of nodes.
 struct Row {
     count: usize,
     start: Option<Duration>,
@@ -84,7 +84,7 @@
     (0..count).for_each(|number| drop(world.add_configured(number)));
     let ready = || world.has_converged() && world.all_have(1);
     let start = world.wait_until(60 * SECOND, ready).await;
-    // The changes of the start have been sent as often as they are.
+    // The changes of the start reach their transmit limit in this time.
     world.sleep(60 * SECOND + SECOND * count as u32).await;
 
     let calls = world.platform.calls.get();
@@ -127,7 +127,7 @@
     Usage { messages, bytes, cpu: cpu_time() }
 }
 
-/// The processor time of this thread.
+/// Returns the CPU time of this thread.
 fn cpu_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text.split(' ').next().and_then(|nanos| nanos.parse().ok());
@@ -143,7 +143,7 @@
         }
     }
 
-    /// What goes beyond the steady state for `span`.
+    /// Returns the usage in excess of the steady state for `span`.
     fn excess(&self, steady: &Usage, span: Duration) -> Usage {
         let share = span.as_secs_f64() / STEADY_SPAN.as_secs_f64();
         let excess = |all: u64, steady: u64| all.saturating_sub((steady as f64 * share) as u64);
--- a/crates/kumquatnotch-member/tests/config.rs
+++ b/crates/kumquatnotch-member/tests/config.rs
@@ -1,4 +1,4 @@
-//! Tests of the document in force under failures.
+//! Tests of the configuration service under failures.
 
 mod fixture;
 
@@ -16,7 +16,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Within what time a change must be in force everywhere.
+/// Time within which a change must be in force on all nodes.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(19);
 
 /// Starts `count` nodes with version 1 and waits until all have it.
@@ -41,13 +41,13 @@
     });
 
     assert!(took.unwrap() < 4 * SECOND, "took {took:?}");
-    // Five readings of head, manifest and one part, and the readings meanwhile.
+    // Five reads each of head, manifest and one part, and the periodic reads in the meantime.
     assert!(part_calls < 40, "{part_calls} calls");
 }
 
-/// Messages are lost, late and repeated, and nodes are paused for up to 20 s
-/// while ten versions follow each other. An old message that arrives last, or a
-/// node that wakes with an old view, must not bring an earlier version back.
+/// Messages are lost, delayed and duplicated, and nodes are paused for up to 20 s while ten
+/// versions follow each other. An old message that arrives last, or a resumed node with an
+/// outdated view, must not restore an earlier version.
 #[parameterized(
     one = { 2 },
     two = { 3 },
@@ -85,11 +85,10 @@
     assert!(last.is_some());
 }
 
-/// The platform is down for two minutes. What is in force stays, its age says so,
-/// and a node that is born meanwhile gets it from peers and serves. The age goes
-/// round on messages and must not lose the time that they travel: the truth is
-/// that it is never lower than it says. When the platform is back, nobody has
-/// queued up calls for it.
+/// The platform is down for two minutes. The version in force stays, and a node that starts
+/// meanwhile fetches it from peers and serves. The reported age of the confirmation
+/// circulates in gossip and must include the transit times, so that it is never too low.
+/// When the platform returns, it must not receive a burst of queued calls.
 #[test]
 fn platform_outage_is_survived() {
     let (age, born, calls, peak, after) = run(5, async |world| {
@@ -135,9 +134,9 @@
     assert!(age < 10_000, "a confirmation is {age} ms old");
 }
 
-/// A host pauses a node for 30 s; a change is accepted meanwhile. On waking it
-/// would answer callers by the old version, before any message tells it better.
-/// It must hold back until it has asked, and then serve the new one.
+/// A host pauses a node for 30 s while a change is accepted. When it resumes, it would
+/// serve the old version until a message announces the new one. It must query its peers
+/// first, and then serve the new version.
 #[test]
 fn unfrozen_node_rechecks_before_serving() {
     let (at_once, first, took) = run(7, async |world| {
@@ -158,9 +157,9 @@
     assert!(took.unwrap() < SECOND, "took {took:?}");
 }
 
-/// A node wakes from a freeze and reaches neither peers nor the platform. It has
-/// no way to learn of a newer version; as in an outage it serves what it has,
-/// after a short time, and says how old that is.
+/// A node resumes from a freeze and reaches neither peers nor the platform, so it can't
+/// learn of a newer version. As in an outage it must serve its document after a short
+/// timeout, and report the age of its confirmation.
 #[test]
 fn isolated_unfrozen_node_serves_after_timeout() {
     let (took, served, age) = run(8, async |world| {
@@ -179,8 +178,9 @@
     assert!(age >= 20_000, "age {age} ms");
 }
 
-/// A node hears of a change from many others, of which it reaches one: what it sends to the
-/// others is lost. It asked each for the parts and waited five seconds for each in turn.
+/// Many peers announce a change to a node that reaches only one of them; its requests to
+/// the others are lost. With sequential requests, each of them would take the full timeout
+/// of five seconds.
 #[test]
 fn change_arrives_in_time_with_most_peers_unreachable() {
     let took = run(15, async |world| {
@@ -193,8 +193,8 @@
     assert!(took.is_some_and(|took| took <= IN_FORCE_LIMIT), "took {took:?}");
 }
 
-/// A node is born where neither peers nor the platform answer. It has no document
-/// that anybody confirmed, so it must not serve, however long it waits.
+/// A node starts while neither peers nor the platform answer. It has no document that
+/// anybody confirmed, so it must never serve.
 #[test]
 fn new_node_without_confirmed_document_does_not_serve() {
     let (stage, served) = run(9, async |world| {
@@ -210,8 +210,8 @@
     assert_eq!(served, None);
 }
 
-/// The platform is set back to an earlier version, as from an old backup. An
-/// accepted change must not be undone by that.
+/// The platform is reverted to an earlier version, for example from an old backup. This
+/// must not undo an accepted change.
 #[test]
 fn reverted_platform_changes_nothing() {
     let versions = run(10, async |world| {
@@ -226,8 +226,8 @@
     assert_eq!(versions, vec![2; 9]);
 }
 
-/// Each version leaves parts behind that no version has any more. A node that
-/// kept them would grow with 1,100 changes a day; it keeps two versions.
+/// Each version leaves parts behind that no later version contains. A node that kept them
+/// all would grow with 1,100 changes a day, so it keeps those of two versions.
 #[test]
 fn parts_of_old_versions_are_dropped() {
     let kept = run(11, async |world| {
@@ -243,11 +243,11 @@
 
     let (old, newest, all) = kept;
     assert_eq!(newest, all);
-    // The manifest and the parts of two changed targets are of no use any more.
+    // The manifest and the parts of two changed targets are no longer used.
     assert!(old <= all - 2, "{old} of the first version are held");
 }
 
-/// How many of `digests` a node holds.
+/// Returns how many of `digests` a node holds.
 async fn held(node: &Node, digests: &[Digest]) -> usize {
     let handler: Rc<dyn PeerHandler> = node.registry.find(CONFIG_SERVICE).unwrap();
     match handler.handle(PeerMessage::Fetch(digests.to_vec())).await.unwrap() {
@@ -259,9 +259,9 @@
     }
 }
 
-/// An operator asks a node for its configuration before it has one, and then after.
-/// The first answer told an age of 584 million years, which a script took for a
-/// number. Why: "never" was told as the greatest number.
+/// An operator queries the configuration of a node before and after its first confirmation.
+/// Before it, the node reported the maximum integer for "never", which a script read as an
+/// age of 584 million years.
 #[test]
 fn age_is_none_before_first_confirmation() {
     let (before, after) = run(14, async |world| {
--- a/crates/kumquatnotch-member/tests/membership.rs
+++ b/crates/kumquatnotch-member/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Tests of the list of nodes under failures.
+//! Tests of membership under failures.
 
 mod fixture;
 
@@ -21,17 +21,17 @@
 async fn start_converged(world: &World, count: usize) -> Vec<Rc<Node>> {
     let nodes = (0..count).map(|number| world.add(number)).collect();
     assert!(world.wait_until(30 * SECOND, || world.has_converged()).await.is_some());
-    // The changes of the start have been sent as often as they are.
+    // The changes of the start reach their transmit limit in this time.
     world.sleep(10 * SECOND).await;
     nodes
 }
 
-/// The least number of nodes that any of `nodes` knows as up.
+/// Returns the smallest number of nodes that any of `nodes` knows as up.
 fn min_up(nodes: &[Rc<Node>]) -> usize {
     nodes.iter().map(|node| node.up_count()).min().unwrap()
 }
 
-/// The least number of nodes that any of `nodes` knows, suspects too.
+/// Returns the smallest number of nodes that any of `nodes` knows, including suspects.
 fn min_known(nodes: &[Rc<Node>]) -> usize {
     nodes.iter().map(|node| node.members.known().len()).min().unwrap()
 }
@@ -49,9 +49,9 @@
     assert!(took.unwrap() < 10 * SECOND, "took {took:?}");
 }
 
-/// A machine goes silent. Its peers send to it and wait. One probe after another
-/// fails, a helper's too, it is suspected, and as nobody refutes, every node
-/// takes it as gone by its own timer.
+/// A VM stops answering without refusing connections, so requests to it time out. Direct
+/// and indirect probes fail, the node is suspected, and as nobody refutes, every node
+/// declares it gone when its own suspicion timer expires.
 #[parameterized(
     few = { 9, 10 },
     many = { 100, 15 },
@@ -66,9 +66,9 @@
     assert!(took.unwrap() < limit * SECOND, "took {took:?}");
 }
 
-/// A host pauses a node for a minute; the others take it as gone. On waking, all
-/// its timers are overdue at once: its probes look unanswered, and the others
-/// would look dead to it. It must accuse nobody, and be known again by all.
+/// A host pauses a node for a minute, and the others declare it gone. When it resumes, all
+/// its timers are overdue at once, so its pending probes look unanswered. It must suspect
+/// nobody, and all nodes must know it again.
 #[test]
 fn unfrozen_node_suspects_nobody_and_rejoins() {
     let (gone, least, known) = run(3, async |world| {
@@ -86,10 +86,9 @@
     assert_eq!(least, 30);
 }
 
-/// A node is suspected, and just then another is paused for a minute. The suspect
-/// refutes, all hear it but the paused one. When that wakes, its timer for the
-/// suspect is long overdue; the time it lost must not count, or it would drop a
-/// node that is well until an exchange finds the difference.
+/// A node is suspected just before another one is paused for a minute, so the paused node
+/// misses the refutation. When it resumes, its timer for the suspect is overdue. If the
+/// time lost counted, it would drop a healthy node until an exchange finds the difference.
 #[parameterized(
     with_freeze_detection = { SECOND, 20 },
     without_freeze_detection = { 3_600 * SECOND, 19 },
@@ -110,11 +109,11 @@
         };
         assert!(world.wait_until(30 * SECOND, suspects).await.is_some());
         nodes[4].process.set(State::Frozen);
-        // What is sent to a machine that stands still for long is given up.
+        // Requests to a machine that is paused for long time out.
         world.network.cut(|_, to| to == address(4));
         world.sleep(60 * SECOND).await;
         nodes[4].process.set(State::Running);
-        // Its connections are broken, so for a moment it has only its own timers.
+        // Its connections are broken, so for a moment it can only act on its own timers.
         let alone = world.min_during(SECOND, || nodes[4].members.known().len()).await;
         world.network.cut(|_, _| false);
         alone.min(world.min_during(10 * SECOND, || nodes[4].members.known().len()).await)
@@ -123,10 +122,10 @@
     assert_eq!(least, expected);
 }
 
-/// Two regions lose each other for three minutes; each takes the other as gone.
-/// When the link is back, each half says that the other is gone, and the word
-/// reaches nodes of that other half. None may drop nodes of its own half for it,
-/// and the halves must find each other without any help.
+/// Two regions are partitioned for three minutes, and each declares the other gone. After
+/// the partition heals, each side reports the other gone, and these reports reach nodes of
+/// the side that they concern. No node may drop nodes of its own side because of them, and
+/// the sides must rejoin without intervention.
 #[test]
 fn partitioned_regions_rejoin() {
     let (partitioned, least, healed) = run(4, async |world| {
@@ -146,13 +145,13 @@
         (0..60).map(|number| if number % 3 == 2 { 20 } else { 40 }).collect();
     assert_eq!(partitioned, expected);
     assert_eq!(least, 20);
-    // Ten seconds have passed before this wait.
+    // Ten seconds have already passed before this wait.
     assert!(healed.unwrap() < 50 * SECOND, "took {healed:?}");
 }
 
-/// A firewall drops what one data centre sends to another, but not the way back.
-/// Probes across fail in both directions, as a reply goes the way that is cut,
-/// or the question does. Helpers elsewhere still reach everybody.
+/// A firewall drops the packets from one data centre to another, but not in the opposite
+/// direction. Probes between the two fail both ways, as either the request or the reply is
+/// lost. Helpers in the third data centre still reach all nodes.
 #[test]
 fn one_way_partition_removes_nobody() {
     let least = run(5, async |world| {
@@ -164,9 +163,9 @@
     assert_eq!(least, 30);
 }
 
-/// What one node receives is lost, for two minutes. Nobody answers it, so to it
-/// everybody looks dead, and what it sends still arrives. Without a helper that
-/// answers it has no right to accuse; the others must not have to refute.
+/// All messages to one node are lost for two minutes, while its own messages arrive. All
+/// other nodes look dead to it. As no helper answers it, it must not suspect them, so that
+/// they need not refute.
 #[parameterized(
     with_required_helper = { true, true },
     without_required_helper = { false, false },
@@ -190,9 +189,9 @@
     assert_eq!(least == 19, expected, "least {least}");
 }
 
-/// A data centre goes dark: a third of all nodes at once. The others must find
-/// out soon though a third of their probes and helpers are dead too, and must
-/// not take each other for dead meanwhile.
+/// A data centre fails, and with it a third of all nodes. The others must detect this soon
+/// although a third of their probes and helpers fail too, and must not declare each other
+/// gone meanwhile.
 #[test]
 fn loss_of_a_data_centre_is_detected() {
     let (took, least) = run(7, async |world| {
@@ -209,9 +208,9 @@
     assert_eq!(least, 60);
 }
 
-/// A VM is replaced within seconds: the new process has the address, or the name
-/// too, and its clock may be behind, so that its life looks like the earlier
-/// one. All must know the new life, and none the old one.
+/// A VM is replaced within seconds by one with the same address, and in some cases the same
+/// name. If its clock is behind, its incarnation looks like the earlier one. All nodes must
+/// know the new incarnation, and none the old one.
 #[parameterized(
     other_name = { "other", 1_000 },
     same_name = { "n4", 1_000 },
@@ -245,10 +244,10 @@
     assert_eq!(known, vec![20; 20]);
 }
 
-/// A node is cut off, and a minute later another one leaves. Both are gone to the
-/// rest, but the first may still serve an earlier document to callers that reach it.
-/// So it has to be listed when an operator asks what is in force, though not for
-/// good, and the one that said itself that it goes must not be.
+/// One node is partitioned, and a minute later another one leaves. Both are gone for the
+/// others, but the partitioned one may still serve an earlier document to callers that
+/// reach it. It must be listed as lost when an operator asks what is in force, but only for
+/// a limited time; the node that announced its departure must not be listed.
 #[test]
 fn partitioned_node_is_listed_as_lost_for_ten_minutes() {
     let (early, late, back) = run(15, async |world| {
@@ -299,9 +298,9 @@
     assert!(removed.unwrap() < 3 * SECOND, "took {removed:?}");
 }
 
-/// A node joins and is up before it has a document. Callers that are sent to it are
-/// refused. The others must know that it doesn't serve, and learn soon when it does,
-/// also those that the news missed: then the tables differ, and an exchange finds it.
+/// A node is up before it has a document, and refuses callers until then. The others must
+/// know that it does not serve yet, and learn soon when it does. Nodes that miss the update
+/// find the difference in an exchange.
 #[parameterized(
     by_news = { 3.0, 3 },
     by_exchange = { 0.0, 30 },
@@ -325,8 +324,8 @@
     assert!(took.unwrap() < limit * SECOND, "took {took:?}");
 }
 
-/// One message in ten is lost, and each round trip has two. Probes fail often,
-/// helpers and refutations make up for it: nobody is taken as gone.
+/// One message in ten is lost, and each round trip takes two. Probes fail often, but
+/// indirect probes and refutations compensate, so no node may be declared gone.
 #[test]
 fn message_loss_removes_nobody() {
     let least = run(10, async |world| {
@@ -339,8 +338,8 @@
     assert_eq!(least, 30);
 }
 
-/// A mark is set once and circulates among nodes that send it again and again,
-/// some copies seconds late. If a copy counted as a renewal, it would never end.
+/// A mark is set once, and nodes gossip it repeatedly, some duplicates arriving seconds
+/// late. If a duplicate counted as a renewal, the mark would never expire.
 #[test]
 fn mark_expires_everywhere() {
     let (spread, early, late) = run(11, async |world| {
@@ -365,16 +364,16 @@
     (0..200).find(|number| fixture::address(*number) == address).unwrap() % 3
 }
 
-/// How many nodes besides `name` a node knows as up.
+/// Returns the number of nodes besides `name` that a node knows as up.
 fn up_excluding(node: &Node, name: &str) -> usize {
     let known = node.members.known();
     known.iter().filter(|record| record.state == NodeState::Up && &*record.name != name).count()
 }
 
-/// Of three nodes one leaves, but its farewell is lost as the others are busy; then
-/// another process is killed. The last one asks both, and nobody else is left to ask.
-/// It saw the killed node as up for good, and so did the operators who asked it. The
-/// VMs answer that no process listens there, which needs no witness.
+/// Of three nodes, one leaves and its shutdown announcement is lost, and another is killed.
+/// The last node then has no helper left, and without one it would consider the killed node
+/// up for good and report it so to operators. As the VMs refuse connections, it can detect
+/// without a helper that the processes have ended.
 #[test]
 fn last_node_detects_that_all_others_ended() {
     let (suspect, gone, left) = run(21, async |world| {
@@ -392,7 +391,7 @@
         (suspect, gone, state(2))
     });
 
-    assert!(suspect.is_some(), "it is never suspected");
-    assert!(gone.is_some(), "it is never gone");
+    assert!(suspect.is_some(), "the killed node was never suspected");
+    assert!(gone.is_some(), "the killed node was never declared gone");
     assert_eq!(left, None);
 }
