--- a/crates/kumquatnotch-member/src/exchange.rs
+++ b/crates/kumquatnotch-member/src/exchange.rs
@@ -51,7 +51,7 @@
         while !self.join_round(&addresses).await && !self.has_waited(start) {
             clock::sleep(&*self.clock, self.random.jitter(gap)).await;
             gap = (gap * 2).min(JOIN_INTERVALS.1);
-            addresses.extend(self.listed().await);
+            addresses.extend(self.read_vm_addresses().await);
         }
         // Callers and peers should not be sent to a node without a document.
         while self.awaits_document() && !self.has_waited(start) {
@@ -104,7 +104,7 @@
             let period = if alone { JOIN_INTERVALS.1 } else { self.options.reconnect_period };
             clock::sleep(&*self.clock, self.random.jitter(period)).await;
             if self.clock.now() >= list_due {
-                listed = self.listed().await;
+                listed = self.read_vm_addresses().await;
                 let count = self.table.borrow().live_count() as u32;
                 let gap = VM_LIST_PERIOD.max(Duration::from_secs(1) * count);
                 list_due = self.clock.now() + self.random.jitter(gap);
@@ -182,7 +182,7 @@
     }
 
     /// Returns the addresses on the platform's list of VMs, which may be out of date.
-    async fn listed(&self) -> Vec<SocketAddr> {
+    async fn read_vm_addresses(&self) -> Vec<SocketAddr> {
         let Some(store) = &self.store else {
             return Vec::new();
         };
--- a/crates/kumquatnotch-member/src/probe.rs
+++ b/crates/kumquatnotch-member/src/probe.rs
@@ -55,14 +55,14 @@
 impl MembershipService {
     /// Probes the nodes in random order, each in its own task.
     pub(crate) async fn run_probes(self: Rc<Self>) {
-        let mut near = Vec::new();
-        let mut far = Vec::new();
+        let mut local_names = Vec::new();
+        let mut remote_names = Vec::new();
         loop {
             clock::sleep(&*self.clock, self.random.jitter(self.options.probe_period)).await;
             if !self.announced.get() {
                 continue;
             }
-            let Some(subject) = self.next_subject(&mut near, &mut far) else {
+            let Some(subject) = self.next_subject(&mut local_names, &mut remote_names) else {
                 continue;
             };
             let me = self.clone();
@@ -230,19 +230,20 @@
     /// Returns the next node to probe; a list that is used up is refilled and shuffled.
     fn next_subject(
         &self,
-        near: &mut Vec<NodeName>,
-        far: &mut Vec<NodeName>,
+        local_names: &mut Vec<NodeName>,
+        remote_names: &mut Vec<NodeName>,
     ) -> Option<NodeRecord> {
         let local = self.random.chance(self.options.local_share);
-        let (first, second) = if local { (near, far) } else { (far, near) };
-        self.next_of(first, local).or_else(|| self.next_of(second, !local))
+        let (first, second) =
+            if local { (local_names, remote_names) } else { (remote_names, local_names) };
+        self.next_from(first, local).or_else(|| self.next_from(second, !local))
     }
 
-    fn next_of(&self, names: &mut Vec<NodeName>, near: bool) -> Option<NodeRecord> {
+    fn next_from(&self, names: &mut Vec<NodeName>, local: bool) -> Option<NodeRecord> {
         let table = self.table.borrow();
         if names.is_empty() {
             let centre = &self.options.centre;
-            let fit = table.live().filter(|record| (record.centre == *centre) == near);
+            let fit = table.live().filter(|record| (record.centre == *centre) == local);
             names.extend(fit.map(|record| record.name.clone()));
             self.random.shuffle(names);
         }
