--- a/crates/kumquatnotch-member/src/exchange.rs
+++ b/crates/kumquatnotch-member/src/exchange.rs
@@ -46,11 +46,11 @@
     /// Joins the tier, then announces this node.
     pub(crate) async fn run_join(self: Rc<Self>) {
         let start = self.clock.now();
-        let mut gap = JOIN_INTERVALS.0;
+        let mut interval = JOIN_INTERVALS.0;
         let mut addresses = self.options.seeds.clone();
         while !self.join_round(&addresses).await && !self.has_waited(start) {
-            clock::sleep(&*self.clock, self.random.jitter(gap)).await;
-            gap = (gap * 2).min(JOIN_INTERVALS.1);
+            clock::sleep(&*self.clock, self.random.jitter(interval)).await;
+            interval = (interval * 2).min(JOIN_INTERVALS.1);
             addresses.extend(self.read_vm_addresses().await);
         }
         // Callers and peers should not be sent to a node without a document.
@@ -80,17 +80,17 @@
     /// received it. An exchange that finds a difference is therefore followed by another one
     /// soon, as far as the byte budget allows.
     pub(crate) async fn run_exchanges(self: Rc<Self>) {
-        let mut gap = self.options.exchange_min;
+        let mut interval = self.options.exchange_min;
         loop {
-            clock::sleep(&*self.clock, self.random.jitter(gap)).await;
+            clock::sleep(&*self.clock, self.random.jitter(interval)).await;
             let empty = self.byte_budget.borrow_mut().available(self.clock.now()) == 0;
             let Some(peer) = self.pick_peers(1, |_| !empty).pop() else {
                 continue;
             };
-            gap = match self.exchange_with(peer.peer).await {
+            interval = match self.exchange_with(peer.peer).await {
                 Ok(Difference::Found) => self.options.exchange_min,
                 // The next exchange makes up for a failed one.
-                Ok(Difference::None) | Err(_) => (gap * 2).min(self.options.exchange_period),
+                Ok(Difference::None) | Err(_) => (interval * 2).min(self.options.exchange_period),
             };
         }
     }
@@ -106,8 +106,8 @@
             if self.clock.now() >= list_due {
                 listed = self.read_vm_addresses().await;
                 let count = self.table.borrow().live_count() as u32;
-                let gap = VM_LIST_PERIOD.max(Duration::from_secs(1) * count);
-                list_due = self.clock.now() + self.random.jitter(gap);
+                let interval = VM_LIST_PERIOD.max(Duration::from_secs(1) * count);
+                list_due = self.clock.now() + self.random.jitter(interval);
             }
             if let Some(address) = self.pick_reconnect_address(&listed) {
                 let _ = self.exchange_with(address).await;
--- a/crates/kumquatnotch-member/src/mark_store.rs
+++ b/crates/kumquatnotch-member/src/mark_store.rs
@@ -6,7 +6,7 @@
 //! per node that it passes, as each node counts the remaining time from the time left at
 //! the sender.
 //!
-//! The stamp of a mark is remembered for [`STAMP_MEMORY`] after it expires. Only a node
+//! The stamp of a mark is remembered for [`STAMP_RETENTION`] after it expires. Only a node
 //! that was suspended for longer, on a host that also stopped its clock, can reintroduce
 //! the mark, for the time that was left at the suspension.
 
@@ -17,7 +17,7 @@
     marks::{Mark, MarkKind, MarkUpdate},
 };
 
-const STAMP_MEMORY: Duration = Duration::from_secs(600);
+const STAMP_RETENTION: Duration = Duration::from_secs(600);
 
 /// A mark is renewed only if its remaining time is below this fraction of the requested
 /// time.
@@ -71,7 +71,7 @@
             return false;
         }
         let until = now + self.capped(update.mark.left_ms);
-        self.seen.insert(update.stamp, until + STAMP_MEMORY);
+        self.seen.insert(update.stamp, until + STAMP_RETENTION);
         let longer = self.marks.get(kind).is_none_or(|held| held.until < until);
         if longer {
             self.marks.insert(kind.clone(), StoredMark { until, stamp: update.stamp });
--- a/crates/kumquatnotch-member/src/probe.rs
+++ b/crates/kumquatnotch-member/src/probe.rs
@@ -72,9 +72,9 @@
 
     /// Probes the nodes in the check queue.
     pub(crate) async fn run_checks(self: Rc<Self>) {
-        let gap = self.options.probe_period / CHECKS_PER_PROBE;
+        let interval = self.options.probe_period / CHECKS_PER_PROBE;
         loop {
-            clock::sleep(&*self.clock, self.random.jitter(gap)).await;
+            clock::sleep(&*self.clock, self.random.jitter(interval)).await;
             let Some((subject, check)) = self.next_check() else {
                 continue;
             };
--- a/crates/kumquatnotch-member/src/recheck.rs
+++ b/crates/kumquatnotch-member/src/recheck.rs
@@ -91,7 +91,7 @@
     /// Waits until the first version can be chosen safely, then starts to fetch it.
     pub(crate) async fn bootstrap(self: &Rc<Self>) {
         let start = self.clock.now();
-        let mut gap = BOOTSTRAP_INTERVALS.0;
+        let mut interval = BOOTSTRAP_INTERVALS.0;
         let mut stale_rounds = 0;
         loop {
             let poll = self.poll_peers().await;
@@ -102,8 +102,8 @@
             if stale_rounds >= STALE_ROUNDS || self.can_use_platform(&poll, start).await {
                 break;
             }
-            clock::sleep(&*self.clock, self.random.jitter(gap)).await;
-            gap = (gap * 2).min(BOOTSTRAP_INTERVALS.1);
+            clock::sleep(&*self.clock, self.random.jitter(interval)).await;
+            interval = (interval * 2).min(BOOTSTRAP_INTERVALS.1);
         }
         self.bootstrapped.set(true);
         self.start_fetch();
@@ -112,8 +112,8 @@
     /// Returns true if no peer has a document, but the platform does.
     async fn can_use_platform(&self, poll: &PeerPoll, start: Instant) -> bool {
         // By then the peers are known, and therefore the readers too.
-        let alone = self.clock.now().saturating_duration_since(start) >= PLATFORM_READ_DELAY;
-        if poll.version > ConfigVersion(0) || !alone || !self.may_read() {
+        let has_waited = self.clock.now().saturating_duration_since(start) >= PLATFORM_READ_DELAY;
+        if poll.version > ConfigVersion(0) || !has_waited || !self.may_read() {
             return false;
         }
         matches!(self.read_head().await, Ok(Some(_)))
--- a/crates/kumquatnotch-member/tests/membership.rs
+++ b/crates/kumquatnotch-member/tests/membership.rs
@@ -302,7 +302,7 @@
 /// know that it does not serve yet, and learn soon when it does. Nodes that miss the update
 /// find the difference in an exchange.
 #[parameterized(
-    by_news = { 3.0, 3 },
+    by_gossip = { 3.0, 3 },
     by_exchange = { 0.0, 30 },
 )]
 fn serving_state_reaches_all_nodes(retransmit_factor: f64, limit: u32) {
