--- a/crates/kumquatnotch-member/src/config_service.rs
+++ b/crates/kumquatnotch-member/src/config_service.rs
@@ -1,9 +1,9 @@
-//! The configuration service: the document in force and how it gets there.
+//! The configuration service: the document in force and how it is updated.
 //!
-//! A document is put in force only if its version is above the one in force, so
-//! no message, however late, can bring an earlier one back. Reading the
-//! platform's head is in [`crate::readers`], fetching parts in [`crate::fetch`],
-//! and what a node does at birth and after a freeze in [`crate::recheck`].
+//! A document is put in force only if its version is above the one in force, so a delayed
+//! message can't restore an earlier one. The platform's head is read in [`crate::readers`],
+//! parts are fetched in [`crate::fetch`], and [`crate::recheck`] contains the checks at
+//! startup and after a freeze.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,16 +28,16 @@
 
 use crate::{
     fetch::Wanted,
-    head_board::{HeadListener, InForce},
+    freeze_detector::{FreezeDetector, TICK_PERIOD},
+    head_state::{HeadListener, InForce},
     membership_service::{MEMBERSHIP, MembershipService},
     options::ConfigOptions,
-    pulse::{BEAT, Pulse},
     readers::Backoff,
     recheck::Gate,
     traffic,
 };
 
-/// Keeps the operators' document in force on this node.
+/// Maintains the operators' document on this node.
 pub struct ConfigService {
     pub(crate) options: ConfigOptions,
     pub(crate) clock: Rc<dyn Clock>,
@@ -47,26 +47,27 @@
     pub(crate) wanted: RefCell<Wanted>,
     pub(crate) values: RefCell<HashMap<Digest, Rc<StoredValue>>>,
     pub(crate) backoff: RefCell<Backoff>,
-    pub(crate) pulse: Pulse,
+    pub(crate) freeze_detector: FreezeDetector,
     pub(crate) gate: Gate,
-    /// The view by which the readers were ranked, and whether this node is one.
-    pub(crate) rank: Cell<(u64, bool)>,
-    /// Rumours are only collected until the node has decided on its first document.
-    pub(crate) born: Cell<bool>,
+    /// The membership generation at which the readers were ranked, and whether this node is one.
+    pub(crate) reader_cache: Cell<(u64, bool)>,
+    /// Whether the first document was decided on; until then versions are only collected.
+    pub(crate) bootstrapped: Cell<bool>,
     pub(crate) me: Weak<ConfigService>,
     document: RefCell<Option<Rc<Document>>>,
-    /// The digests of the document in force and of the one before.
-    kept: RefCell<[HashSet<Digest>; 2]>,
+    /// Digests of the values of the document in force and of the previous one.
+    retained: RefCell<[HashSet<Digest>; 2]>,
     lifecycle: Option<Lifecycle>,
 }
 
 impl ConfigService {
-    /// Puts the service together and registers it.
+    /// Creates the service and registers it.
     ///
-    /// Needs the store and a [`MembershipService`] in the registry.
+    /// Requires the store and a [`MembershipService`] in the registry.
     pub fn try_new(options: ConfigOptions, registry: &Registry) -> Result<Rc<ConfigService>> {
         if options.readers == 0 || options.read_period.is_zero() {
-            let detail = "configuration needs a reader and a period".to_owned();
+            let detail =
+                "configuration needs at least one reader and a read period above zero".to_owned();
             return Err(Error::BadSettings { detail });
         }
         let clock: Rc<dyn Clock> = registry.find(services::CLOCK)?;
@@ -81,18 +82,18 @@
             wanted: RefCell::default(),
             values: RefCell::default(),
             backoff: RefCell::default(),
-            pulse: Pulse::new(now, options.freeze_limit),
+            freeze_detector: FreezeDetector::new(now, options.freeze_limit),
             gate: Gate::default(),
-            rank: Cell::default(),
-            born: Cell::new(false),
+            reader_cache: Cell::default(),
+            bootstrapped: Cell::new(false),
             me: me.clone(),
             document: RefCell::default(),
-            kept: RefCell::default(),
+            retained: RefCell::default(),
             lifecycle: registry.find(services::LIFECYCLE).ok(),
             clock,
             options,
         });
-        members.board.listen(service.me.clone());
+        members.head_state.set_listener(service.me.clone());
         registry.register::<Rc<dyn Documents>>(services::DOCUMENTS, service.clone());
         registry.register::<Rc<dyn PeerHandler>>(CONFIG_SERVICE, service.clone());
         Ok(service)
@@ -103,38 +104,38 @@
         let Some(me) = self.me.upgrade() else {
             return;
         };
-        self.pulse.beat(self.clock.now());
-        monoio::spawn(me.clone().run_pulse());
-        monoio::spawn(me.run_life());
+        self.freeze_detector.tick(self.clock.now());
+        monoio::spawn(me.clone().run_ticks());
+        monoio::spawn(me.run_config());
     }
 
-    /// The version in force; zero for none.
+    /// Returns the version in force, or zero if there is none.
     pub fn version(&self) -> ConfigVersion {
-        self.members.board.in_force().map(|state| state.version).unwrap_or_default()
+        self.members.head_state.in_force().map(|state| state.version).unwrap_or_default()
     }
 
-    /// Whether the document in force may be served.
+    /// Returns true if the document in force may be served.
     ///
-    /// False from a freeze of this process until peers or the platform were asked
-    /// again, at most for the time that the options give.
-    pub fn is_fresh(&self) -> bool {
+    /// Returns false after a freeze of this process until peers or the platform have been
+    /// queried, at most for [`ConfigOptions::recheck_timeout`].
+    pub fn may_serve(&self) -> bool {
         let now = self.clock.now();
-        if self.pulse.is_late(now) {
-            // A request may be handled before the task that notices the freeze runs.
-            self.gate.close(now + self.options.recheck_limit);
+        if self.freeze_detector.is_overdue(now) {
+            // A request may be handled before the task that detects the freeze runs.
+            self.gate.close(now + self.options.recheck_timeout);
         }
         self.gate.is_open(now)
     }
 
-    /// Puts a document in force if its version is above the present one.
+    /// Puts a document in force if its version is above the current one.
     pub(crate) fn put_in_force(&self, state: InForce, manifest: &Manifest, document: Document) {
-        if !self.members.board.advance(state) {
+        if !self.members.head_state.advance(state) {
             return;
         }
         info!("config: version {} in force", state.version);
         metrics::gauge!("kumquatnotch_config_version").set(state.version.0 as f64);
         *self.document.borrow_mut() = Some(Rc::new(document));
-        self.drop_values(state.manifest, manifest);
+        self.drop_unused_values(state.manifest, manifest);
         if let Some(lifecycle) = &self.lifecycle {
             lifecycle.advance(Stage::Serving);
             if lifecycle.stage() == Stage::Serving {
@@ -146,25 +147,25 @@
         monoio::spawn(async move { members.push_to(fanout).await });
     }
 
-    /// Drops the values that neither this document nor the one before has.
+    /// Drops the values that belong neither to this document nor to the previous one.
     ///
-    /// Peers that were told of the earlier one may still be fetching it.
-    fn drop_values(&self, digest: Digest, manifest: &Manifest) {
+    /// Peers to which the previous one was announced may still be fetching it.
+    fn drop_unused_values(&self, digest: Digest, manifest: &Manifest) {
         let digests: HashSet<Digest> = manifest.digests().chain([digest]).collect();
-        let mut kept = self.kept.borrow_mut();
-        kept.swap(0, 1);
-        kept[0] = digests;
+        let mut retained = self.retained.borrow_mut();
+        retained.swap(0, 1);
+        retained[0] = digests;
         let mut values = self.values.borrow_mut();
-        values.retain(|digest, _| kept.iter().any(|digests| digests.contains(digest)));
+        values.retain(|digest, _| retained.iter().any(|digests| digests.contains(digest)));
     }
 
-    /// Notices freezes, and asks again after one.
-    async fn run_pulse(self: Rc<Self>) {
+    /// Detects freezes, and starts a recheck after each.
+    async fn run_ticks(self: Rc<Self>) {
         loop {
-            clock::sleep(&*self.clock, BEAT).await;
+            clock::sleep(&*self.clock, TICK_PERIOD).await;
             let now = self.clock.now();
-            if self.pulse.beat(now).is_some() {
-                self.gate.close(now + self.options.recheck_limit);
+            if self.freeze_detector.tick(now).is_some() {
+                self.gate.close(now + self.options.recheck_timeout);
             }
             if self.gate.take_request() {
                 monoio::spawn(self.clone().recheck());
@@ -172,9 +173,9 @@
         }
     }
 
-    async fn run_life(self: Rc<Self>) {
-        self.be_born().await;
-        self.run_readings().await;
+    async fn run_config(self: Rc<Self>) {
+        self.bootstrap().await;
+        self.run_reads().await;
     }
 
     fn answer_fetch(&self, digests: &[Digest]) -> Vec<StoredValue> {
@@ -183,7 +184,8 @@
         let mut found = Vec::new();
         for value in digests.iter().filter_map(|digest| values.get(digest)) {
             bytes += value.value.len();
-            // One value always goes, or a large one could never be had.
+            // At least one value is always sent; otherwise a value above the limit could never
+            // be fetched.
             if bytes > self.options.reply_limit && !found.is_empty() {
                 break;
             }
@@ -195,7 +197,7 @@
 
 impl Documents for ConfigService {
     fn current(&self) -> Option<Rc<Document>> {
-        if !self.is_fresh() {
+        if !self.may_serve() {
             return None;
         }
         self.document.borrow().clone()
@@ -203,19 +205,19 @@
 }
 
 impl HeadListener for ConfigService {
-    fn heard(&self, head: HeadInfo, teller: SocketAddr, confirmed: Instant) {
-        self.wanted.borrow_mut().add(head, teller, confirmed);
-        if self.born.get() {
-            self.start_fetching();
+    fn on_head(&self, head: HeadInfo, sender: SocketAddr, confirmed: Instant) {
+        self.wanted.borrow_mut().add(head, sender, confirmed);
+        if self.bootstrapped.get() {
+            self.start_fetch();
         }
     }
 
-    fn is_wanting(&self) -> bool {
+    fn has_newer(&self) -> bool {
         self.wanted.borrow().version() > self.version()
     }
 
-    fn doubt(&self) {
-        self.gate.close(self.clock.now() + self.options.recheck_limit);
+    fn on_declared_gone(&self) {
+        self.gate.close(self.clock.now() + self.options.recheck_timeout);
     }
 }
 
@@ -225,9 +227,9 @@
             let reply = match message {
                 PeerMessage::Fetch(digests) => PeerReply::Values(self.answer_fetch(&digests)),
                 PeerMessage::ConfigState => {
-                    PeerReply::ConfigState(self.members.board.confirmation())
+                    PeerReply::ConfigState(self.members.head_state.confirmation())
                 }
-                _ => return Err(Error::protocol("not for configuration")),
+                _ => return Err(Error::protocol("not a configuration message")),
             };
             traffic::count_reply(&reply);
             Ok(reply)
--- a/crates/kumquatnotch-member/src/deltas.rs
+++ b/crates/kumquatnotch-member/src/deltas.rs
@@ -1,10 +1,10 @@
-//! Changed records and marks that wait to be sent, a bounded number of times each.
+//! Queue of changed records and marks, each sent a bounded number of times.
 //!
-//! Each change is sent a multiple of ln of the nodes times by each node that
-//! learns it, the least sent first. With a multiple of m a node misses it with a
-//! chance of about n^-m, and the cost is known: 23 times 75 bytes at 1,900 nodes.
-//! The exchange of hashes finds what was missed. While bytes are short, hearing a
-//! change again counts as a sending, since it shows that others know it.
+//! Each node that learns a change sends it a number of times proportional to ln(n),
+//! least-sent changes first. With a factor of m a node misses a change with a probability
+//! of about n^-m, and the cost is bounded: 23 times 75 bytes at 1,900 nodes. The exchange
+//! of hashes repairs what was missed. While the byte budget is low, receiving a change
+//! again counts as a transmission, since it shows that others know it.
 
 use kumquatnotch_core::{
     collections::HashMap,
@@ -13,19 +13,19 @@
     member::NodeRecord,
 };
 
-use crate::traffic::size;
+use crate::traffic::encoded_len;
 
-/// What a change is about.
+/// The subject of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Subject {
+pub(crate) enum DeltaKey {
     Node(NodeName),
     Mark(MarkKind),
 }
 
-/// The changes that wait, with how often each was sent.
+/// The queued changes, with the number of times that each was sent.
 #[derive(Debug, Default)]
-pub(crate) struct Deltas {
-    waiting: HashMap<Subject, Delta>,
+pub(crate) struct DeltaQueue {
+    waiting: HashMap<DeltaKey, Delta>,
     serial: u64,
 }
 
@@ -39,107 +39,107 @@
 /// Changes picked for one message.
 #[derive(Debug, Default)]
 pub(crate) struct Picked {
-    pub(crate) subjects: Vec<Subject>,
+    pub(crate) keys: Vec<DeltaKey>,
     pub(crate) bytes: usize,
 }
 
-impl Deltas {
-    /// Adds a changed record.
+impl DeltaQueue {
     pub(crate) fn add_node(&mut self, record: &NodeRecord) {
-        self.add(Subject::Node(record.name.clone()), size(record));
+        self.add(DeltaKey::Node(record.name.clone()), encoded_len(record));
     }
 
-    /// Adds a changed mark.
-    pub(crate) fn add_mark(&mut self, news: &MarkUpdate) {
-        self.add(Subject::Mark(news.mark.kind.clone()), size(news));
+    pub(crate) fn add_mark(&mut self, update: &MarkUpdate) {
+        self.add(DeltaKey::Mark(update.mark.kind.clone()), encoded_len(update));
     }
 
-    /// Whether a change was sent fewer than `times` times.
-    pub(crate) fn is_hot(&self, times: u32) -> bool {
-        self.waiting.values().any(|delta| delta.sent < times)
+    /// Returns true if a change was sent fewer than `limit` times.
+    pub(crate) fn has_fresh(&self, limit: u32) -> bool {
+        self.waiting.values().any(|delta| delta.sent < limit)
     }
 
-    /// Notes that a peer sent what waits here too.
-    pub(crate) fn note_heard(&mut self, name: &NodeName, times: u32) {
-        self.note_sent(&Subject::Node(name.clone()), times);
+    /// Counts a change received from a peer as a transmission of the queued one.
+    pub(crate) fn note_received(&mut self, name: &NodeName, transmit_limit: u32) {
+        self.note_sent(&DeltaKey::Node(name.clone()), transmit_limit);
     }
 
-    /// Picks changes of at most `limit` bytes that were sent less than `below` times.
+    /// Picks changes of at most `limit` bytes in total that were sent fewer than `below` times.
     ///
-    /// Each is dropped after `times` sendings.
-    pub(crate) fn pick(&mut self, limit: usize, below: u32, times: u32) -> Picked {
+    /// Each change is dropped after `transmit_limit` transmissions.
+    pub(crate) fn pick(&mut self, limit: usize, below: u32, transmit_limit: u32) -> Picked {
         if self.waiting.is_empty() || limit == 0 {
             return Picked::default();
         }
-        // Of those sent as often, the newest goes first: older ones reached more nodes.
-        let mut order: Vec<(u32, u64, &Subject)> = self
+        // Of changes sent equally often, the newest goes first, as older ones have reached more
+        // nodes.
+        let mut order: Vec<(u32, u64, &DeltaKey)> = self
             .waiting
             .iter()
             .filter(|(_, delta)| delta.sent < below)
-            .map(|(subject, delta)| (delta.sent, u64::MAX - delta.serial, subject))
+            .map(|(key, delta)| (delta.sent, u64::MAX - delta.serial, key))
             .collect();
         order.sort_unstable_by_key(|(sent, serial, _)| (*sent, *serial));
         let mut picked = Picked::default();
-        for (_, _, subject) in order {
-            let bytes = self.waiting[subject].bytes;
+        for (_, _, key) in order {
+            let bytes = self.waiting[key].bytes;
             if picked.bytes + bytes > limit {
                 break;
             }
             picked.bytes += bytes;
-            picked.subjects.push(subject.clone());
+            picked.keys.push(key.clone());
         }
-        for subject in &picked.subjects {
-            self.note_sent(subject, times);
+        for key in &picked.keys {
+            self.note_sent(key, transmit_limit);
         }
         picked
     }
 
-    fn add(&mut self, subject: Subject, bytes: usize) {
+    fn add(&mut self, key: DeltaKey, bytes: usize) {
         self.serial += 1;
         let delta = Delta { sent: 0, serial: self.serial, bytes };
-        self.waiting.insert(subject, delta);
+        self.waiting.insert(key, delta);
     }
 
-    fn note_sent(&mut self, subject: &Subject, times: u32) {
-        let Some(delta) = self.waiting.get_mut(subject) else {
+    fn note_sent(&mut self, key: &DeltaKey, transmit_limit: u32) {
+        let Some(delta) = self.waiting.get_mut(key) else {
             return;
         };
         delta.sent += 1;
-        if delta.sent >= times {
-            self.waiting.remove(subject);
+        if delta.sent >= transmit_limit {
+            self.waiting.remove(key);
         }
     }
 }
 
-/// An allowance of bytes that refills with time.
+/// A token bucket for bytes.
 #[derive(Debug)]
-pub(crate) struct Allowance {
-    left: f64,
+pub(crate) struct ByteBudget {
+    available: f64,
     rate: f64,
     burst: f64,
-    filled: std::time::Instant,
+    refilled: std::time::Instant,
 }
 
-impl Allowance {
-    pub(crate) fn new(rate: f64, burst: f64, now: std::time::Instant) -> Allowance {
-        Allowance { left: burst, rate, burst, filled: now }
+impl ByteBudget {
+    pub(crate) fn new(rate: f64, burst: f64, now: std::time::Instant) -> ByteBudget {
+        ByteBudget { available: burst, rate, burst, refilled: now }
     }
 
-    /// The bytes left now.
-    pub(crate) fn left(&mut self, now: std::time::Instant) -> usize {
-        let span = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = now;
-        self.left = (self.left + span * self.rate).min(self.burst);
-        self.left.max(0.0) as usize
+    /// Returns the bytes available now.
+    pub(crate) fn available(&mut self, now: std::time::Instant) -> usize {
+        let span = now.saturating_duration_since(self.refilled).as_secs_f64();
+        self.refilled = now;
+        self.available = (self.available + span * self.rate).min(self.burst);
+        self.available.max(0.0) as usize
     }
 
-    /// Whether more than half of the burst is left, so that less urgent bytes may go.
-    pub(crate) fn is_ample(&self) -> bool {
-        self.left > self.burst / 2.0
+    /// Returns true if more than half of the burst is left, so that less urgent changes may be
+    /// sent.
+    pub(crate) fn is_half_full(&self) -> bool {
+        self.available > self.burst / 2.0
     }
 
-    /// Takes `bytes`; it may go below zero.
+    /// Takes `bytes`; the balance may become negative.
     pub(crate) fn take(&mut self, bytes: usize) {
-        self.left -= bytes as f64;
+        self.available -= bytes as f64;
     }
 }
--- a/crates/kumquatnotch-member/src/probe.rs
+++ b/crates/kumquatnotch-member/src/probe.rs
@@ -1,11 +1,11 @@
-//! Probing: each node asks one other a second, and asks others to ask in its place.
+//! Failure detection: each node probes one other per second, indirectly if it does not
+//! answer.
 //!
-//! A node is suspected only if it answered neither this node nor a helper, while
-//! at least one helper answered this node. Without such a witness the fault may
-//! lie here: a node that is cut off, or whose incoming packets are lost, would
-//! otherwise accuse everybody, and all would have to refute. A group that is cut
-//! off and smaller than the rest finds few witnesses and therefore judges
-//! slowly.
+//! A node is suspected only if it answered neither this node nor a helper, while at least
+//! one helper answered this node. If no helper answers, the fault may be local: a node that
+//! is partitioned, or whose inbound packets are lost, would otherwise suspect all others,
+//! and all of them would have to refute. The smaller side of a partition finds few helpers
+//! that answer, and therefore detects failures slowly.
 
 use std::{rc::Rc, time::Instant};
 
@@ -18,51 +18,51 @@
 
 use crate::{
     membership_service::MembershipService,
-    table::{Effect, beats},
+    table::{Effect, supersedes},
 };
 
-/// How many checks may wait.
+/// Maximum number of queued checks.
 const CHECK_LIMIT: usize = 256;
 
-/// Checks are made this many times as often as probes.
-const CHECKS_A_PROBE: u32 = 4;
+/// Number of checks per probe period.
+const CHECKS_PER_PROBE: u32 = 4;
 
-/// A node that has to be probed out of turn.
+/// A node to probe out of turn.
 #[derive(Clone, Debug)]
 pub(crate) struct Check {
     name: NodeName,
     /// A report that it is gone, which the probe carries.
     report: Option<NodeRecord>,
-    /// Whether only a refutation is of interest, and helpers are not asked.
-    last: bool,
+    /// Whether only a refutation is wanted, so that helpers are not asked.
+    final_ping: bool,
 }
 
 impl Check {
     pub(crate) fn of_report(report: NodeRecord) -> Check {
-        Check { name: report.name.clone(), report: Some(report), last: false }
+        Check { name: report.name.clone(), report: Some(report), final_ping: false }
     }
 
-    pub(crate) fn of_silence(name: NodeName) -> Check {
-        Check { name, report: None, last: false }
+    pub(crate) fn of_unresponsive(name: NodeName) -> Check {
+        Check { name, report: None, final_ping: false }
     }
 
-    /// The last question to a suspect before it is taken as gone.
+    /// Returns the last ping of a suspect before it is declared gone.
     pub(crate) fn of_suspect(name: NodeName) -> Check {
-        Check { name, report: None, last: true }
+        Check { name, report: None, final_ping: true }
     }
 }
 
 impl MembershipService {
-    /// Probes one node after another, each in its own task.
+    /// Probes the nodes in random order, each in its own task.
     pub(crate) async fn run_probes(self: Rc<Self>) {
-        let mut near = Vec::new();
-        let mut far = Vec::new();
+        let mut local_names = Vec::new();
+        let mut remote_names = Vec::new();
         loop {
             clock::sleep(&*self.clock, self.random.jitter(self.options.probe_period)).await;
             if !self.announced.get() {
                 continue;
             }
-            let Some(subject) = self.next_subject(&mut near, &mut far) else {
+            let Some(subject) = self.next_subject(&mut local_names, &mut remote_names) else {
                 continue;
             };
             let me = self.clone();
@@ -70,17 +70,17 @@
         }
     }
 
-    /// Probes the nodes that something speaks against.
+    /// Probes the nodes in the check queue.
     pub(crate) async fn run_checks(self: Rc<Self>) {
-        let gap = self.options.probe_period / CHECKS_A_PROBE;
+        let interval = self.options.probe_period / CHECKS_PER_PROBE;
         loop {
-            clock::sleep(&*self.clock, self.random.jitter(gap)).await;
+            clock::sleep(&*self.clock, self.random.jitter(interval)).await;
             let Some((subject, check)) = self.next_check() else {
                 continue;
             };
             let me = self.clone();
             monoio::spawn(async move {
-                match check.last {
+                match check.final_ping {
                     true => drop(me.ping(&subject, None).await),
                     false => me.probe(subject, check.report).await,
                 }
@@ -96,68 +96,70 @@
         }
     }
 
-    /// Asks the subject in the place of another node.
+    /// Pings the subject on behalf of another node.
     pub(crate) async fn answer_ping_for(&self, request: PingFor) -> PeerReply {
-        self.absorb(&request.gossip, None);
+        self.merge_gossip(&request.gossip, None);
         let subject = &request.subject;
         match self.ping(subject, Some(subject)).await {
-            Echo::Ack => PeerReply::Ack(self.gossip(Some(&request.gossip.from), true)),
-            Echo::Refused | Echo::Silence => PeerReply::Nack,
+            PingResult::Ack => PeerReply::Ack(self.gossip(Some(&request.gossip.from), true)),
+            PingResult::Refused | PingResult::NoAck => PeerReply::Nack,
         }
     }
 
     async fn probe(&self, subject: NodeRecord, report: Option<NodeRecord>) {
-        let freezes = self.pulse.freezes();
-        let witness = match self.ping(&subject, report.as_ref()).await {
-            Echo::Ack => Witness::Alive,
-            Echo::Refused => Witness::Silent,
-            Echo::Silence => self.ask_helpers(&subject).await,
+        let freezes = self.freeze_detector.freezes();
+        let result = match self.ping(&subject, report.as_ref()).await {
+            PingResult::Ack => ProbeResult::Alive,
+            PingResult::Refused => ProbeResult::Unreachable,
+            PingResult::NoAck => self.ask_helpers(&subject).await,
         };
-        self.notice_freeze();
-        // A freeze of this process looks like silence of the others.
-        if self.pulse.freezes() != freezes {
+        self.detect_freeze();
+        // A freeze of this process looks like silence of its peers.
+        if self.freeze_detector.freezes() != freezes {
             return;
         }
-        match witness {
-            Witness::Alive => self.note_health(true),
-            Witness::Silent => self.accuse(&subject),
-            Witness::None if self.options.need_witness => self.note_health(false),
-            Witness::None => self.accuse(&subject),
+        match result {
+            ProbeResult::Alive => self.update_health_score(true),
+            ProbeResult::Unreachable => self.declare_failed(&subject),
+            ProbeResult::Inconclusive if self.options.require_helper => {
+                self.update_health_score(false)
+            }
+            ProbeResult::Inconclusive => self.declare_failed(&subject),
         }
     }
 
-    /// What the subject itself answers.
-    async fn ping(&self, subject: &NodeRecord, report: Option<&NodeRecord>) -> Echo {
+    /// Pings the subject directly.
+    async fn ping(&self, subject: &NodeRecord, report: Option<&NodeRecord>) -> PingResult {
         let mut gossip = self.gossip(Some(&subject.name), true);
-        let accusation = report.filter(|report| report.state >= NodeState::Suspect);
-        gossip.nodes.extend(accusation.cloned());
-        let wait = self.options.probe_timeout * (1 + self.health.get());
+        let suspicion = report.filter(|report| report.state >= NodeState::Suspect);
+        gossip.nodes.extend(suspicion.cloned());
+        let wait = self.options.probe_timeout * (1 + self.health_score.get());
         let deadline = self.clock.now() + wait;
         match self.send(subject.peer, &PeerMessage::Ping(gossip), deadline).await {
-            // Another process may have the address now.
+            // Another process may have the address by now.
             Ok(PeerReply::Ack(gossip))
                 if gossip.from == subject.name && gossip.incarnation >= subject.incarnation =>
             {
-                Echo::Ack
+                PingResult::Ack
             }
-            Err(Error::ConnectRefused) => Echo::Refused,
-            _ => Echo::Silence,
+            Err(Error::ConnectRefused) => PingResult::Refused,
+            _ => PingResult::NoAck,
         }
     }
 
-    async fn ask_helpers(&self, subject: &NodeRecord) -> Witness {
+    async fn ask_helpers(&self, subject: &NodeRecord) -> ProbeResult {
         let helpers = self.pick_helpers(subject);
         if helpers.is_empty() {
-            // With two nodes there is nobody to ask.
+            // With two nodes there are no helpers.
             let alone = self.table.borrow().live_count() <= 1;
-            return if alone { Witness::Silent } else { Witness::None };
+            return if alone { ProbeResult::Unreachable } else { ProbeResult::Inconclusive };
         }
-        // A helper waits for the subject; its own reply needs time too.
-        let wait = self.options.probe_timeout * (1 + self.health.get()) * 2;
+        // The helper waits for the subject, and its own reply takes time too.
+        let wait = self.options.probe_timeout * (1 + self.health_score.get()) * 2;
         let deadline = self.clock.now() + wait;
         let asks = helpers.iter().map(|helper| self.ask_helper(helper, subject, deadline));
         let answers = futures_util::future::join_all(asks).await;
-        answers.into_iter().max().unwrap_or(Witness::None)
+        answers.into_iter().max().unwrap_or(ProbeResult::Inconclusive)
     }
 
     async fn ask_helper(
@@ -165,20 +167,20 @@
         helper: &NodeRecord,
         subject: &NodeRecord,
         deadline: Instant,
-    ) -> Witness {
+    ) -> ProbeResult {
         let request =
             PingFor { subject: subject.clone(), gossip: self.gossip(Some(&helper.name), false) };
         match self.send(helper.peer, &PeerMessage::PingFor(request), deadline).await {
-            Ok(PeerReply::Ack(_)) => Witness::Alive,
-            Ok(PeerReply::Nack) => Witness::Silent,
-            _ => Witness::None,
+            Ok(PeerReply::Ack(_)) => ProbeResult::Alive,
+            Ok(PeerReply::Nack) => ProbeResult::Unreachable,
+            _ => ProbeResult::Inconclusive,
         }
     }
 
-    /// One helper near the subject, one in neither centre, one near this node.
+    /// Picks a helper in the subject's data centre, one in neither centre, and one in this one.
     ///
-    /// If the way from one centre to the other is cut, the first can't be asked
-    /// and the last can't ask; the one elsewhere reaches both.
+    /// If the link from this centre to the subject's is cut, the first helper can't be reached
+    /// and the last can't reach the subject, but the one elsewhere reaches both.
     fn pick_helpers(&self, subject: &NodeRecord) -> Vec<NodeRecord> {
         let own = &self.options.centre;
         let other = |record: &NodeRecord| record.name != subject.name;
@@ -196,19 +198,19 @@
         helpers
     }
 
-    fn accuse(&self, subject: &NodeRecord) {
+    fn declare_failed(&self, subject: &NodeRecord) {
         let mut table = self.table.borrow_mut();
         let Some(entry) = table.get(&subject.name) else {
             return;
         };
-        // It has refuted or changed meanwhile.
+        // The subject has refuted or changed its state in the meantime.
         if entry.record.incarnation != subject.incarnation || entry.record.counter > subject.counter
         {
             return;
         }
         let state = match entry.record.state {
             NodeState::Up => NodeState::Suspect,
-            // It went without a farewell.
+            // It stopped without announcing its shutdown.
             NodeState::Leaving => NodeState::Gone,
             NodeState::Suspect | NodeState::Gone => return,
         };
@@ -216,31 +218,32 @@
         drop(table);
         let until = match state {
             NodeState::Gone => self.clock.now() + self.options.forget_after,
-            _ => self.suspect_until(),
+            _ => self.suspicion_deadline(),
         };
         metrics::counter!("kumquatnotch_suspicions_total").increment(1);
         table = self.table.borrow_mut();
         table.put(record.clone(), until);
         drop(table);
-        self.follow(Effect::Fresh, &record);
+        self.apply_effect(Effect::Fresh, &record);
     }
 
-    /// The next node in turn; the lists are filled anew, shuffled, when used up.
+    /// Returns the next node to probe; a list that is used up is refilled and shuffled.
     fn next_subject(
         &self,
-        near: &mut Vec<NodeName>,
-        far: &mut Vec<NodeName>,
+        local_names: &mut Vec<NodeName>,
+        remote_names: &mut Vec<NodeName>,
     ) -> Option<NodeRecord> {
         let local = self.random.chance(self.options.local_share);
-        let (first, second) = if local { (near, far) } else { (far, near) };
-        self.next_of(first, local).or_else(|| self.next_of(second, !local))
+        let (first, second) =
+            if local { (local_names, remote_names) } else { (remote_names, local_names) };
+        self.next_from(first, local).or_else(|| self.next_from(second, !local))
     }
 
-    fn next_of(&self, names: &mut Vec<NodeName>, near: bool) -> Option<NodeRecord> {
+    fn next_from(&self, names: &mut Vec<NodeName>, local: bool) -> Option<NodeRecord> {
         let table = self.table.borrow();
         if names.is_empty() {
             let centre = &self.options.centre;
-            let fit = table.live().filter(|record| (record.centre == *centre) == near);
+            let fit = table.live().filter(|record| (record.centre == *centre) == local);
             names.extend(fit.map(|record| record.name.clone()));
             self.random.shuffle(names);
         }
@@ -253,7 +256,7 @@
         None
     }
 
-    /// The next node to check; what has been answered meanwhile is passed over.
+    /// Returns the next node to check; skips checks that are settled by now.
     fn next_check(&self) -> Option<(NodeRecord, Check)> {
         let table = self.table.borrow();
         let mut checks = self.checks.borrow_mut();
@@ -263,8 +266,8 @@
             };
             let record = &entry.record;
             let open = match &check.report {
-                Some(report) => beats(report, record),
-                None if check.last => record.state == NodeState::Suspect,
+                Some(report) => supersedes(report, record),
+                None if check.final_ping => record.state == NodeState::Suspect,
                 None => record.state != NodeState::Gone,
             };
             if open {
@@ -275,27 +278,28 @@
     }
 }
 
-/// What a node answered to a probe.
+/// The result of a ping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Echo {
-    /// It is there.
+enum PingResult {
+    /// The node answered.
     Ack,
-    /// Its VM says that no process listens.
+    /// The connection was refused: the VM is up, but no process listens.
     ///
-    /// The way there works, so this needs no witness. Without it, the last node of a
-    /// small group would never tell that all others have ended: nobody is left to ask.
+    /// The network path works, so no helper has to confirm this. Otherwise the last node of a
+    /// small group would never detect that all others have ended, as no helper is left.
     Refused,
-    /// Nothing came in time.
-    Silence,
+    /// The node did not answer in time.
+    NoAck,
 }
 
-/// What the helpers found.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Witness {
-    /// No helper answered.
-    None,
-    /// A helper answered that the subject does not.
-    Silent,
-    /// The subject answered a helper.
+enum ProbeResult {
+    /// Neither the subject nor a helper answered.
+    Inconclusive,
+    /// The subject refused the connection, or answered no helper while a helper answered this
+    /// node.
+    Unreachable,
+    /// The subject answered this node or a helper.
     Alive,
 }
--- a/crates/kumquatnotch-member/src/readers.rs
+++ b/crates/kumquatnotch-member/src/readers.rs
@@ -1,16 +1,15 @@
-//! Who reads the platform's head, and how often.
+//! Selection of the nodes that read the platform's head, and their read rate.
 //!
-//! The readers are the first few of the known nodes by rendezvous hashing. No
-//! lease is involved: views differ for a while and there may be more or fewer
-//! readers, which costs calls and never truth. A node that has heard no
-//! confirmation for some seconds reads with a chance of one over the number of
-//! nodes, so that all of them together read about once a second.
+//! The readers are the first few known nodes by rendezvous hashing. There is no lease:
+//! while views differ there may be more or fewer readers, which changes the number of calls
+//! but is always correct. A node that has received no confirmation for some seconds reads
+//! with a probability of one over the number of nodes, so that all nodes together read
+//! about once per second.
 //!
-//! At 1,900 nodes that is 5 calls/s in the steady state. In an outage each node
-//! waits up to [`crate::ConfigOptions::backoff_limit`] between attempts: 5/8
-//! calls/s of the readers and at most one of all others. The return of the
-//! platform changes no rate at once, as nobody waits for it; the first to
-//! succeed tells the others.
+//! At 1,900 nodes this makes 5 calls/s in the steady state. In an outage each node waits up
+//! to [`crate::ConfigOptions::backoff_limit`] between attempts: 5/8 calls/s from the
+//! readers and at most one from all other nodes. The return of the platform causes no burst
+//! of calls, as no calls are queued; the first node to succeed informs the others.
 
 use std::{
     rc::Rc,
@@ -32,7 +31,7 @@
 /// The key by which the readers are ranked.
 const READERS_KEY: &[u8] = b"config-readers";
 
-/// When the platform may be called again after failures.
+/// Backoff after failed calls to the platform.
 #[derive(Debug, Default)]
 pub(crate) struct Backoff {
     failures: u32,
@@ -44,8 +43,15 @@
         self.until.is_none_or(|until| until <= now)
     }
 
-    fn note(&mut self, good: bool, period: Duration, limit: Duration, now: Instant, r: &Random) {
-        if good {
+    fn update(
+        &mut self,
+        success: bool,
+        period: Duration,
+        limit: Duration,
+        now: Instant,
+        r: &Random,
+    ) {
+        if success {
             *self = Backoff::default();
             return;
         }
@@ -56,51 +62,51 @@
 }
 
 impl ConfigService {
-    pub(crate) async fn run_readings(self: Rc<Self>) {
+    pub(crate) async fn run_reads(self: Rc<Self>) {
         loop {
             clock::sleep(&*self.clock, self.random.jitter(self.options.read_period)).await;
             if self.may_read() {
-                // The backoff has noted a failure.
+                // The backoff has recorded the failure.
                 let _ = self.read_head().await;
             }
         }
     }
 
-    /// Reads the head; what it says is confirmed or wanted from now on.
+    /// Reads the head, which then is confirmed or becomes the wanted version.
     pub(crate) async fn read_head(&self) -> Result<Option<HeadInfo>> {
-        // The reading took place after this moment, whenever the reply comes.
-        let asked = self.clock.now();
+        // The platform answered after this instant, however late the reply arrives.
+        let sent_at = self.clock.now();
         let result = self.store.read(HEAD_KEY).await;
         metrics::counter!("kumquatnotch_head_readings_total").increment(1);
         let now = self.clock.now();
         let (period, limit) = (self.options.read_period, self.options.backoff_limit);
-        self.backoff.borrow_mut().note(result.is_ok(), period, limit, now, &self.random);
+        self.backoff.borrow_mut().update(result.is_ok(), period, limit, now, &self.random);
         let Some(entry) = result? else {
             return Ok(None);
         };
         let head: Head = codec::decode(&entry.value)?;
-        let age_ms = now.saturating_duration_since(asked).as_millis() as u64;
-        let news = HeadInfo { version: head.version, manifest: head.manifest, age_ms };
-        self.take_reading(news, asked)?;
-        Ok(Some(news))
+        let age_ms = now.saturating_duration_since(sent_at).as_millis() as u64;
+        let head_info = HeadInfo { version: head.version, manifest: head.manifest, age_ms };
+        self.apply_read(head_info, sent_at)?;
+        Ok(Some(head_info))
     }
 
-    /// Whether this node is one of the readers.
+    /// Returns true if this node is one of the readers.
     ///
-    /// Ranking 1,900 names each second would be most of the processor time that
-    /// control takes, so it is done once for each change of the view.
+    /// Ranking 1,900 names each second would take most of the CPU time of the control plane, so
+    /// the result is cached until the membership changes.
     pub(crate) fn is_reader(&self) -> bool {
         let generation = self.members.generation();
-        let (ranked, reader) = self.rank.get();
+        let (ranked, reader) = self.reader_cache.get();
         if ranked == generation {
             return reader;
         }
-        let reader = self.ranks_first();
-        self.rank.set((generation, reader));
+        let reader = self.ranks_as_reader();
+        self.reader_cache.set((generation, reader));
         reader
     }
 
-    fn ranks_first(&self) -> bool {
+    fn ranks_as_reader(&self) -> bool {
         let known = self.members.known();
         let names: Vec<&str> = known
             .iter()
@@ -112,7 +118,7 @@
         first.any(|name| name == local.as_str())
     }
 
-    /// How many nodes are known, this one too.
+    /// Returns the number of known nodes, including this one.
     pub(crate) fn node_count(&self) -> usize {
         self.members.table.borrow().live_count() + 1
     }
@@ -125,26 +131,29 @@
             return true;
         }
         let age = self.members.confirmed().age_ms.map(Duration::from_millis);
-        let is_silent = age.is_none_or(|age| age >= self.options.silence);
-        is_silent && self.random.chance(1.0 / self.node_count() as f64)
+        let is_unconfirmed = age.is_none_or(|age| age >= self.options.fallback_after);
+        is_unconfirmed && self.random.chance(1.0 / self.node_count() as f64)
     }
 
-    fn take_reading(&self, news: HeadInfo, asked: Instant) -> Result<()> {
+    fn apply_read(&self, head_info: HeadInfo, sent_at: Instant) -> Result<()> {
         let version = self.version();
-        if news.version < version {
-            // The service was set back, as from an old backup. What was in force
-            // stays: going back would undo an accepted change.
-            warn!("config: the platform has version {}, below {version}", news.version);
+        if head_info.version < version {
+            // The platform was reverted, for example to an old backup. The version in force is
+            // kept, as going back would undo an accepted change.
+            warn!(
+                "config: the platform has version {}, below the current version {version}",
+                head_info.version
+            );
             metrics::counter!("kumquatnotch_head_reverted_total").increment(1);
-            return Err(Error::StaleVersion { version: news.version.0 });
+            return Err(Error::StaleVersion { version: head_info.version.0 });
         }
-        if news.version == version {
-            self.members.board.confirm(version, asked);
+        if head_info.version == version {
+            self.members.head_state.confirm(version, sent_at);
             return Ok(());
         }
-        self.wanted.borrow_mut().add_reading(news, asked);
-        if self.born.get() {
-            self.start_fetching();
+        self.wanted.borrow_mut().add_read(head_info, sent_at);
+        if self.bootstrapped.get() {
+            self.start_fetch();
         }
         Ok(())
     }
--- a/crates/kumquatnotch-member/src/recheck.rs
+++ b/crates/kumquatnotch-member/src/recheck.rs
@@ -1,20 +1,20 @@
-//! Birth, and waking from a freeze: asking before serving.
+//! Checks before a node serves: at startup and after a freeze.
 //!
-//! A newborn node asks a few random peers and takes the highest version, if more
-//! than half answered and a confirmation is young. If the confirmations are old,
-//! as in an outage of the platform, it asks others too, and then takes the
-//! highest: nothing new can be accepted in an outage, so what they have is still
-//! true. It calls the platform only if no peer has a document, and then as every
-//! node does, by rank or by chance, so that 1,900 that start at once do not all.
+//! A starting node queries a few random peers and takes the highest version if more than
+//! half of them answered and one confirmation is recent. If all confirmations are old, as
+//! in an outage of the platform, it queries further peers and then takes the highest
+//! version: no change can be accepted during an outage, so the version that they have is
+//! still the newest. It reads the platform only if no peer has a document, and then as any
+//! node does, by rank or by chance, so that 1,900 nodes that start at once do not all call
+//! the platform.
 //!
-//! What remains unprovable: a version may have been accepted just before the
-//! outage and be in force only on nodes that this one can't reach. It then
-//! serves the version before, as the peers that it asked do, and the age of its
-//! confirmation says how long that has been so.
+//! One case can't be detected: a version may have been accepted just before the outage and
+//! be in force only on nodes that this one can't reach. The node then serves the version
+//! before it, as the queried peers do, and the age of its confirmation shows for how long.
 //!
-//! A node that wakes from a freeze holds back its document until the platform or
-//! peers have answered, at most [`crate::ConfigOptions::recheck_limit`]. If
-//! nobody answers it serves again what it had, as in an outage.
+//! After a freeze a node withholds its document until the platform or enough peers have
+//! answered, at most for [`crate::ConfigOptions::recheck_timeout`]. If none answers, it
+//! serves the document that it had, as in an outage.
 
 use std::{
     cell::Cell,
@@ -33,19 +33,21 @@
 
 use crate::{config_service::ConfigService, membership_service::MembershipService};
 
-/// How often a waiting node looks whether it has what it waits for.
-const LOOK_GAP: Duration = Duration::from_millis(20);
+/// Time between two checks whether a fetch has completed.
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// The time between two rounds of a newborn node, at first and at last.
-const BIRTH_GAPS: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(1));
+/// Initial and maximum time between two rounds of queries at startup.
+const BOOTSTRAP_INTERVALS: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(1));
 
-/// How many rounds with old confirmations are enough.
-const OLD_ROUNDS: usize = 2;
+/// Number of rounds with only old confirmations that are sufficient.
+const STALE_ROUNDS: usize = 2;
 
-/// How long a newborn node waits for a peer with a document before the platform may be read.
-const FIRST_WAIT: Duration = Duration::from_secs(2);
+/// Time that a starting node waits for a peer with a document before it may read the
+/// platform.
+const PLATFORM_READ_DELAY: Duration = Duration::from_secs(2);
 
-/// Whether the document may be served.
+/// Blocks serving of the document until a recheck is done.
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
     closed_until: Cell<Option<Instant>>,
@@ -53,7 +55,7 @@
 }
 
 impl Gate {
-    /// Closes until `limit` and asks for a recheck, unless it is closed already.
+    /// Closes the gate until `limit` and requests a recheck, unless it is already closed.
     pub(crate) fn close(&self, limit: Instant) {
         if self.closed_until.get().is_none() {
             self.closed_until.set(Some(limit));
@@ -65,7 +67,7 @@
         self.closed_until.get().is_none_or(|limit| limit <= now)
     }
 
-    /// Whether a recheck was asked for; asked once.
+    /// Returns and clears the request for a recheck.
     pub(crate) fn take_request(&self) -> bool {
         self.requested.take()
     }
@@ -75,58 +77,58 @@
     }
 }
 
-/// What peers answered.
+/// Summary of the answers of peers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Evidence {
+struct PeerPoll {
     answers: usize,
     asked: usize,
     version: ConfigVersion,
-    /// The age of the youngest confirmation of that version.
+    /// Age of the most recent confirmation of that version.
     age: Duration,
 }
 
 impl ConfigService {
-    /// Decides on the first document.
-    pub(crate) async fn be_born(self: &Rc<Self>) {
+    /// Waits until the first version can be chosen safely, then starts to fetch it.
+    pub(crate) async fn bootstrap(self: &Rc<Self>) {
         let start = self.clock.now();
-        let mut gap = BIRTH_GAPS.0;
-        let mut old_rounds = 0;
+        let mut interval = BOOTSTRAP_INTERVALS.0;
+        let mut stale_rounds = 0;
         loop {
-            let evidence = self.ask_peers().await;
-            if self.is_enough(&evidence, true) {
+            let poll = self.poll_peers().await;
+            if self.is_conclusive(&poll, true) {
                 break;
             }
-            old_rounds += usize::from(self.is_enough(&evidence, false));
-            if old_rounds >= OLD_ROUNDS || self.is_first(&evidence, start).await {
+            stale_rounds += usize::from(self.is_conclusive(&poll, false));
+            if stale_rounds >= STALE_ROUNDS || self.can_use_platform(&poll, start).await {
                 break;
             }
-            clock::sleep(&*self.clock, self.random.jitter(gap)).await;
-            gap = (gap * 2).min(BIRTH_GAPS.1);
+            clock::sleep(&*self.clock, self.random.jitter(interval)).await;
+            interval = (interval * 2).min(BOOTSTRAP_INTERVALS.1);
         }
-        self.born.set(true);
-        self.start_fetching();
+        self.bootstrapped.set(true);
+        self.start_fetch();
     }
 
-    /// Whether no peer has a document, but the platform does.
-    async fn is_first(&self, evidence: &Evidence, start: Instant) -> bool {
-        // By then the peers are known, and so is which node is to read.
-        let alone = self.clock.now().saturating_duration_since(start) >= FIRST_WAIT;
-        if evidence.version > ConfigVersion(0) || !alone || !self.may_read() {
+    /// Returns true if no peer has a document, but the platform does.
+    async fn can_use_platform(&self, poll: &PeerPoll, start: Instant) -> bool {
+        // By then the peers are known, and therefore the readers too.
+        let has_waited = self.clock.now().saturating_duration_since(start) >= PLATFORM_READ_DELAY;
+        if poll.version > ConfigVersion(0) || !has_waited || !self.may_read() {
             return false;
         }
         matches!(self.read_head().await, Ok(Some(_)))
     }
 
-    /// Asks again after a freeze, then opens the gate.
+    /// Queries peers and the platform after a freeze, then opens the gate.
     pub(crate) async fn recheck(self: Rc<Self>) {
-        let limit = self.clock.now() + self.options.recheck_limit;
+        let limit = self.clock.now() + self.options.recheck_timeout;
         let work = async {
-            while !self.ask_again().await {
-                clock::sleep(&*self.clock, BIRTH_GAPS.0).await;
+            while !self.recheck_once().await {
+                clock::sleep(&*self.clock, BOOTSTRAP_INTERVALS.0).await;
             }
             while self.wanted.borrow().version() > self.version() {
-                self.start_fetching();
-                clock::sleep(&*self.clock, LOOK_GAP).await;
+                self.start_fetch();
+                clock::sleep(&*self.clock, POLL_PERIOD).await;
             }
         };
         let answered = clock::timeout_at(&*self.clock, limit, work).await.is_ok();
@@ -134,41 +136,43 @@
         self.gate.open();
     }
 
-    /// Whether enough peers or the platform answered.
-    async fn ask_again(&self) -> bool {
-        let evidence = self.ask_peers().await;
-        self.is_enough(&evidence, true) || self.read_head().await.is_ok()
+    /// Returns true if enough peers, or the platform, answered.
+    async fn recheck_once(&self) -> bool {
+        let poll = self.poll_peers().await;
+        self.is_conclusive(&poll, true) || self.read_head().await.is_ok()
     }
 
-    /// Asks several peers which version they have; what they say is taken in.
-    async fn ask_peers(&self) -> Evidence {
-        let peers = self.members.pick_peers(self.options.witnesses, |_| true);
-        let asks = peers.iter().map(|peer| self.members.ask_head(peer.peer, Some(&peer.name)));
-        let mut evidence = Evidence { asked: peers.len(), ..Evidence::default() };
+    /// Queries the versions of several peers; their gossip is merged.
+    async fn poll_peers(&self) -> PeerPoll {
+        let peers = self.members.pick_peers(self.options.queried_peers, |_| true);
+        let asks = peers.iter().map(|peer| self.members.query_head(peer.peer, Some(&peer.name)));
+        let mut poll = PeerPoll { asked: peers.len(), ..PeerPoll::default() };
         for head in join_all(asks).await.into_iter().flatten() {
-            evidence.answers += 1;
+            poll.answers += 1;
             let age = Duration::from_millis(head.age_ms);
-            if head.version > evidence.version {
-                evidence.version = head.version;
-                evidence.age = age;
-            } else if head.version == evidence.version {
-                evidence.age = evidence.age.min(age);
+            if head.version > poll.version {
+                poll.version = head.version;
+                poll.age = age;
+            } else if head.version == poll.version {
+                poll.age = poll.age.min(age);
             }
         }
-        evidence
+        poll
     }
 
-    /// Whether more than half of the peers answered, and one has a document.
-    fn is_enough(&self, evidence: &Evidence, young: bool) -> bool {
-        let most = evidence.answers * 2 > evidence.asked;
-        let fresh = !young || evidence.age <= self.options.fresh_age;
-        most && evidence.version > ConfigVersion(0) && fresh
+    /// Returns true if more than half of the peers answered and one has a document.
+    ///
+    /// With `require_fresh`, its confirmation also has to be recent.
+    fn is_conclusive(&self, poll: &PeerPoll, require_fresh: bool) -> bool {
+        let majority = poll.answers * 2 > poll.asked;
+        let fresh = !require_fresh || poll.age <= self.options.fresh_age;
+        majority && poll.version > ConfigVersion(0) && fresh
     }
 }
 
 impl MembershipService {
-    /// The configuration that the peer at `address` has in force.
-    pub(crate) async fn ask_head(
+    /// Returns the configuration in force on the peer at `address`.
+    pub(crate) async fn query_head(
         &self,
         address: SocketAddr,
         name: Option<&NodeName>,
