--- a/crates/kumquatnotch-config/src/check.rs
+++ b/crates/kumquatnotch-config/src/check.rs
@@ -7,14 +7,14 @@
 use crate::{fault::Fault, reader::Source};
 
 /// The length of a key's digest in hexadecimal.
-const DIGEST_LENGTH: usize = 64;
+const DIGEST_HEX_LENGTH: usize = 64;
 
 /// Checks a document that was read from `sources`; reports every fault.
 pub fn check(document: &Document, sources: &[Source<'_>]) -> Vec<Fault> {
     let mut checker = Checker { sources, faults: Vec::new() };
-    checker.targets(document);
-    checker.selectors(document);
-    checker.tenants(document);
+    checker.check_targets(document);
+    checker.check_selectors(document);
+    checker.check_tenants(document);
     checker.faults
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Checker<'_> {
-    fn targets(&mut self, document: &Document) {
+    fn check_targets(&mut self, document: &Document) {
         let mut addresses = BTreeMap::new();
         for (name, target) in &document.targets {
             if document.region(&target.centre).is_none() {
@@ -41,7 +41,7 @@
         }
     }
 
-    fn selectors(&mut self, document: &Document) {
+    fn check_selectors(&mut self, document: &Document) {
         for (name, selector) in &document.rules.selectors {
             if selector.deadline_ms == 0 {
                 self.report(&["selectors", name, "deadline_ms"], "must be above 0");
@@ -55,12 +55,12 @@
         }
     }
 
-    fn tenants(&mut self, document: &Document) {
+    fn check_tenants(&mut self, document: &Document) {
         let mut keys = BTreeMap::new();
         for (name, tenant) in &document.rules.tenants {
             for key in &tenant.keys {
                 let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-                if key.len() != DIGEST_LENGTH || !key.chars().all(hex) {
+                if key.len() != DIGEST_HEX_LENGTH || !key.chars().all(hex) {
                     let reason = "a key is its SHA-256 digest in 64 small hexadecimal digits";
                     self.report(&["tenants", name, "keys"], reason);
                     continue;
--- a/crates/kumquatnotch-config/src/diff.rs
+++ b/crates/kumquatnotch-config/src/diff.rs
@@ -64,16 +64,16 @@
         }
         changes.push(Change {
             path: format!("{table}.{name}"),
-            before: Some(show(old)),
-            after: new.map(show),
+            before: Some(to_json(old)),
+            after: new.map(to_json),
         });
     }
     for (name, new) in after.iter().filter(|(name, _)| !before.contains_key(*name)) {
         let path = format!("{table}.{name}");
-        changes.push(Change { path, before: None, after: Some(show(new)) });
+        changes.push(Change { path, before: None, after: Some(to_json(new)) });
     }
 }
 
-fn show<V: Serialize>(value: &V) -> String {
+fn to_json<V: Serialize>(value: &V) -> String {
     serde_json::to_string(value).unwrap_or_else(|error| error.to_string())
 }
--- a/crates/kumquatnotch-config/src/document_store.rs
+++ b/crates/kumquatnotch-config/src/document_store.rs
@@ -26,10 +26,10 @@
 use crate::diff::{diff, to_text};
 
 /// How often a call is tried before the fault is reported.
-const TRY_LIMIT: usize = 8;
+const ATTEMPT_LIMIT: usize = 8;
 
 /// How long to wait after the first failed try; it doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
 /// The operators' side of the platform's store.
 pub struct DocumentStore {
@@ -123,7 +123,7 @@
         by: Authorship<'_>,
     ) -> Result<ConfigVersion> {
         let mut result = Err(Error::CompareFailed);
-        for _ in 0..TRY_LIMIT {
+        for _ in 0..ATTEMPT_LIMIT {
             let base = self.current().await?;
             let mut document = base.document.clone();
             change(&mut document)?;
@@ -197,14 +197,14 @@
     }
 
     async fn get(&self, key: &str) -> Result<Option<StoreItem>> {
-        let mut pause = FIRST_PAUSE;
-        for _ in 1..TRY_LIMIT {
+        let mut backoff = INITIAL_BACKOFF;
+        for _ in 1..ATTEMPT_LIMIT {
             match self.store.read(key).await {
                 Err(Error::PlatformUnavailable | Error::PlatformBusy) => {}
                 result => return result,
             }
-            sleep(&*self.clock, self.random.jitter(pause)).await;
-            pause *= 2;
+            sleep(&*self.clock, self.random.jitter(backoff)).await;
+            backoff *= 2;
         }
         self.store.read(key).await
     }
@@ -230,17 +230,17 @@
             Ok(_) => Ok(head.version),
             // Either another operator was first, or a try of ours took effect
             // and its reply was lost. The number in the head tells which.
-            Err(Error::CompareFailed) => self.resolve(base, &head).await,
+            Err(Error::CompareFailed) => self.resolve_head_write(base, &head).await,
             Err(error) => Err(error),
         }
     }
 
-    async fn resolve(&self, base: &Current, ours: &Head) -> Result<ConfigVersion> {
+    async fn resolve_head_write(&self, base: &Current, ours: &Head) -> Result<ConfigVersion> {
         let now = self.current().await?;
         let Some(head) = &now.head else {
             return Err(Error::CompareFailed);
         };
-        if is_written(head, ours) {
+        if contains_write(head, ours) {
             return Ok(ours.version);
         }
         let detail = format!(
@@ -277,16 +277,16 @@
     /// and the other finds another revision.
     async fn put(&self, key: &str, value: &[u8], expect: u64) -> Result<u64> {
         let write = StoreWrite::put(key, value, expect);
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         let mut unknown = false;
-        for _ in 0..TRY_LIMIT {
+        for _ in 0..ATTEMPT_LIMIT {
             match self.store.write(&write).await {
                 Err(Error::WriteUnknown) => unknown = true,
                 Err(Error::PlatformUnavailable | Error::PlatformBusy) => {}
                 result => return result,
             }
-            sleep(&*self.clock, self.random.jitter(pause)).await;
-            pause *= 2;
+            sleep(&*self.clock, self.random.jitter(backoff)).await;
+            backoff *= 2;
         }
         Err(if unknown { Error::WriteUnknown } else { Error::PlatformUnavailable })
     }
@@ -303,7 +303,7 @@
 }
 
 /// Whether `ours` took effect, by the head that is there now.
-fn is_written(now: &Head, ours: &Head) -> bool {
+fn contains_write(now: &Head, ours: &Head) -> bool {
     now.write == ours.write || now.history.iter().any(|past| past.write == ours.write)
 }
 
--- a/crates/kumquatnotch-config/src/reader.rs
+++ b/crates/kumquatnotch-config/src/reader.rs
@@ -55,7 +55,7 @@
             };
             let reason = error.inner().message().to_owned();
             let path = path_of(error.path(), &reason);
-            if !self.is_told(&faults, &path, &reason) {
+            if !self.is_reported(&faults, &path, &reason) {
                 faults.push(self.fault(&path, &reason));
             }
             if !remove(&mut rest, &path) {
@@ -66,7 +66,7 @@
     }
 
     /// Whether a field is missing only because its faulty value was taken out.
-    fn is_told(&self, faults: &[Fault], path: &[&str], reason: &str) -> bool {
+    fn is_reported(&self, faults: &[Fault], path: &[&str], reason: &str) -> bool {
         let Some(field) = quoted_after("missing field `", reason) else {
             return false;
         };
@@ -87,18 +87,18 @@
     /// The line of the value at `path`, or of the deepest table on the way.
     fn line(&self, path: &[&str]) -> Option<usize> {
         let mut table = self.tree.get_ref();
-        let mut place = None;
+        let mut line = None;
         for name in path {
             let Some((key, value)) = table.iter().find(|(key, _)| key.get_ref() == *name) else {
                 break;
             };
-            place = Some(line_at(self.text, key.span().start));
+            line = Some(line_at(self.text, key.span().start));
             match value.get_ref() {
                 DeValue::Table(inner) => table = inner,
                 _ => break,
             }
         }
-        place
+        line
     }
 }
 
--- a/crates/kumquatnotch-config/src/settings.rs
+++ b/crates/kumquatnotch-config/src/settings.rs
@@ -58,13 +58,13 @@
 #[serde(default, deny_unknown_fields)]
 pub struct NodeSettings {
     /// Its name, unlike that of every other node.
-    #[garde(custom(plain_name))]
+    #[garde(custom(valid_name))]
     pub name: String,
     /// Its data centre.
-    #[garde(custom(plain_name))]
+    #[garde(custom(valid_name))]
     pub centre: String,
     /// Its region.
-    #[garde(custom(plain_name))]
+    #[garde(custom(valid_name))]
     pub region: String,
 }
 
@@ -104,7 +104,7 @@
     pub address: SocketAddr,
     /// How long one call may take.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(short_span))]
+    #[garde(custom(bounded_duration))]
     pub timeout: Duration,
 }
 
@@ -141,7 +141,7 @@
     pub requests: usize,
     /// The longest time a graceful shutdown waits for requests to end.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(short_span))]
+    #[garde(custom(bounded_duration))]
     pub shutdown: Duration,
 }
 
@@ -181,11 +181,11 @@
 pub struct AdviceSettings {
     /// How long callers may keep the addresses they were given.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(short_span))]
+    #[garde(custom(bounded_duration))]
     pub valid: Duration,
     /// How long the news that a node leaves may take to reach every other node.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(short_span))]
+    #[garde(custom(bounded_duration))]
     pub spread: Duration,
 }
 
@@ -290,9 +290,9 @@
 }
 
 /// The longest time a setting may name.
-const LONGEST_SPAN: Duration = Duration::from_secs(600);
+const MAX_DURATION: Duration = Duration::from_secs(600);
 
-fn plain_name(name: &str, (): &()) -> garde::Result {
+fn valid_name(name: &str, (): &()) -> garde::Result {
     let plain = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.');
     if name.is_empty() {
         return Err(garde::Error::new("is missing"));
@@ -310,8 +310,8 @@
     Ok(())
 }
 
-fn short_span(span: &Duration, (): &()) -> garde::Result {
-    if span.is_zero() || *span > LONGEST_SPAN {
+fn bounded_duration(duration: &Duration, (): &()) -> garde::Result {
+    if duration.is_zero() || *duration > MAX_DURATION {
         return Err(garde::Error::new("must be above 0 s and at most 10 min"));
     }
     Ok(())
--- a/crates/kumquatnotch-config/tests/document_store.rs
+++ b/crates/kumquatnotch-config/tests/document_store.rs
@@ -95,19 +95,19 @@
     }
 }
 
-struct Bench {
+struct Fixture {
     platform: Rc<FakeStore>,
     clock: PausedClock,
     store: DocumentStore,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl Fixture {
+    fn new() -> Fixture {
         let platform = Rc::new(FakeStore::default());
         let clock = PausedClock::default();
         let shared: Rc<dyn Clock> = Rc::new(clock.clone());
         let store = DocumentStore::new(platform.clone(), shared, Random::with_seed(7));
-        Bench { platform, clock, store }
+        Fixture { platform, clock, store }
     }
 
     fn run<T>(&self, work: impl Future<Output = T>) -> T {
@@ -139,26 +139,26 @@
 
 #[test]
 fn a_published_document_is_read_back() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
 
-    let version = bench.publish(&bench.current(), &document(300)).unwrap();
+    let version = fixture.publish(&fixture.current(), &document(300)).unwrap();
 
-    let now = bench.current();
+    let now = fixture.current();
     assert_eq!(version, ConfigVersion(1));
     assert_eq!(now.document, Document { version, ..document(300) });
 }
 
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_is_told() {
+fn racing_publish_reports_a_conflict() {
     // Two operators read version 1. One adds a target, then the other does.
     // The second must not undo the first unseen: it gets a conflict that says
     // what was changed in between.
-    let bench = Bench::new();
-    bench.publish(&bench.current(), &document(1)).unwrap();
-    let base = bench.current();
+    let fixture = Fixture::new();
+    fixture.publish(&fixture.current(), &document(1)).unwrap();
+    let base = fixture.current();
 
-    let first = bench.publish(&base, &document(2));
-    let second = bench.publish(&base, &document(3));
+    let first = fixture.publish(&base, &document(2));
+    let second = fixture.publish(&base, &document(3));
 
     assert_eq!(first, Ok(ConfigVersion(2)));
     let Err(Error::Conflict { version, detail }) = second else {
@@ -166,45 +166,45 @@
     };
     assert_eq!(version, 2);
     assert!(detail.contains("+ targets.t1"), "{detail}");
-    assert_eq!(bench.current().document.targets.len(), 2);
+    assert_eq!(fixture.current().document.targets.len(), 2);
 }
 
 #[test]
-fn a_write_whose_reply_was_lost_is_resolved() {
+fn lost_reply_of_a_head_write_is_resolved() {
     // The head is written, its reply is lost, and the same write tried again
     // finds another revision. Taken as a conflict, an operator would be told of
     // a rival that does not exist and write the change twice.
-    let bench = Bench::new();
-    let base = bench.current();
-    bench.platform.lost_replies.set(1);
+    let fixture = Fixture::new();
+    let base = fixture.current();
+    fixture.platform.lost_replies.set(1);
 
-    let version = bench.publish(&base, &document(1));
+    let version = fixture.publish(&base, &document(1));
 
     assert_eq!(version, Ok(ConfigVersion(1)));
-    assert_eq!(bench.current().head.unwrap().version, ConfigVersion(1));
+    assert_eq!(fixture.current().head.unwrap().version, ConfigVersion(1));
 }
 
 #[test]
-fn a_lost_reply_is_resolved_though_a_rival_wrote_over_it() {
+fn lost_reply_is_resolved_after_a_concurrent_publish() {
     // Our head is written and its reply lost; before our next try, a rival
     // publishes on top of it. Our write did take effect, so it must not be
     // reported as a conflict, or the operator would apply it again.
-    let bench = Bench::new();
-    bench.publish(&bench.current(), &document(1)).unwrap();
-    let base = bench.current();
-    bench.platform.lost_replies.set(1);
+    let fixture = Fixture::new();
+    fixture.publish(&fixture.current(), &document(1)).unwrap();
+    let base = fixture.current();
+    fixture.platform.lost_replies.set(1);
     let rival = DocumentStore::new(
-        bench.platform.clone(),
-        Rc::new(bench.clock.clone()),
+        fixture.platform.clone(),
+        Rc::new(fixture.clock.clone()),
         Random::with_seed(8),
     );
 
     let (two, three) = (document(2), document(3));
 
-    let (ours, theirs) = bench.run(async {
-        let ours = bench.store.publish(&base, &two, BY);
+    let (ours, theirs) = fixture.run(async {
+        let ours = fixture.store.publish(&base, &two, BY);
         let theirs = async {
-            while bench.platform.lost_replies.get() > 0 {
+            while fixture.platform.lost_replies.get() > 0 {
                 kumquatnotch_core::clock::yield_now().await;
             }
             let base = rival.current().await?;
@@ -218,85 +218,85 @@
 }
 
 #[test]
-fn a_write_that_never_arrives_is_reported_as_unknown() {
-    let bench = Bench::new();
-    let base = bench.current();
-    bench.platform.lost_writes.set(1_000);
+fn undelivered_write_is_reported_as_unknown() {
+    let fixture = Fixture::new();
+    let base = fixture.current();
+    fixture.platform.lost_writes.set(1_000);
 
-    let result = bench.publish(&base, &document(1));
+    let result = fixture.publish(&base, &document(1));
 
     assert_eq!(result, Err(Error::WriteUnknown));
 }
 
 #[test]
 fn a_small_change_writes_few_values() {
-    let bench = Bench::new();
-    bench.publish(&bench.current(), &document(1_000)).unwrap();
-    let base = bench.current();
-    let before = bench.platform.items.borrow().len();
+    let fixture = Fixture::new();
+    fixture.publish(&fixture.current(), &document(1_000)).unwrap();
+    let base = fixture.current();
+    let before = fixture.platform.items.borrow().len();
 
-    bench.publish(&base, &document(1_001)).unwrap();
+    fixture.publish(&base, &document(1_001)).unwrap();
 
-    let after = bench.platform.items.borrow().len();
+    let after = fixture.platform.items.borrow().len();
     assert_eq!(after - before, 2, "one part and the manifest");
 }
 
 #[test]
-fn an_earlier_version_returns_as_a_new_one() {
-    let bench = Bench::new();
-    bench.publish(&bench.current(), &document(1)).unwrap();
-    bench.publish(&bench.current(), &document(2)).unwrap();
+fn rollback_publishes_a_new_version() {
+    let fixture = Fixture::new();
+    fixture.publish(&fixture.current(), &document(1)).unwrap();
+    fixture.publish(&fixture.current(), &document(2)).unwrap();
 
-    let base = bench.current();
-    let version = bench.run(bench.store.roll_back(&base, ConfigVersion(1), BY));
+    let base = fixture.current();
+    let version = fixture.run(fixture.store.roll_back(&base, ConfigVersion(1), BY));
 
     assert_eq!(version, Ok(ConfigVersion(3)));
-    assert_eq!(bench.current().document.targets.len(), 1);
+    assert_eq!(fixture.current().document.targets.len(), 1);
 }
 
 #[test]
-fn an_unknown_version_is_refused() {
-    let bench = Bench::new();
-    bench.publish(&bench.current(), &document(1)).unwrap();
+fn rollback_to_an_unknown_version_is_refused() {
+    let fixture = Fixture::new();
+    fixture.publish(&fixture.current(), &document(1)).unwrap();
 
-    let base = bench.current();
-    let result = bench.run(bench.store.roll_back(&base, ConfigVersion(9), BY));
+    let base = fixture.current();
+    let result = fixture.run(fixture.store.roll_back(&base, ConfigVersion(9), BY));
 
     assert_eq!(result, Err(Error::VersionUnknown { version: 9 }));
 }
 
 #[test]
-fn a_drain_by_command_outlasts_the_next_files() {
+fn drain_by_command_survives_the_next_apply() {
     // An operator drains a target by command. Another then applies files that
     // never mentioned it. Without the carried drain the target would take new
     // work again while it is being taken apart.
-    let bench = Bench::new();
-    bench.publish(&bench.current(), &document(2)).unwrap();
+    let fixture = Fixture::new();
+    fixture.publish(&fixture.current(), &document(2)).unwrap();
     let drained = TargetName::from("t1");
-    bench.run(bench.store.amend(|document| set_drain(document, &drained, true), BY)).unwrap();
+    fixture.run(fixture.store.amend(|document| set_drain(document, &drained, true), BY)).unwrap();
 
-    let base = bench.current();
+    let base = fixture.current();
     let mut files = document(3);
     keep_drains(&mut files, &base.document);
-    bench.publish(&base, &files).unwrap();
+    fixture.publish(&base, &files).unwrap();
 
-    let now = bench.current().document;
+    let now = fixture.current().document;
     assert!(now.targets["t1"].drain);
     assert_eq!(now.targets.len(), 3);
 }
 
 #[test]
-fn values_of_forgotten_versions_are_collected() {
-    let bench = Bench::new();
+fn values_of_dropped_versions_are_collected() {
+    let fixture = Fixture::new();
     for targets in 1..=40 {
-        bench.publish(&bench.current(), &document(targets)).unwrap();
+        fixture.publish(&fixture.current(), &document(targets)).unwrap();
     }
 
-    let count = bench.run(bench.store.collect(Duration::from_secs(60))).unwrap();
+    let count = fixture.run(fixture.store.collect(Duration::from_secs(60))).unwrap();
 
     assert!(count > 0);
-    assert_eq!(bench.current().document.targets.len(), 40);
-    let base = bench.current();
+    assert_eq!(fixture.current().document.targets.len(), 40);
+    let base = fixture.current();
     let oldest = base.head.as_ref().unwrap().history.last().unwrap().version;
-    bench.run(bench.store.roll_back(&base, oldest, BY)).unwrap();
+    fixture.run(fixture.store.roll_back(&base, oldest, BY)).unwrap();
 }
--- a/crates/kumquatnotch-config/tests/settings.rs
+++ b/crates/kumquatnotch-config/tests/settings.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn bounds_are_checked_all_at_once() {
+fn every_violated_bound_is_reported() {
     let text = GOOD_SETTINGS.replace("n1", "n 1") + "[limits]\nbody = 12\nconnections = 0\n";
 
     let faults = Settings::parse("node.toml", &text).unwrap_err();
@@ -133,7 +133,7 @@
     odd_label = { "labels =", "labls =", "doc.toml:17: targets.t1.labls: unknown field" },
     no_shard = { "shard = \"s1\"\n", "", "doc.toml:13: targets.t1: missing field `shard`" },
 )]
-fn a_fault_in_a_document_is_told(good: &str, bad: &str, expected: &str) {
+fn document_fault_is_reported(good: &str, bad: &str, expected: &str) {
     let text = GOOD_DOCUMENT.replacen(good, bad, 1);
 
     let faults = files::parse(&[file(&text)]).unwrap_err();
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_key_of_two_tenants_is_refused() {
+fn key_shared_by_two_tenants_is_refused() {
     // A key that stands under two tenants would let the callers of one in as
     // the other, who would then see the rival's private rates.
     let rival = "\n[tenants.rum]\nkeys = [\"KEY\"]\n";
