--- a/crates/kumquatnotch/src/node.rs
+++ b/crates/kumquatnotch/src/node.rs
@@ -40,19 +40,19 @@
 ///
 /// A caller takes its advice to lapse from when the reply came, which is a way
 /// of at most 20 ms later than when it was given.
-const REPLY_TIME: Duration = Duration::from_millis(100);
+const MAX_REPLY_DELAY: Duration = Duration::from_millis(100);
 
 /// How long the news that a node has gone takes to reach the others.
-const FAREWELL_TIME: Duration = Duration::from_secs(1);
+const DEPARTURE_SPREAD_TIME: Duration = Duration::from_secs(1);
 
 /// How often a node looks whether another process took its place.
-const OUTLIVED_GAP: Duration = Duration::from_secs(1);
+const SUPERSEDED_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The largest message between nodes, in bytes.
-const PEER_BODY: usize = 16 << 20;
+const PEER_BODY_LIMIT: usize = 16 << 20;
 
 /// The most connections that a node takes from others.
-const PEER_CONNECTIONS: usize = 16_000;
+const PEER_CONNECTION_LIMIT: usize = 16_000;
 
 /// Options of a [`Node`].
 pub struct NodeOptions {
@@ -77,9 +77,9 @@
     /// Every request in flight ended.
     Clean,
     /// Some had not when the time for the shutdown was over.
-    Cut,
+    TimedOut,
     /// It left as another process has its name or address, and must be started again.
-    Outlived,
+    Superseded,
 }
 
 /// A node of the tier.
@@ -107,12 +107,15 @@
         let clock: Rc<dyn Clock> = Rc::new(RuntimeClock);
         let lifecycle = Lifecycle::default();
         registry.register::<Rc<dyn Clock>>(services::CLOCK, clock.clone());
-        registry.register(services::RANDOM, generator(&settings));
+        registry.register(services::RANDOM, random_generator(&settings));
         registry.register(services::LIFECYCLE, lifecycle.clone());
 
         // The way out.
         TargetLinks::try_new(target_options(&settings), &registry)?;
-        PeerLinks::try_new(PeerLinkOptions { body: PEER_BODY, ..Default::default() }, &registry)?;
+        PeerLinks::try_new(
+            PeerLinkOptions { body: PEER_BODY_LIMIT, ..Default::default() },
+            &registry,
+        )?;
         registry.register(services::STORE, store);
 
         // The way in, which comes first because membership tells its addresses.
@@ -174,15 +177,15 @@
     /// take another number, as tickets carry the one that it has. So it ends, and
     /// a new process draws a number above both.
     pub async fn wait(&self, stop: LocalFuture<'_, ()>) {
-        let outlived = std::pin::pin!(self.outlived());
-        if let Either::Right(_) = select(stop, outlived).await {
+        let superseded = std::pin::pin!(self.wait_until_superseded());
+        if let Either::Right(_) = select(stop, superseded).await {
             tracing::warn!("node: another process has this name or address, so it ends");
         }
     }
 
-    async fn outlived(&self) {
+    async fn wait_until_superseded(&self) {
         while !self.members.is_outlived() {
-            clock::sleep(&*self.clock, OUTLIVED_GAP).await;
+            clock::sleep(&*self.clock, SUPERSEDED_POLL_INTERVAL).await;
         }
     }
 
@@ -194,7 +197,7 @@
     /// unknown. Searches change nothing, and their document is asked for on.
     pub async fn leave(&self) -> Shutdown {
         // What another process does once this one leaves is no reason to start again.
-        let outlived = self.members.is_outlived();
+        let superseded = self.members.is_outlived();
         // Callers keep the address of this node for as long as their advice said,
         // and other nodes go on giving it out until they hear that this one leaves.
         // A node that waited for its own advice only would refuse callers that
@@ -204,7 +207,7 @@
         self.members.leave();
         self.entry.drain();
         let AdviceSettings { valid, spread } = self.settings.advice;
-        clock::sleep(&*self.clock, spread + valid + REPLY_TIME).await;
+        clock::sleep(&*self.clock, spread + valid + MAX_REPLY_DELAY).await;
 
         // Whoever still comes is refused, truthfully and by name.
         tracing::info!("node: closing with {} requests in flight", self.entry.requests());
@@ -218,16 +221,16 @@
         // would have an unknown outcome.
         self.peer.drain();
         self.members.farewell().await;
-        clock::sleep(&*self.clock, FAREWELL_TIME).await;
-        let peer = self.close_peer(deadline).await;
+        clock::sleep(&*self.clock, DEPARTURE_SPREAD_TIME).await;
+        let peer = self.close_peer_server(deadline).await;
         match entry && peer {
-            _ if outlived => Shutdown::Outlived,
+            _ if superseded => Shutdown::Superseded,
             true => Shutdown::Clean,
-            false => Shutdown::Cut,
+            false => Shutdown::TimedOut,
         }
     }
 
-    async fn close_peer(&self, deadline: Instant) -> bool {
+    async fn close_peer_server(&self, deadline: Instant) -> bool {
         let closed = self.peer.close(deadline).await;
         if !closed {
             tracing::warn!("node: {} requests of peers are cut", self.peer.requests());
@@ -236,7 +239,7 @@
     }
 }
 
-fn generator(settings: &Settings) -> Random {
+fn random_generator(settings: &Settings) -> Random {
     match settings.seed {
         Some(seed) => Random::with_seed(seed),
         None => Random::from_entropy(),
@@ -261,8 +264,8 @@
     ServerOptions {
         address: settings.listen.peer,
         name: "peer",
-        body: PEER_BODY,
-        connections: PEER_CONNECTIONS,
+        body: PEER_BODY_LIMIT,
+        connections: PEER_CONNECTION_LIMIT,
         interim: Some(INTERIM_PERIOD),
         ..Default::default()
     }
--- a/crates/kumquatnotch/src/operator.rs
+++ b/crates/kumquatnotch/src/operator.rs
@@ -23,7 +23,7 @@
 use kumquatnotch_query::FrontService;
 
 /// How many nodes are asked for their configuration at once.
-const ASKED_AT_ONCE: usize = 64;
+const CONCURRENT_REQUESTS: usize = 64;
 
 /// What a node shows its operators.
 pub struct NodeOperator {
@@ -62,15 +62,15 @@
         })
     }
 
-    async fn config_of(&self, record: NodeRecord) -> NodeReport {
-        let (confirmation, error) = match self.ask(&record).await {
+    async fn node_report(&self, record: NodeRecord) -> NodeReport {
+        let (confirmation, error) = match self.request_confirmation(&record).await {
             Ok(confirmation) => (Some(confirmation), None),
             Err(error) => (None, Some(error.to_string())),
         };
         NodeReport { name: record.name, state: record.state, confirmation, error }
     }
 
-    async fn ask(&self, record: &NodeRecord) -> Result<Confirmation> {
+    async fn request_confirmation(&self, record: &NodeRecord) -> Result<Confirmation> {
         if record.name == self.members.local().name {
             return Ok(self.members.confirmed());
         }
@@ -142,8 +142,8 @@
             let mut listed = self.members.known();
             listed.extend(self.members.lost());
             listed.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-            let asked = stream::iter(listed).map(|record| self.config_of(record));
-            ConfigReport { nodes: asked.buffered(ASKED_AT_ONCE).collect().await }
+            let reports = stream::iter(listed).map(|record| self.node_report(record));
+            ConfigReport { nodes: reports.buffered(CONCURRENT_REQUESTS).collect().await }
         })
     }
 
--- a/crates/kumquatnotch/tests/node.rs
+++ b/crates/kumquatnotch/tests/node.rs
@@ -98,7 +98,7 @@
     Client::new(node.servers().0.address(), Duration::from_secs(5))
 }
 
-async fn advised(node: &Node) -> Vec<SocketAddr> {
+async fn advised_addresses(node: &Node) -> Vec<SocketAddr> {
     let answer = client(node).get("/v1/entry").await.expect("the node answers");
     answer.json::<EntryAdvice>().expect("it is advice").addresses
 }
@@ -112,7 +112,7 @@
     answer.expect("the node answers").json::<Value>().expect("it is JSON")["coverage"].clone()
 }
 
-async fn until(what: &str, holds: impl AsyncFn() -> bool) {
+async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) {
     let end = Instant::now() + Duration::from_secs(20);
     while !holds().await {
         assert!(Instant::now() < end, "{what} does not come");
@@ -123,7 +123,7 @@
 /// The example lists every setting with its default, so that a newcomer sees what
 /// there is. It must not go out of date.
 #[test]
-fn the_example_settings_are_the_defaults() {
+fn example_settings_list_every_default() {
     let text = include_str!("../../../examples/kumquatnotchd.toml");
     let bare = "[node]\nname = \"n1\"\ncentre = \"amman\"\nregion = \"jordan\"\n\
                 [platform]\naddress = \"127.0.0.1:2379\"\n";
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn every_service_is_registered_by_its_name() {
+fn every_service_is_registered_under_its_name() {
     run(async {
         let platform = StoreServer::start(0).expect("a free port is found");
         let node = node("n1", platform.address, &[]);
@@ -178,7 +178,7 @@
 /// advised to nobody soon, takes its time until its own advice has lapsed, and
 /// the shards that it held are answered by others: no search lacks a shard.
 #[test]
-fn a_node_that_leaves_costs_no_coverage() {
+fn graceful_leave_keeps_full_coverage() {
     run(async {
         let platform = StoreServer::start(0).expect("a free port is found");
         let fleet = Fleet::start(&Plan::uniform(0, 8, 4)).expect("free ports are found");
@@ -188,10 +188,13 @@
             (node("n2", platform.address, &seeds), node("n3", platform.address, &seeds));
         publish(&first, document(&fleet)).await;
         for node in [&first, &second, &third] {
-            until("advice with three nodes", async || advised(node).await.len() == 3).await;
+            wait_until("advice with three nodes", async || {
+                advised_addresses(node).await.len() == 3
+            })
+            .await;
         }
         let caller = client(&second);
-        until("full coverage", async || coverage(&caller).await["covered"] == 4).await;
+        wait_until("full coverage", async || coverage(&caller).await["covered"] == 4).await;
 
         let leaving = third.clone();
         let left = monoio::spawn(async move { leaving.leave().await });
@@ -201,7 +204,7 @@
         while start.elapsed() < Duration::from_millis(3_000) {
             let found = coverage(&caller).await;
             assert_eq!(found["covered"], 4, "after {:?}: {found}", start.elapsed());
-            if advised(&second).await.contains(&gone) {
+            if advised_addresses(&second).await.contains(&gone) {
                 advised_until = start.elapsed();
             }
             pause(5).await;
@@ -217,7 +220,7 @@
 /// to read. Were the two to differ, a node would run with other budgets than
 /// those that were measured.
 #[test]
-fn the_budgets_in_the_settings_are_those_of_the_decisions() {
+fn settings_defaults_match_decision_defaults() {
     let settings = Settings::default().decisions;
 
     let front = FrontOptions::default();
@@ -231,7 +234,7 @@
 /// knows only the later life then. The earlier one hears of it within seconds, and
 /// leaves as if it had been told to; what it answers callers meanwhile is whole.
 #[test]
-fn a_node_that_was_outlived_leaves() {
+fn superseded_node_leaves() {
     run(async {
         let platform = StoreServer::start(0).expect("a free port is found");
         let fleet = Fleet::start(&Plan::uniform(0, 8, 4)).expect("free ports are found");
@@ -242,18 +245,22 @@
         let second = node("n2", platform.address, &[earlier.servers().1.address()]);
         publish(&second, document(&fleet)).await;
         for node in [&earlier, &second] {
-            until("advice with two nodes", async || advised(node).await.len() == 2).await;
+            wait_until("advice with two nodes", async || advised_addresses(node).await.len() == 2)
+                .await;
         }
         let caller = client(&earlier);
-        until("full coverage", async || coverage(&caller).await["covered"] == 4).await;
+        wait_until("full coverage", async || coverage(&caller).await["covered"] == 4).await;
 
         let later = node("n1", platform.address, &[second.servers().1.address()]);
         let gone = earlier.servers().0.address();
-        until("advice without it", async || !advised(&earlier).await.contains(&gone)).await;
+        wait_until("advice without it", async || {
+            !advised_addresses(&earlier).await.contains(&gone)
+        })
+        .await;
         let found = coverage(&caller).await;
 
         assert_eq!(found["covered"], 4, "{found}");
-        assert_eq!(ended.await, Shutdown::Outlived);
-        assert_eq!(advised(&later).await.len(), 2);
+        assert_eq!(ended.await, Shutdown::Superseded);
+        assert_eq!(advised_addresses(&later).await.len(), 2);
     });
 }
--- a/crates/kumquatnotchd/src/main.rs
+++ b/crates/kumquatnotchd/src/main.rs
@@ -22,9 +22,9 @@
 use crate::options::Options;
 
 /// The exit code after a second signal.
-const HURRIED: u8 = 4;
+const SECOND_SIGNAL: u8 = 4;
 /// The exit code if another process has this node's name or address.
-const OUTLIVED: u8 = 5;
+const SUPERSEDED: u8 = 5;
 
 fn main() -> ExitCode {
     let options: Options = argh::from_env();
@@ -54,17 +54,17 @@
     node.start();
     node.wait(Box::pin(signals.next())).await;
     let leave = std::pin::pin!(node.leave());
-    let hurry = std::pin::pin!(signals.next());
-    match select(leave, hurry).await {
+    let second_signal = std::pin::pin!(signals.next());
+    match select(leave, second_signal).await {
         Either::Left((Shutdown::Clean, _)) => {
             tracing::info!("node: left");
             Ok(ExitCode::SUCCESS)
         }
-        Either::Left((Shutdown::Cut, _)) => Ok(ExitCode::from(process::DRAIN_TIMED_OUT)),
-        Either::Left((Shutdown::Outlived, _)) => Ok(ExitCode::from(OUTLIVED)),
+        Either::Left((Shutdown::TimedOut, _)) => Ok(ExitCode::from(process::DRAIN_TIMED_OUT)),
+        Either::Left((Shutdown::Superseded, _)) => Ok(ExitCode::from(SUPERSEDED)),
         Either::Right(_) => {
             tracing::warn!("node: told twice to stop, ending at once");
-            Ok(ExitCode::from(HURRIED))
+            Ok(ExitCode::from(SECOND_SIGNAL))
         }
     }
 }
--- a/crates/kumquatnotchd/src/options.rs
+++ b/crates/kumquatnotchd/src/options.rs
@@ -41,11 +41,11 @@
     pub check: bool,
 
     /// text or json, whatever the settings say
-    #[argh(option, from_str_fn(read_format))]
+    #[argh(option, from_str_fn(parse_format))]
     pub log_format: Option<LogFormat>,
 }
 
-fn read_format(text: &str) -> Result<LogFormat, String> {
+fn parse_format(text: &str) -> Result<LogFormat, String> {
     match text {
         "text" => Ok(LogFormat::Text),
         "json" => Ok(LogFormat::Json),
--- a/crates/kumquatnotchd/tests/common/mod.rs
+++ b/crates/kumquatnotchd/tests/common/mod.rs
@@ -34,7 +34,7 @@
 
 pub const KEY: &str = "a caller's key";
 
-static FOLDERS: AtomicUsize = AtomicUsize::new(0);
+static FILE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     standins::block_on(async {
@@ -48,7 +48,7 @@
 }
 
 /// Waits until `probe` tells something, for at most ten seconds.
-pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, probe: impl Fn() -> F) -> T {
+pub async fn wait_until<T, F: Future<Output = Option<T>>>(what: &str, probe: impl Fn() -> F) -> T {
     let end = Instant::now() + Duration::from_secs(10);
     loop {
         if let Some(value) = probe().await {
@@ -60,23 +60,23 @@
 }
 
 /// The stand-ins around a daemon.
-pub struct Around {
+pub struct Environment {
     pub platform: StoreServer,
     pub fleet: Fleet,
 }
 
 /// Three targets, each with a shard, and a platform without a document.
-pub fn around(service_ms: f64) -> Around {
+pub fn environment(service_ms: f64) -> Environment {
     let mut plan = Plan::uniform(0, 3, 3);
     plan.target.iter_mut().for_each(|target| {
         target.service_ms = service_ms;
         target.spread = 0.0;
     });
     let platform = StoreServer::start(0).expect("a free port is found");
-    Around { platform, fleet: Fleet::start(&plan).expect("free ports are found") }
+    Environment { platform, fleet: Fleet::start(&plan).expect("free ports are found") }
 }
 
-impl Around {
+impl Environment {
     fn document(&self) -> String {
         let mut text = format!(
             "[regions]\namman = \"jordan\"\n\
@@ -120,7 +120,7 @@
 
 /// Writes settings to a file of their own.
 pub fn settings_file(text: &str) -> PathBuf {
-    let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+    let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
     let name = format!("kumquatnotchd-{}-{number}.toml", std::process::id());
     let path = std::env::temp_dir().join(name);
     fs::write(&path, text).expect("settings can be written");
@@ -143,13 +143,17 @@
 
 impl Daemon {
     /// Starts a daemon and waits until it listens.
-    pub async fn start(around: &Around, extra: &[&str]) -> Daemon {
-        Daemon::start_with(&around.settings(), extra).await
+    pub async fn start(environment: &Environment, extra: &[&str]) -> Daemon {
+        Daemon::start_with(&environment.settings(), extra).await
     }
 
     /// Starts a daemon named `name` that asks `seed` first.
-    pub async fn start_near(around: &Around, name: &str, seed: SocketAddr) -> Daemon {
-        let settings = around.settings().replace("\"n1\"", &format!("\"{name}\""));
+    pub async fn start_with_seed(
+        environment: &Environment,
+        name: &str,
+        seed: SocketAddr,
+    ) -> Daemon {
+        let settings = environment.settings().replace("\"n1\"", &format!("\"{name}\""));
         let settings = format!("{settings}[join]\nseeds = [\"{seed}\"]\n");
         Daemon::start_with(&settings, &[]).await
     }
@@ -166,7 +170,7 @@
                 shared.lock().expect("no reader panics").push(line);
             }
         });
-        let entry = until("its address", async || find_address(&lines, "callers at ")).await;
+        let entry = wait_until("its address", async || find_address(&lines, "callers at ")).await;
         Daemon { child, entry, lines, settings }
     }
 
@@ -184,20 +188,20 @@
     }
 
     /// Waits until it serves callers.
-    pub async fn ready(&self) {
-        until("readiness", async || {
+    pub async fn wait_until_ready(&self) {
+        wait_until("readiness", async || {
             let ready = self.get("/readyz").await.status == 200;
             ready.then_some(())
         })
         .await;
     }
 
-    pub fn signal(&self) {
+    pub fn send_sigterm(&self) {
         let pid = Pid::from_child(&self.child);
         kill_process(pid, Signal::TERM).expect("it runs");
     }
 
-    pub async fn end(&mut self) -> ExitStatus {
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         for _ in 0..1_000 {
             if let Some(status) = self.child.try_wait().expect("it can be waited for") {
                 return status;
--- a/crates/kumquatnotchd/tests/daemon.rs
+++ b/crates/kumquatnotchd/tests/daemon.rs
@@ -4,7 +4,7 @@
 
 use std::{fs, time::Instant};
 
-use common::{Daemon, around, call, command, pause, run, settings_file, until};
+use common::{Daemon, call, command, environment, pause, run, settings_file, wait_until};
 use serde_json::{Value, json};
 
 fn search() -> Value {
@@ -24,8 +24,8 @@
 
     assert!(fine.status.success());
     assert_eq!(fault.status.code(), Some(1));
-    let told = String::from_utf8_lossy(&fault.stderr).into_owned();
-    assert!(told.contains("6001") && told.contains("node.name"), "{told}");
+    let errors = String::from_utf8_lossy(&fault.stderr).into_owned();
+    assert!(errors.contains("6001") && errors.contains("node.name"), "{errors}");
     let help = String::from_utf8_lossy(&help.stdout).into_owned();
     assert!(help.contains("SIGTERM") && help.contains("[platform]"), "{help}");
     fs::remove_file(good).unwrap();
@@ -37,13 +37,13 @@
 #[test]
 fn a_daemon_serves_callers_and_operators() {
     run(async {
-        let around = around(5.0);
-        let daemon = Daemon::start(&around, &[]).await;
+        let environment = environment(5.0);
+        let daemon = Daemon::start(&environment, &[]).await;
         assert_eq!(daemon.get("/healthz").await.status, 200);
         assert_eq!(daemon.get("/readyz").await.status, 503);
 
-        around.publish().await;
-        daemon.ready().await;
+        environment.publish().await;
+        daemon.wait_until_ready().await;
         let answer = call(&daemon.client(), "/v1/search", search()).await;
 
         assert_eq!(answer.status, 200);
@@ -70,10 +70,10 @@
 #[test]
 fn a_daemon_opens_no_io_uring_and_starts_no_process() {
     run(async {
-        let around = around(5.0);
-        let daemon = Daemon::start(&around, &[]).await;
-        around.publish().await;
-        daemon.ready().await;
+        let environment = environment(5.0);
+        let daemon = Daemon::start(&environment, &[]).await;
+        environment.publish().await;
+        daemon.wait_until_ready().await;
         call(&daemon.client(), "/v1/search", search()).await;
         let id = daemon.child.id();
 
@@ -95,12 +95,12 @@
 /// given are served. Both requests get their whole answers, and the daemon
 /// exits with 0.
 #[test]
-fn a_graceful_shutdown_cuts_nothing_in_flight() {
+fn graceful_shutdown_completes_requests_in_flight() {
     run(async {
-        let around = around(2_500.0);
-        let mut daemon = Daemon::start(&around, &[]).await;
-        around.publish().await;
-        daemon.ready().await;
+        let environment = environment(2_500.0);
+        let mut daemon = Daemon::start(&environment, &[]).await;
+        environment.publish().await;
+        daemon.wait_until_ready().await;
         let client = daemon.client();
         let grant: Value = call(&client, "/v1/tickets", Value::Null).await.json().unwrap();
         let hold = json!({
@@ -113,12 +113,12 @@
         let held = monoio::spawn(async move { call(&client, "/v1/exclusive", hold).await });
         pause(300).await;
 
-        daemon.signal();
+        daemon.send_sigterm();
         pause(300).await;
         let advised = daemon.get("/v1/entry").await;
         let ready = daemon.get("/readyz").await;
         let (slow, held) = (slow.await, held.await);
-        let status = daemon.end().await;
+        let status = daemon.wait_for_exit().await;
 
         assert_eq!(advised.status, 200);
         assert_eq!(ready.status, 503);
@@ -134,30 +134,30 @@
 /// a change is in force everywhere must be told of the killed one: the others can't
 /// know whether it is dead or cut off and still serves. Nobody needs the other.
 #[test]
-fn a_killed_daemon_is_named_and_one_that_left_is_not() {
+fn config_report_lists_a_killed_daemon_but_not_one_that_left() {
     run(async {
-        let around = around(5.0);
-        let first = Daemon::start(&around, &[]).await;
-        around.publish().await;
-        let mut killed = Daemon::start_near(&around, "n2", first.peer()).await;
-        let mut leaving = Daemon::start_near(&around, "n3", first.peer()).await;
+        let environment = environment(5.0);
+        let first = Daemon::start(&environment, &[]).await;
+        environment.publish().await;
+        let mut killed = Daemon::start_with_seed(&environment, "n2", first.peer()).await;
+        let mut leaving = Daemon::start_with_seed(&environment, "n3", first.peer()).await;
         let states = async || {
             let report: Value = first.get("/v1/config").await.json().unwrap();
             let nodes = report["nodes"].as_array().unwrap().iter();
-            let told = nodes.map(|node| {
+            let summaries = nodes.map(|node| {
                 let answered = !node["confirmation"].is_null();
                 format!("{} {} {answered}", node["name"], node["state"]).replace('"', "")
             });
-            told.collect::<Vec<String>>()
+            summaries.collect::<Vec<String>>()
         };
-        until("all three", async || (states().await.len() == 3).then_some(())).await;
+        wait_until("all three", async || (states().await.len() == 3).then_some(())).await;
 
-        leaving.signal();
-        assert_eq!(leaving.end().await.code(), Some(0));
+        leaving.send_sigterm();
+        assert_eq!(leaving.wait_for_exit().await.code(), Some(0));
         killed.child.kill().unwrap();
         for state in ["n2 suspect false", "n2 gone false"] {
-            let told = async || states().await.contains(&state.to_owned());
-            until(state, async || told().await.then_some(())).await;
+            let reported = async || states().await.contains(&state.to_owned());
+            wait_until(state, async || reported().await.then_some(())).await;
         }
 
         assert_eq!(states().await, ["n1 up true", "n2 gone false"]);
@@ -169,30 +169,30 @@
 /// then exits with a code that says to start it again. Before, it went on for good,
 /// unseen: the others know only the later life, so nobody sent it news.
 #[test]
-fn a_daemon_that_was_outlived_leaves_with_its_own_code() {
+fn superseded_daemon_exits_with_its_own_code() {
     run(async {
-        let around = around(5.0);
-        let mut earlier = Daemon::start(&around, &[]).await;
-        around.publish().await;
-        earlier.ready().await;
-        let second = Daemon::start_near(&around, "n2", earlier.peer()).await;
+        let environment = environment(5.0);
+        let mut earlier = Daemon::start(&environment, &[]).await;
+        environment.publish().await;
+        earlier.wait_until_ready().await;
+        let second = Daemon::start_with_seed(&environment, "n2", earlier.peer()).await;
         // The second knows the first only once that has announced itself; until then
         // a later life of its name would make it take a higher number.
-        until("advice with two nodes", async || {
+        wait_until("advice with two nodes", async || {
             let advice: Value = second.get("/v1/entry").await.json().unwrap();
             (advice["addresses"].as_array().map(Vec::len) == Some(2)).then_some(())
         })
         .await;
 
-        let later = Daemon::start_near(&around, "n1", second.peer()).await;
-        later.ready().await;
-        until("the end of its readiness", async || {
+        let later = Daemon::start_with_seed(&environment, "n1", second.peer()).await;
+        later.wait_until_ready().await;
+        wait_until("the end of its readiness", async || {
             let ready = earlier.get("/readyz").await.status == 200;
             (!ready).then_some(())
         })
         .await;
         let served = call(&earlier.client(), "/v1/search", search()).await;
-        let status = earlier.end().await;
+        let status = earlier.wait_for_exit().await;
         let other = call(&later.client(), "/v1/search", search()).await;
 
         assert_eq!((served.status, other.status), (200, 200));
@@ -204,14 +204,14 @@
 #[test]
 fn a_second_signal_ends_the_daemon_at_once() {
     run(async {
-        let around = around(5.0);
-        let mut daemon = Daemon::start(&around, &[]).await;
+        let environment = environment(5.0);
+        let mut daemon = Daemon::start(&environment, &[]).await;
         let start = Instant::now();
 
-        daemon.signal();
+        daemon.send_sigterm();
         pause(100).await;
-        daemon.signal();
-        let status = daemon.end().await;
+        daemon.send_sigterm();
+        let status = daemon.wait_for_exit().await;
 
         assert_eq!(status.code(), Some(4));
         assert!(start.elapsed().as_millis() < 800, "{:?}", start.elapsed());
@@ -219,10 +219,10 @@
 }
 
 #[test]
-fn logs_are_json_on_demand_and_name_their_part() {
+fn json_log_messages_start_with_a_component_prefix() {
     run(async {
-        let around = around(5.0);
-        let daemon = Daemon::start(&around, &["--log-format", "json"]).await;
+        let environment = environment(5.0);
+        let daemon = Daemon::start(&environment, &["--log-format", "json"]).await;
 
         let lines = daemon.lines.lock().unwrap().clone();
 
