--- a/crates/kumquatnotch-ctl/src/caller_commands.rs
+++ b/crates/kumquatnotch-ctl/src/caller_commands.rs
@@ -44,7 +44,7 @@
 pub async fn exclusive(context: &Context, args: &ExclusiveArgs) -> Result<u8> {
     let ticket = match &args.ticket {
         Some(ticket) => ticket.clone(),
-        None => issue(context, &args.key_file).await?,
+        None => issue_ticket(context, &args.key_file).await?,
     };
     // It is printed before the request goes out: whatever happens then, the
     // outcome can be asked for again with it.
@@ -60,7 +60,7 @@
     print(&context.call(request, Duration::from_millis(args.deadline_ms)).await?)
 }
 
-async fn issue(context: &Context, key_file: &Path) -> Result<String> {
+async fn issue_ticket(context: &Context, key_file: &Path) -> Result<String> {
     let request = post("/v1/tickets", &serde_json::Value::Null, key_file)?;
     let reply = context.call(request, Duration::ZERO).await?;
     let grant: Result<TicketGrant, _> = serde_json::from_slice(&reply.body);
--- a/crates/kumquatnotch-ctl/src/config_commands.rs
+++ b/crates/kumquatnotch-ctl/src/config_commands.rs
@@ -21,7 +21,7 @@
     options::{
         ApplyArgs, Base, CheckArgs, CollectArgs, DiffArgs, DrainArgs, RollbackArgs, ShowArgs,
     },
-    status_command::wait_for,
+    status_command::wait_for_version,
 };
 
 pub fn check(args: &CheckArgs) -> Result<u8> {
@@ -41,7 +41,7 @@
 
 pub async fn diff(context: &Context, args: &DiffArgs) -> Result<u8> {
     let base = context.store()?.current().await?;
-    let document = load_over(args.files.as_path(), &base)?;
+    let document = load_with_drains(args.files.as_path(), &base)?;
     println!("against version {}", version_of(&base));
     println!("{}", to_text(&diff::diff(&base.document, &document)));
     Ok(0)
@@ -55,9 +55,9 @@
     if let Base::Version(version) = args.base
         && version != version_of(&base)
     {
-        return Err(stale_base(&store, &base, version).await);
+        return Err(stale_base_error(&store, &base, version).await);
     }
-    let document = load_over(&args.files, &base)?;
+    let document = load_with_drains(&args.files, &base)?;
     let changes = diff::diff(&base.document, &document);
     if changes.is_empty() && base.head.is_some() {
         println!("nothing to change; version {} is in force", version_of(&base));
@@ -67,8 +67,8 @@
     for selector in empty_selectors(&document) {
         println!("warning: selector {selector} matches no target");
     }
-    let version = store.publish(&base, &document, context.by(&args.note)).await?;
-    accepted(context, version, args.wait).await
+    let version = store.publish(&base, &document, context.authorship(&args.note)).await?;
+    report_accepted(context, version, args.wait).await
 }
 
 pub async fn show(context: &Context, args: &ShowArgs) -> Result<u8> {
@@ -76,7 +76,7 @@
     let current = store.current().await?;
     let document = match args.version.map(ConfigVersion) {
         Some(version) if version != version_of(&current) => {
-            earlier(&store, &current, version).await?
+            load_past_version(&store, &current, version).await?
         }
         _ => current.document,
     };
@@ -105,8 +105,8 @@
         note => note.to_owned(),
     };
     let version = ConfigVersion(args.version);
-    let version = store.roll_back(&base, version, context.by(&note)).await?;
-    accepted(context, version, args.wait).await
+    let version = store.roll_back(&base, version, context.authorship(&note)).await?;
+    report_accepted(context, version, args.wait).await
 }
 
 pub async fn drain(context: &Context, args: &DrainArgs) -> Result<u8> {
@@ -117,8 +117,8 @@
         ("", true) => format!("end the drain of {target}"),
         (note, _) => note.to_owned(),
     };
-    let version = context.store()?.amend(change, context.by(&note)).await?;
-    accepted(context, version, args.wait).await
+    let version = context.store()?.amend(change, context.authorship(&note)).await?;
+    report_accepted(context, version, args.wait).await
 }
 
 pub async fn collect(context: &Context, args: &CollectArgs) -> Result<u8> {
@@ -128,30 +128,30 @@
 }
 
 /// Says that a version was accepted, and waits until it is in force if asked to.
-async fn accepted(context: &Context, version: ConfigVersion, wait: u64) -> Result<u8> {
+async fn report_accepted(context: &Context, version: ConfigVersion, wait: u64) -> Result<u8> {
     println!("accepted as version {version}");
     if wait == 0 || !context.has_node() {
         return Ok(0);
     }
-    wait_for(context, version, Duration::from_secs(wait)).await
+    wait_for_version(context, version, Duration::from_secs(wait)).await
 }
 
-fn load_over(path: &std::path::Path, base: &Current) -> Result<Document> {
+fn load_with_drains(path: &std::path::Path, base: &Current) -> Result<Document> {
     let mut document = files::load(path)?;
     keep_drains(&mut document, &base.document);
     Ok(document)
 }
 
-async fn stale_base(store: &DocumentStore, now: &Current, base: ConfigVersion) -> Error {
+async fn stale_base_error(store: &DocumentStore, now: &Current, base: ConfigVersion) -> Error {
     let version = version_of(now).0;
-    let detail = match earlier(store, now, base).await {
+    let detail = match load_past_version(store, now, base).await {
         Ok(before) => to_text(&diff::diff(&before, &now.document)),
         Err(_) => format!("version {base} isn't kept any more"),
     };
     Error::Conflict { version, detail }
 }
 
-async fn earlier(
+async fn load_past_version(
     store: &DocumentStore,
     current: &Current,
     version: ConfigVersion,
--- a/crates/kumquatnotch-ctl/src/context.rs
+++ b/crates/kumquatnotch-ctl/src/context.rs
@@ -61,7 +61,7 @@
     }
 
     /// Who makes a change, and why.
-    pub fn by<'a>(&'a self, note: &'a str) -> Authorship<'a> {
+    pub fn authorship<'a>(&'a self, note: &'a str) -> Authorship<'a> {
         Authorship { author: &self.author, note }
     }
 }
--- a/crates/kumquatnotch-ctl/src/explain_command.rs
+++ b/crates/kumquatnotch-ctl/src/explain_command.rs
@@ -20,23 +20,23 @@
 /// How much later than due an answer still counts as in time, in milliseconds.
 ///
 /// Nodes keep some time for the way to the caller, which this is a part of.
-const IN_TIME_MS: u64 = 10;
+const LATE_TOLERANCE_MS: u64 = 10;
 
 /// The lines that say what became of a request.
-const ENDS: [&str; 2] = ["front: answered", "front: refused"];
+const OUTCOME_MESSAGES: [&str; 2] = ["front: answered", "front: refused"];
 
 pub fn explain(args: &ExplainArgs) -> Result<u8> {
     let mut lines = Vec::new();
     for path in &args.files {
         lines.extend(log_lines::read(path)?);
     }
-    let span = Duration::from_secs_f64(args.window.max(0.1));
-    let account = Account::new(&lines, span, &args.route);
-    if account.requests == 0 {
+    let window_length = Duration::from_secs_f64(args.window.max(0.1));
+    let report = LossReport::new(&lines, window_length, &args.route);
+    if report.requests == 0 {
         return Err(Error::bad_request("no line tells what became of a request"));
     }
     // Whoever reads the first lines only closes the pipe before the rest.
-    let _ = io::stdout().write_all(account.report(args.top).as_bytes());
+    let _ = io::stdout().write_all(report.report(args.top).as_bytes());
     let _ = io::stdout().write_all(report_calls(&lines).as_bytes());
     Ok(0)
 }
@@ -78,7 +78,7 @@
     }
 }
 
-/// What became of the requests of one span of time.
+/// What became of the requests of one window.
 #[derive(Clone, Debug, Default)]
 struct Window {
     requests: u64,
@@ -87,61 +87,62 @@
 }
 
 /// What was lost, by kind of request and cause, and by time.
-struct Account {
+struct LossReport {
     requests: u64,
     lost: f64,
     routes: HashMap<(String, String), Loss>,
     windows: HashMap<u64, Window>,
-    span: Duration,
+    window_length: Duration,
     start: Duration,
 }
 
 /// What the logs tell of a request besides its end.
 #[derive(Default)]
-struct Notes<'a> {
+struct RequestEvents<'a> {
     /// The shards whose replies were lost.
-    lost: Vec<&'a str>,
+    lost_replies: Vec<&'a str>,
     /// The shards of which a copy was sent.
-    copied: Vec<&'a str>,
+    hedged: Vec<&'a str>,
     /// The shards that were missing when it was answered.
-    late: Vec<&'a str>,
+    missing: Vec<&'a str>,
     /// Whether its caller came again, too late for an answer in time.
-    again: bool,
+    repeated: bool,
 }
 
-impl Account {
+impl LossReport {
     /// The account of the requests of these routes; none means all.
-    fn new(lines: &[Line], span: Duration, routes: &[String]) -> Account {
-        let notes = notes(lines);
+    fn new(lines: &[Line], window_length: Duration, routes: &[String]) -> LossReport {
+        let events = request_events(lines);
         let is_counted = |line: &&Line| {
-            let is_end = ENDS.contains(&line.message.as_str());
-            is_end && (routes.is_empty() || routes.iter().any(|route| route == line.text("route")))
+            let is_outcome = OUTCOME_MESSAGES.contains(&line.message.as_str());
+            is_outcome
+                && (routes.is_empty() || routes.iter().any(|route| route == line.text("route")))
         };
-        let ends = || lines.iter().filter(is_counted);
-        let start = ends().map(Line::since_epoch).min().unwrap_or_default();
-        let mut account = Account {
+        let outcomes = || lines.iter().filter(is_counted);
+        let start = outcomes().map(Line::since_epoch).min().unwrap_or_default();
+        let mut report = LossReport {
             requests: 0,
             lost: 0.0,
             routes: HashMap::default(),
             windows: HashMap::default(),
-            span,
+            window_length,
             start,
         };
-        let none = Notes::default();
-        for line in ends() {
-            let known = line.request.as_deref().and_then(|request| notes.get(request));
-            account.add(line, known.unwrap_or(&none));
+        let none = RequestEvents::default();
+        for line in outcomes() {
+            let known = line.request.as_deref().and_then(|request| events.get(request));
+            report.add(line, known.unwrap_or(&none));
         }
-        account
+        report
     }
 
     /// Adds what became of a request.
-    fn add(&mut self, line: &Line, notes: &Notes<'_>) {
+    fn add(&mut self, line: &Line, events: &RequestEvents<'_>) {
         self.requests += 1;
-        let passed = line.since_epoch().saturating_sub(self.start);
-        let window = (passed.as_secs_f64() / self.span.as_secs_f64()) as u64;
+        let elapsed = line.since_epoch().saturating_sub(self.start);
+        let window = (elapsed.as_secs_f64() / self.window_length.as_secs_f64()) as u64;
         self.windows.entry(window).or_default().requests += 1;
-        for (cause, lost) in losses(line, notes) {
+        for (cause, lost) in losses(line, events) {
             self.lost += lost;
             let key = (line.text("route").to_owned(), cause.clone());
             self.routes.entry(key).or_default().add(lost);
@@ -163,15 +164,17 @@
             ),
             format!("{:>8} {:>6} {:>8}  route, cause", "lost", "%", "requests"),
         ];
-        for ((route, cause), Loss { requests, lost }) in by_loss(&self.routes, |loss| loss.lost) {
+        for ((route, cause), Loss { requests, lost }) in
+            sorted_by_loss(&self.routes, |loss| loss.lost)
+        {
             let share = share(*lost);
             lines.push(format!("{lost:>8.1} {share:>6.2} {requests:>8}  {route}  {cause}"));
         }
-        lines.push(format!("\nworst windows of {} s", self.span.as_secs_f64()));
+        lines.push(format!("\nworst windows of {} s", self.window_length.as_secs_f64()));
         lines.push(format!("{:>8} {:>8} {:>8}  most for", "from s", "requests", "lost"));
-        for (index, window) in by_loss(&self.windows, |window| window.lost).take(top) {
-            let from = *index as f64 * self.span.as_secs_f64();
-            let cause = by_loss(&window.causes, |lost| *lost).next();
+        for (index, window) in sorted_by_loss(&self.windows, |window| window.lost).take(top) {
+            let from = *index as f64 * self.window_length.as_secs_f64();
+            let cause = sorted_by_loss(&window.causes, |lost| *lost).next();
             let cause = cause.map_or("", |(cause, _)| cause.as_str());
             let Window { requests, lost, .. } = window;
             lines.push(format!("{from:>8.1} {requests:>8} {lost:>8.1}  {cause}"));
@@ -182,7 +185,7 @@
 }
 
 /// Entries with what was lost for each, the most first.
-fn by_loss<K: Ord, V>(
+fn sorted_by_loss<K: Ord, V>(
     map: &HashMap<K, V>,
     lost: impl Fn(&V) -> f64,
 ) -> impl Iterator<Item = (&K, &V)> {
@@ -194,26 +197,28 @@
 }
 
 /// What the logs tell of each request besides its end.
-fn notes(lines: &[Line]) -> HashMap<&str, Notes<'_>> {
-    let mut notes: HashMap<&str, Notes<'_>> = HashMap::default();
+fn request_events(lines: &[Line]) -> HashMap<&str, RequestEvents<'_>> {
+    let mut events: HashMap<&str, RequestEvents<'_>> = HashMap::default();
     for line in lines {
         let Some(request) = line.request.as_deref() else {
             continue;
         };
-        let note = notes.entry(request).or_default();
+        let event = events.entry(request).or_default();
         match line.message.as_str() {
-            "call: the reply was lost" => note.lost.push(line.text("service")),
-            "call: a copy is sent" => note.copied.push(line.text("service")),
-            "gather: shards are missing" => note.late.extend(line.text("late").split_whitespace()),
-            "forecast: a caller came again" => note.again = true,
+            "call: the reply was lost" => event.lost_replies.push(line.text("service")),
+            "call: a copy is sent" => event.hedged.push(line.text("service")),
+            "gather: shards are missing" => {
+                event.missing.extend(line.text("late").split_whitespace())
+            }
+            "forecast: a caller came again" => event.repeated = true,
             _ => {}
         }
     }
-    notes
+    events
 }
 
 /// What was lost with a request, by cause.
-fn losses(line: &Line, notes: &Notes<'_>) -> Vec<(String, f64)> {
+fn losses(line: &Line, events: &RequestEvents<'_>) -> Vec<(String, f64)> {
     let (status, reason) = (line.number("status"), line.text("reason"));
     match status {
         // Nobody waited for the answer any more.
@@ -221,31 +226,34 @@
         404 => Vec::new(),
         503 => vec![(format!("refused: {reason}"), 1.0)],
         status if status >= 400 => vec![(format!("failed: {reason}"), 1.0)],
-        _ if is_late(line) => vec![(late(notes), 1.0)],
-        _ => missing(line, notes),
+        _ if is_late(line) => vec![(late_cause(events), 1.0)],
+        _ => missing_losses(line, events),
     }
 }
 
 /// Whether an answer was late; one whose line doesn't say when it was due wasn't.
 fn is_late(line: &Line) -> bool {
-    line.fields.contains_key("due_ms") && line.number("ms") > line.number("due_ms") + IN_TIME_MS
+    line.fields.contains_key("due_ms")
+        && line.number("ms") > line.number("due_ms") + LATE_TOLERANCE_MS
 }
 
 /// Why an answer was late.
-fn late(notes: &Notes<'_>) -> String {
-    let cause = match notes {
-        Notes { again: true, .. } => "late: the caller came again",
-        Notes { late, lost, .. } if late.iter().any(|shard| lost.contains(shard)) => {
+fn late_cause(events: &RequestEvents<'_>) -> String {
+    let cause = match events {
+        RequestEvents { repeated: true, .. } => "late: the caller came again",
+        RequestEvents { missing, lost_replies, .. }
+            if missing.iter().any(|shard| lost_replies.contains(shard)) =>
+        {
             "late: too few parts in time, replies were lost"
         }
-        Notes { late, .. } if !late.is_empty() => "late: too few parts in time",
+        RequestEvents { missing, .. } if !missing.is_empty() => "late: too few parts in time",
         _ => "late: all parts came in the end",
     };
     cause.to_owned()
 }
 
 /// What an answer that leaves shards out has lost, by the reason for each.
-fn missing(line: &Line, notes: &Notes<'_>) -> Vec<(String, f64)> {
+fn missing_losses(line: &Line, events: &RequestEvents<'_>) -> Vec<(String, f64)> {
     let (parts, missing) = (line.number("parts") as f64, line.number("missing") as f64);
     if missing == 0.0 {
         return Vec::new();
@@ -253,10 +261,10 @@
     let covered = parts / (parts + missing);
     let each = (1.0 - covered * covered) / missing;
     let mut causes: HashMap<&str, f64> = HashMap::default();
-    for shard in &notes.late {
-        let cause = if notes.lost.contains(shard) {
+    for shard in &events.missing {
+        let cause = if events.lost_replies.contains(shard) {
             "part: its reply was lost"
-        } else if notes.copied.contains(shard) {
+        } else if events.hedged.contains(shard) {
             "part: late, and a copy as well"
         } else {
             "part: late, without a copy"
--- a/crates/kumquatnotch-ctl/src/log_lines.rs
+++ b/crates/kumquatnotch-ctl/src/log_lines.rs
@@ -12,7 +12,7 @@
 use serde_json::{Map, Value};
 
 /// The fields that stand in every line, or are told before the others.
-const TOLD_BEFORE: [&str; 4] = ["timestamp", "level", "message", "request"];
+const HEADER_FIELDS: [&str; 4] = ["timestamp", "level", "message", "request"];
 
 /// A line of a log.
 pub struct Line {
@@ -68,7 +68,7 @@
         _ => None,
     };
     let (time, message, request) = (text("timestamp")?, text("message")?, text("request"));
-    fields.retain(|name, _| !TOLD_BEFORE.contains(&name.as_str()));
+    fields.retain(|name, _| !HEADER_FIELDS.contains(&name.as_str()));
     Some(Line { source, time, message, request, fields })
 }
 
--- a/crates/kumquatnotch-ctl/src/status_command.rs
+++ b/crates/kumquatnotch-ctl/src/status_command.rs
@@ -18,21 +18,25 @@
 const LAGGING: u8 = 4;
 
 /// How long to wait between two looks.
-const PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 pub async fn status(context: &Context, args: &StatusArgs) -> Result<u8> {
     let version = match args.version {
         Some(version) => ConfigVersion(version),
-        None => newest(context).await?,
+        None => newest_version(context).await?,
     };
-    wait_for(context, version, Duration::from_secs(args.wait)).await
+    wait_for_version(context, version, Duration::from_secs(args.wait)).await
 }
 
 /// Waits until every node has `version` in force, and names those that lag.
-pub async fn wait_for(context: &Context, version: ConfigVersion, wait: Duration) -> Result<u8> {
+pub async fn wait_for_version(
+    context: &Context,
+    version: ConfigVersion,
+    wait: Duration,
+) -> Result<u8> {
     let end = context.clock.now() + wait;
     loop {
-        let report = ask(context).await?;
+        let report = request_report(context).await?;
         let lagging: Vec<&NodeReport> =
             report.nodes.iter().filter(|node| !node.has_version(version)).collect();
         if lagging.is_empty() && !report.nodes.is_empty() {
@@ -44,12 +48,12 @@
             lagging.iter().for_each(|node| println!("  {node}"));
             return Ok(LAGGING);
         }
-        sleep(&*context.clock, PAUSE).await;
+        sleep(&*context.clock, POLL_INTERVAL).await;
     }
 }
 
 /// The newest version that the platform's service or, without it, a node knows of.
-async fn newest(context: &Context) -> Result<ConfigVersion> {
+async fn newest_version(context: &Context) -> Result<ConfigVersion> {
     let head = match context.store() {
         Ok(store) => store.head().await,
         Err(_) => Err(Error::PlatformUnavailable),
@@ -59,12 +63,12 @@
         Ok(None) => return Ok(ConfigVersion(0)),
         Err(error) => println!("the platform's service was not asked: {error}"),
     }
-    let report = ask(context).await?;
+    let report = request_report(context).await?;
     let versions = report.nodes.iter().filter_map(|node| node.confirmation);
     Ok(versions.map(|confirmation| confirmation.version).max().unwrap_or_default())
 }
 
-async fn ask(context: &Context) -> Result<ConfigReport> {
+async fn request_report(context: &Context) -> Result<ConfigReport> {
     let reply = context.call(Request::get("/v1/config"), Duration::ZERO).await?;
     serde_json::from_slice(&reply.body).map_err(Error::protocol)
 }
--- a/crates/kumquatnotch-ctl/src/story_command.rs
+++ b/crates/kumquatnotch-ctl/src/story_command.rs
@@ -8,44 +8,46 @@
 };
 
 /// The parts whose lines tell what a process believes, as their messages begin.
-const BELIEFS: [&str; 4] = ["mirror:", "replica:", "announce:", "node:"];
+const STATE_PREFIXES: [&str; 4] = ["mirror:", "replica:", "announce:", "node:"];
 
 pub fn story(args: &StoryArgs) -> Result<u8> {
     let mut lines = Vec::new();
     for path in &args.files {
         lines.extend(log_lines::read(path)?);
     }
-    let told = tell(lines, &args.request, args.beliefs);
-    if told.is_empty() {
+    let selected = select_lines(lines, &args.request, args.beliefs);
+    if selected.is_empty() {
         return Err(Error::bad_request(format!("no line tells of request {}", args.request)));
     }
-    told.iter().for_each(|line| println!("{line}"));
+    selected.iter().for_each(|line| println!("{line}"));
     Ok(0)
 }
 
 /// The lines of a request in their order, and as many `beliefs` before it of each
 /// process that had to do with it.
-fn tell(mut lines: Vec<Line>, request: &str, beliefs: usize) -> Vec<String> {
+fn select_lines(mut lines: Vec<Line>, request: &str, beliefs: usize) -> Vec<String> {
     lines.sort_by(|one, other| one.time.cmp(&other.time));
-    let is_told = |line: &Line| line.request.as_deref() == Some(request);
-    let Some(last) = lines.iter().rposition(is_told) else {
+    let is_of_request = |line: &Line| line.request.as_deref() == Some(request);
+    let Some(last) = lines.iter().rposition(is_of_request) else {
         return Vec::new();
     };
     let sources: HashSet<&str> =
-        lines.iter().filter(|line| is_told(line)).map(|line| &*line.source).collect();
-    let mut left: Vec<(&str, usize)> = sources.iter().map(|source| (*source, beliefs)).collect();
-    let mut told = Vec::new();
+        lines.iter().filter(|line| is_of_request(line)).map(|line| &*line.source).collect();
+    let mut remaining: Vec<(&str, usize)> =
+        sources.iter().map(|source| (*source, beliefs)).collect();
+    let mut selected = Vec::new();
     for line in lines[..=last].iter().rev() {
-        if is_told(line) {
-            told.push(line);
+        if is_of_request(line) {
+            selected.push(line);
             continue;
         }
-        let is_belief = BELIEFS.iter().any(|part| line.message.starts_with(part));
-        let counted = left.iter_mut().find(|(source, count)| *source == line.source && *count > 0);
-        if let (true, Some((_, count))) = (is_belief, counted) {
+        let is_state = STATE_PREFIXES.iter().any(|part| line.message.starts_with(part));
+        let counted =
+            remaining.iter_mut().find(|(source, count)| *source == line.source && *count > 0);
+        if let (true, Some((_, count))) = (is_state, counted) {
             *count -= 1;
-            told.push(line);
+            selected.push(line);
         }
     }
-    told.iter().rev().map(|line| line.to_string()).collect()
+    selected.iter().rev().map(|line| line.to_string()).collect()
 }
--- a/crates/kumquatnotch-ctl/tests/ctl.rs
+++ b/crates/kumquatnotch-ctl/tests/ctl.rs
@@ -17,34 +17,34 @@
 use standin_store::{StoreServer, faults::StoreChange};
 
 /// How often the platform's thread looks whether it should end.
-const LOOK_GAP: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A platform in a thread, and a folder for documents.
-struct Bench {
+struct Fixture {
     address: SocketAddr,
     folder: PathBuf,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Bench {
-    fn start(name: &str, change: StoreChange) -> Bench {
+impl Fixture {
+    fn start(name: &str, change: StoreChange) -> Fixture {
         let stop = Arc::new(AtomicBool::new(false));
         let (sender, receiver) = mpsc::channel();
-        let ends = stop.clone();
+        let stop_flag = stop.clone();
         let thread = thread::spawn(move || {
             standins::block_on(async move {
                 let platform = StoreServer::start(0).unwrap();
                 platform.apply(&change);
                 sender.send(platform.address).unwrap();
-                while !ends.load(Ordering::Relaxed) {
-                    monoio::time::sleep(LOOK_GAP).await;
+                while !stop_flag.load(Ordering::Relaxed) {
+                    monoio::time::sleep(STOP_POLL_INTERVAL).await;
                 }
             });
         });
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         fs::create_dir_all(&folder).unwrap();
-        Bench { address: receiver.recv().unwrap(), folder, stop, thread: Some(thread) }
+        Fixture { address: receiver.recv().unwrap(), folder, stop, thread: Some(thread) }
     }
 
     fn document(&self, targets: usize) -> String {
@@ -69,7 +69,7 @@
     }
 }
 
-impl Drop for Bench {
+impl Drop for Fixture {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -84,14 +84,14 @@
 }
 
 #[test]
-fn a_document_is_applied_shown_and_returned_to() {
-    let bench = Bench::start("return", StoreChange::default());
-    let (one, two) = (bench.document(1), bench.document(2));
+fn document_is_applied_shown_and_rolled_back() {
+    let fixture = Fixture::start("return", StoreChange::default());
+    let (one, two) = (fixture.document(1), fixture.document(2));
 
-    let first = bench.run(&["apply", &one, "--base", "0"]);
-    let second = bench.run(&["apply", &two, "--base", "1"]);
-    let back = bench.run(&["rollback", "1"]);
-    let shown = bench.run(&["show"]);
+    let first = fixture.run(&["apply", &one, "--base", "0"]);
+    let second = fixture.run(&["apply", &two, "--base", "1"]);
+    let back = fixture.run(&["rollback", "1"]);
+    let shown = fixture.run(&["show"]);
 
     assert!(text(&first).contains("accepted as version 1"), "{}", text(&first));
     assert!(text(&second).contains("+ targets.t1"), "{}", text(&second));
@@ -101,16 +101,16 @@
 }
 
 #[test]
-fn files_from_an_older_version_are_refused() {
+fn files_based_on_an_older_version_are_refused() {
     // Two operators start from version 1. One applies a target; the other, whose
     // checkout lacks it, applies next. Taken as it is, the second would remove
     // the first one's target without anybody having asked for that.
-    let bench = Bench::start("older", StoreChange::default());
-    let (one, two, three) = (bench.document(1), bench.document(2), bench.document(3));
-    bench.run(&["apply", &one, "--base", "0"]);
+    let fixture = Fixture::start("older", StoreChange::default());
+    let (one, two, three) = (fixture.document(1), fixture.document(2), fixture.document(3));
+    fixture.run(&["apply", &one, "--base", "0"]);
 
-    let first = bench.run(&["apply", &three, "--base", "1"]);
-    let second = bench.run(&["apply", &two, "--base", "1"]);
+    let first = fixture.run(&["apply", &three, "--base", "1"]);
+    let second = fixture.run(&["apply", &two, "--base", "1"]);
 
     assert_eq!(first.status.code(), Some(0), "{}", text(&first));
     assert_eq!(second.status.code(), Some(3), "{}", text(&second));
@@ -123,11 +123,11 @@
     // is lost. The operator must be told "accepted", once, and the history must
     // not show the change twice.
     let change = StoreChange { lose_replies: Some(5), ..StoreChange::default() };
-    let bench = Bench::start("lost", change);
-    let one = bench.document(1);
+    let fixture = Fixture::start("lost", change);
+    let one = fixture.document(1);
 
-    let applied = bench.run(&["apply", &one, "--base", "0"]);
-    let history = bench.run(&["history"]);
+    let applied = fixture.run(&["apply", &one, "--base", "0"]);
+    let history = fixture.run(&["history"]);
 
     assert!(text(&applied).contains("accepted as version 1"), "{}", text(&applied));
     assert_eq!(text(&history).lines().count(), 1, "{}", text(&history));
@@ -135,12 +135,12 @@
 
 #[test]
 fn a_faulty_document_is_refused_with_every_fault() {
-    let bench = Bench::start("faulty", StoreChange::default());
-    let path = bench.folder.join("faulty.toml");
+    let fixture = Fixture::start("faulty", StoreChange::default());
+    let path = fixture.folder.join("faulty.toml");
     let text_of = "[targets.t0]\naddress = \"here\"\ncentre = \"amman\"\nshard = 7\n";
     fs::write(&path, text_of).unwrap();
 
-    let output = bench.run(&["check", &path.display().to_string()]);
+    let output = fixture.run(&["check", &path.display().to_string()]);
 
     assert_eq!(output.status.code(), Some(1));
     let text = text(&output);
@@ -150,9 +150,9 @@
 
 #[test]
 fn help_names_every_command() {
-    let bench = Bench::start("help", StoreChange::default());
+    let fixture = Fixture::start("help", StoreChange::default());
 
-    let help = text(&bench.run(&["--help"]));
+    let help = text(&fixture.run(&["--help"]));
 
     for command in ["apply", "diff", "status", "rollback", "drain", "check", "history"] {
         assert!(help.contains(command), "{help}");
--- a/crates/kumquatnotch-ctl/tests/explain.rs
+++ b/crates/kumquatnotch-ctl/tests/explain.rs
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn what_was_lost_is_told_by_cause_and_time() {
-    let (code, told) = explain("causes", LOG);
+fn losses_are_reported_by_cause_and_time() {
+    let (code, report) = explain("causes", LOG);
 
     let words = |line: &str| line.split_whitespace().collect::<Vec<&str>>().join(" ");
-    let lines: Vec<String> = told.lines().map(words).collect();
+    let lines: Vec<String> = report.lines().map(words).collect();
     assert_eq!(code, Some(0));
     assert_eq!(lines[0], "5 requests, 2.4 answers lost (47.20 in a hundred)");
     // Two of ten parts cost 0.36 of an answer, half of it for each.
@@ -48,16 +48,16 @@
         "2.0 3 2.0 late: too few parts in time, replies were lost",
         "0.0 2 0.4 part: late, and a copy as well",
     ] {
-        assert!(lines.iter().any(|told| told == line), "{line}: {told}");
+        assert!(lines.iter().any(|printed| printed == line), "{line}: {report}");
     }
 }
 
 #[test]
 fn requests_of_other_routes_are_left_out() {
-    let (code, told) = explain_routes("routes", LOG, &["r"]);
+    let (code, report) = explain_routes("routes", LOG, &["r"]);
 
     assert_eq!(code, Some(0));
-    assert!(told.starts_with("3 requests, 1.4 answers lost"), "{told}");
+    assert!(report.starts_with("3 requests, 1.4 answers lost"), "{report}");
 }
 
 #[test]
@@ -71,18 +71,18 @@
     };
     let log = [line(10, "watch", 4, 0), line(20, "watch", 3, 2), line(20, "renew", 9, 0)].concat();
 
-    let (code, told) = explain("calls", &(LOG.to_owned() + &log));
+    let (code, report) = explain("calls", &(LOG.to_owned() + &log));
 
     let words = |line: &str| line.split_whitespace().collect::<Vec<&str>>().join(" ");
-    let lines: Vec<String> = told.lines().map(words).collect();
+    let lines: Vec<String> = report.lines().map(words).collect();
     assert_eq!(code, Some(0));
-    assert!(lines.contains(&"7 2 2 store, watch".to_owned()), "{told}");
-    assert!(lines.contains(&"9 0 1 store, renew".to_owned()), "{told}");
+    assert!(lines.contains(&"7 2 2 store, watch".to_owned()), "{report}");
+    assert!(lines.contains(&"9 0 1 store, renew".to_owned()), "{report}");
 }
 
 #[test]
 fn logs_without_requests_are_an_error() {
-    let (code, told) = explain("empty", "nothing\n");
+    let (code, report) = explain("empty", "nothing\n");
 
-    assert_eq!((code, told.as_str()), (Some(1), ""));
+    assert_eq!((code, report.as_str()), (Some(1), ""));
 }
--- a/crates/kumquatnotch-ctl/tests/story.rs
+++ b/crates/kumquatnotch-ctl/tests/story.rs
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn lines_of_a_request_are_told_in_order_with_what_was_believed_before() {
+fn lines_of_a_request_are_printed_in_order_with_earlier_state() {
     let folder = folder("told");
 
-    let (code, told) = story(&folder, &["id-1"]);
+    let (code, output_text) = story(&folder, &["id-1"]);
 
     std::fs::remove_dir_all(&folder).unwrap();
-    let lines: Vec<&str> = told.lines().collect();
+    let lines: Vec<&str> = output_text.lines().collect();
     assert_eq!(code, Some(0));
     assert_eq!(lines.len(), 3);
     assert!(lines[0].contains("n1 replica: suspected replica=i-9"));
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn a_request_that_no_line_tells_of_is_an_error() {
+fn unknown_request_is_an_error() {
     let folder = folder("unknown");
 
-    let (code, told) = story(&folder, &["id-7", "--beliefs", "0"]);
+    let (code, output_text) = story(&folder, &["id-7", "--beliefs", "0"]);
 
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!((code, told.as_str()), (Some(1), ""));
+    assert_eq!((code, output_text.as_str()), (Some(1), ""));
 }
