--- a/crates/kumquatnotch-config/src/check.rs
+++ b/crates/kumquatnotch-config/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks between the entries of a document.
+//! Validation of a document across its entries.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use crate::{fault::Fault, reader::Source};
 
-/// The length of a key's digest in hexadecimal.
+/// Length of a key's SHA-256 digest in hexadecimal, in characters.
 const DIGEST_HEX_LENGTH: usize = 64;
 
-/// Checks a document that was read from `sources`; reports every fault.
+/// Validates a document that was read from `sources` and returns every fault.
 pub fn check(document: &Document, sources: &[Source<'_>]) -> Vec<Fault> {
     let mut checker = Checker { sources, faults: Vec::new() };
     checker.check_targets(document);
@@ -32,7 +32,7 @@
                 self.report(&["targets", name, "centre"], &reason);
             }
             if target.shard.is_empty() {
-                self.report(&["targets", name, "shard"], "is empty");
+                self.report(&["targets", name, "shard"], "must not be empty");
             }
             if let Some(other) = addresses.insert(target.address, name) {
                 let reason = format!("target {other} has the same address");
@@ -48,7 +48,7 @@
             }
             for tenant in &selector.tenants {
                 if !document.rules.tenants.contains_key(tenant) {
-                    let reason = format!("there is no tenant {tenant}");
+                    let reason = format!("unknown tenant {tenant}");
                     self.report(&["selectors", name, "tenants"], &reason);
                 }
             }
@@ -61,11 +61,11 @@
             for key in &tenant.keys {
                 let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
                 if key.len() != DIGEST_HEX_LENGTH || !key.chars().all(hex) {
-                    let reason = "a key is its SHA-256 digest in 64 small hexadecimal digits";
+                    let reason = "expected the SHA-256 digest of a key in 64 lowercase hex digits";
                     self.report(&["tenants", name, "keys"], reason);
                     continue;
                 }
-                // One key for two tenants would show a tenant its rival's private data.
+                // A key shared by two tenants would expose one tenant's private data to the other.
                 if let Some(other) = keys.insert(key, name)
                     && other != name
                 {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Reports a fault at the source that has the path.
+    /// Records a fault against the source file that contains `path`.
     fn report(&mut self, path: &[&str], reason: &str) {
         let faults: Vec<Fault> =
             self.sources.iter().map(|source| source.fault(path, reason)).collect();
--- a/crates/kumquatnotch-config/src/diff.rs
+++ b/crates/kumquatnotch-config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two documents, for people to read.
+//! Human-readable differences between two documents.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,14 +8,14 @@
 use kumquatnotch_core::{document::Document, ids::TargetName};
 use serde::Serialize;
 
-/// One difference.
+/// An entry that was added, removed or changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The path of the entry, such as `targets.t1`.
     pub path: String,
-    /// What it was; `None` if it is new.
+    /// The old value as JSON; `None` if the entry was added.
     pub before: Option<String>,
-    /// What it is; `None` if it is gone.
+    /// The new value as JSON; `None` if the entry was removed.
     pub after: Option<String>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// The changes that lead from `before` to `after`, by path.
+/// Returns the changes from `before` to `after`, grouped by table.
 pub fn diff(before: &Document, after: &Document) -> Vec<Change> {
     let mut changes = Vec::new();
     let (old, new) = (&before.rules, &after.rules);
@@ -45,7 +45,7 @@
     changes
 }
 
-/// The changes as lines of text.
+/// Formats the changes as text, one per line.
 pub fn to_text(changes: &[Change]) -> String {
     let lines: Vec<String> = changes.iter().map(Change::to_string).collect();
     lines.join("\n")
--- a/crates/kumquatnotch-config/src/document_store.rs
+++ b/crates/kumquatnotch-config/src/document_store.rs
@@ -1,9 +1,9 @@
 //! Publishes documents through the platform's store.
 //!
-//! The head is the only value that changes, and it changes by compare-and-swap.
-//! Each write of it carries a number that its writer drew, so that a write
-//! whose reply was lost is resolved by writing the same again and reading: it
-//! is never guessed.
+//! The head is the only mutable value and is updated by compare-and-swap. Each
+//! write of the head carries a random number drawn by its writer. If the reply
+//! to a write is lost, the writer repeats the same write and reads the head, so
+//! that the outcome is always determined and never guessed.
 
 use std::{collections::hash_map::Entry, rc::Rc, time::Duration};
 
@@ -25,46 +25,46 @@
 
 use crate::diff::{diff, to_text};
 
-/// How often a call is tried before the fault is reported.
+/// Maximum number of attempts per call to the store.
 const ATTEMPT_LIMIT: usize = 8;
 
-/// How long to wait after the first failed try; it doubles with each.
+/// Backoff after the first failed attempt; it doubles with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The operators' side of the platform's store.
+/// Reads and publishes documents in the platform's store on behalf of operators.
 pub struct DocumentStore {
     store: Rc<dyn Store>,
     clock: Rc<dyn Clock>,
     random: Random,
 }
 
-/// A document with the head that it was read under.
+/// A document together with the head that it was read from.
 #[derive(Clone, Debug)]
 pub struct Current {
-    /// The head; `None` before the first document.
+    /// The head; `None` if no document was published yet.
     pub head: Option<Head>,
-    /// The revision of the head; zero before the first.
+    /// The store revision of the head; zero if there is none.
     pub revision: u64,
-    /// The document; empty before the first.
+    /// The document; empty if none was published yet.
     pub document: Document,
 }
 
-/// Who writes, and why.
+/// The author of a change and the reason for it.
 #[derive(Clone, Copy, Debug)]
 pub struct Authorship<'a> {
-    /// Who.
+    /// The name of the author.
     pub author: &'a str,
-    /// Why.
+    /// The reason for the change.
     pub note: &'a str,
 }
 
 impl DocumentStore {
-    /// The documents in `store`.
+    /// Creates a document store on top of `store`.
     pub fn new(store: Rc<dyn Store>, clock: Rc<dyn Clock>, random: Random) -> DocumentStore {
         DocumentStore { store, clock, random }
     }
 
-    /// Reads the head and its document.
+    /// Reads the head and the document that it refers to.
     pub async fn current(&self) -> Result<Current> {
         let Some((head, revision)) = self.head().await? else {
             return Ok(Current { head: None, revision: 0, document: Document::default() });
@@ -73,9 +73,10 @@
         Ok(Current { head: Some(head), revision, document })
     }
 
-    /// Puts `document` in force in place of `base`; returns its version.
+    /// Publishes `document` as the successor of `base` and returns its version.
     ///
-    /// [`Error::Conflict`] tells what another operator changed in between.
+    /// Fails with [`Error::Conflict`], which lists the intervening changes, if
+    /// another operator has published a document since `base` was read.
     pub async fn publish(
         &self,
         base: &Current,
@@ -88,17 +89,17 @@
             self.put_value(value).await?;
         }
         let version = self.put_head(base, stored.manifest, by).await?;
-        // A value that was there already, unused, may have been collected before
-        // the head pointed at it: nodes could then never put the version in
-        // force. Storing the values once more, now that they are in use, brings
-        // such a value back, and no collector deletes it any more.
+        // A value that already existed but was unreferenced may have been garbage
+        // collected before the head referred to it, and nodes could then never put
+        // the version in force. Storing the values again restores such a value. As
+        // the head now refers to them, no collector deletes them any more.
         for value in &new {
             self.put_value(value).await?;
         }
         Ok(version)
     }
 
-    /// Puts an earlier version in force again, as a new version.
+    /// Publishes the document of an earlier version again, as a new version.
     pub async fn roll_back(
         &self,
         base: &Current,
@@ -109,14 +110,15 @@
         let Some(past) = past.into_iter().find(|past| past.version == version) else {
             return Err(Error::VersionUnknown { version: version.0 });
         };
-        // The values must still be there before the head points at them again.
+        // The values must still exist before the head refers to them again.
         self.load(version, past.manifest).await?;
         self.put_head(base, past.manifest, by).await
     }
 
-    /// Changes the document by `change`, again on top of every change in between.
+    /// Applies `change` to the current document and publishes the result.
     ///
-    /// This suits changes that mean the same on any document, such as a drain.
+    /// On a conflict, `change` is applied again to the newer document. It must
+    /// therefore be valid on any version of the document, such as a drain.
     pub async fn amend(
         &self,
         change: impl Fn(&mut Document) -> Result<()>,
@@ -135,13 +137,15 @@
         result
     }
 
-    /// Deletes stored values that no kept version refers to; returns how many.
+    /// Deletes stored values that no kept version refers to, and returns their number.
     ///
-    /// `grace` is waited between looking and deleting, and the head is read after
-    /// it: a writer stores its values before its head, and a collector that did
-    /// not wait would delete them in between.
+    /// A writer stores its values before the head that refers to them. The
+    /// collector therefore waits for `grace` after listing the values and only
+    /// then reads the head. Without this wait it would delete the values of a
+    /// publication in progress.
     pub async fn collect(&self, grace: Duration) -> Result<usize> {
-        // The store has no call for keys alone; an operator collects now and then.
+        // The store cannot list keys without their values. The cost is acceptable,
+        // because operators run the collection rarely.
         let stored = self.store.scan(stored::VALUE_PREFIX).await?;
         sleep(&*self.clock, grace).await;
         let used = self.used_keys().await?;
@@ -153,7 +157,7 @@
         Ok(count)
     }
 
-    /// Reads the document of a manifest.
+    /// Reads the document that `manifest` describes.
     pub async fn load(&self, version: ConfigVersion, manifest: Digest) -> Result<Document> {
         let manifest: Manifest = codec::decode(&self.value(manifest).await?)?;
         let mut values: HashMap<Digest, Vec<u8>> = HashMap::default();
@@ -165,7 +169,7 @@
         stored::join(version, &manifest, |digest| values.get(&digest).map(Vec::as_slice))
     }
 
-    /// Reads the head with its revision.
+    /// Reads the head and its store revision.
     pub async fn head(&self) -> Result<Option<(Head, u64)>> {
         match self.get(HEAD_KEY).await? {
             Some(entry) => Ok(Some((codec::decode(&entry.value)?, entry.revision))),
@@ -209,11 +213,11 @@
         self.store.read(key).await
     }
 
-    /// Stores a value under its digest; to store it twice does no harm.
+    /// Stores a value under its digest; this is idempotent.
     async fn put_value(&self, value: &StoredValue) -> Result<()> {
         let key = value_key(value.digest);
         match self.put(&key, &value.value, 0).await {
-            // It is there already, by an earlier version or a try of ours.
+            // The value exists already, from an earlier version or an earlier attempt.
             Ok(_) | Err(Error::CompareFailed) => Ok(()),
             Err(error) => Err(error),
         }
@@ -228,8 +232,8 @@
         let head = self.next_head(base, manifest, by);
         match self.put(HEAD_KEY, &codec::encode(&head)?, base.revision).await {
             Ok(_) => Ok(head.version),
-            // Either another operator was first, or a try of ours took effect
-            // and its reply was lost. The number in the head tells which.
+            // Either another operator was first, or an earlier attempt took effect
+            // and its reply was lost. The write number in the head distinguishes them.
             Err(Error::CompareFailed) => self.resolve_head_write(base, &head).await,
             Err(error) => Err(error),
         }
@@ -270,11 +274,11 @@
         }
     }
 
-    /// Writes a key, and writes the same again while the outcome is unknown.
+    /// Writes a key, repeating the same write while the outcome is unknown.
     ///
-    /// A write whose reply was lost may also take effect later. Writing the same
-    /// again under the same expectation settles it: one of the two takes effect,
-    /// and the other finds another revision.
+    /// A write whose reply was lost may still take effect later. Repeating it with
+    /// the same expected revision is safe: only one of the two takes effect, and
+    /// the other one fails the comparison.
     async fn put(&self, key: &str, value: &[u8], expect: u64) -> Result<u64> {
         let write = StoreWrite::put(key, value, expect);
         let mut backoff = INITIAL_BACKOFF;
@@ -292,7 +296,7 @@
     }
 }
 
-/// The values of `stored` that the document in force does not use.
+/// Returns the values of `stored` that the document of `base` does not contain.
 fn new_values<'a>(base: &Current, stored: &'a StoredDocument) -> Result<Vec<&'a StoredValue>> {
     if base.head.is_none() {
         return Ok(stored.values.iter().collect());
@@ -302,15 +306,15 @@
     Ok(stored.values.iter().filter(|value| !is_used(value.digest)).collect())
 }
 
-/// Whether `ours` took effect, by the head that is there now.
+/// Returns true if the write of `ours` took effect: `now` or its history contains it.
 fn contains_write(now: &Head, ours: &Head) -> bool {
     now.write == ours.write || now.history.iter().any(|past| past.write == ours.write)
 }
 
-/// Orders a target to take no new work, or takes that back.
+/// Starts or ends the drain of a target; a draining target takes no new work.
 pub fn set_drain(document: &mut Document, name: &TargetName, drain: bool) -> Result<()> {
     let Some(target) = document.targets.get_mut(name) else {
-        let detail = format!("there is no target {name}");
+        let detail = format!("unknown target {name}");
         return Err(Error::BadDocument { detail });
     };
     target.drain = drain;
@@ -322,7 +326,7 @@
     Ok(())
 }
 
-/// Carries the drains made by command over to a document read from files.
+/// Copies the drains set by command from `current` to a document read from files.
 pub fn keep_drains(document: &mut Document, current: &Document) {
     for name in &current.rules.drained {
         if let Some(target) = document.targets.get_mut(name) {
--- a/crates/kumquatnotch-config/src/fault.rs
+++ b/crates/kumquatnotch-config/src/fault.rs
@@ -1,19 +1,19 @@
-//! Faults in files, with their place.
+//! Faults found in a file, with their location.
 
 use std::fmt;
 
 use kumquatnotch_core::Error;
 
-/// One fault in a file.
+/// A fault found in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// The line, counted from one; `None` if the fault has no place.
+    /// The line number, starting at one; `None` if the fault has no location.
     pub line: Option<usize>,
     /// The path of the value, such as `listen.entry`.
     pub path: String,
-    /// What is wrong with it.
+    /// The description of the fault.
     pub reason: String,
 }
 
@@ -30,12 +30,12 @@
     }
 }
 
-/// Faults of settings as one numbered error.
+/// Combines the faults of a settings file into one error.
 pub fn bad_settings(faults: &[Fault]) -> Error {
     Error::BadSettings { detail: join(faults) }
 }
 
-/// Faults of a document as one numbered error.
+/// Combines the faults of a document into one error.
 pub fn bad_document(faults: &[Fault]) -> Error {
     Error::BadDocument { detail: join(faults) }
 }
--- a/crates/kumquatnotch-config/src/files.rs
+++ b/crates/kumquatnotch-config/src/files.rs
@@ -1,7 +1,7 @@
-//! The operators' document as TOML files under version control.
+//! Reads the operators' document from TOML files, usually kept in version control.
 //!
-//! A document is one file or a folder of files that are merged by table; the
-//! same entry in two files is a fault.
+//! A document is a single file, or a folder of files that are merged table by
+//! table. An entry that is defined in two files is a fault.
 
 use std::{collections::BTreeMap, fs, path::Path};
 
@@ -18,7 +18,7 @@
     reader::Source,
 };
 
-/// What one file may hold.
+/// The tables that a file may contain.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct FileBody {
@@ -28,22 +28,22 @@
     targets: BTreeMap<TargetName, TargetSpec>,
 }
 
-/// A file's name and text.
+/// The name and contents of a file.
 #[derive(Clone, Debug)]
 pub struct FileText {
-    /// The name, for faults.
+    /// The name, as reported in faults.
     pub name: String,
-    /// The text.
+    /// The contents.
     pub text: String,
 }
 
-/// Reads and checks the document in a file or in the `.toml` files of a folder.
+/// Loads and validates the document from a file or from the `.toml` files of a folder.
 pub fn load(path: &Path) -> Result<Document> {
     let files = read_files(path)?;
     parse(&files).map_err(|faults| bad_document(&faults))
 }
 
-/// Reads and checks the document in `files`; every fault is reported.
+/// Parses and validates the document in `files`; on failure, returns every fault.
 pub fn parse(files: &[FileText]) -> Result<Document, Vec<Fault>> {
     let mut document = Document::default();
     let mut faults = Vec::new();
@@ -61,7 +61,7 @@
         merge(&mut document, body.unwrap_or_default(), &source, &mut faults);
         sources.push(source);
     }
-    // Checks between entries would report more than is wrong while some can't be read.
+    // Validation across entries would report spurious faults while some entries are unreadable.
     if faults.is_empty() {
         faults = check::check(&document, &sources);
     }
@@ -87,14 +87,14 @@
     for (name, value) in from {
         if into.contains_key(&name) {
             let path = [table, name.as_ref_str()];
-            faults.push(source.fault(&path, "stands in another file already"));
+            faults.push(source.fault(&path, "already defined in another file"));
             continue;
         }
         into.insert(name, value);
     }
 }
 
-/// Names that can be shown in a path.
+/// Names that can be used as a segment of a path.
 trait AsRefStr {
     fn as_ref_str(&self) -> &str;
 }
--- a/crates/kumquatnotch-config/src/lib.rs
+++ b/crates/kumquatnotch-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings of nodes and documents of operators.
+//! The settings of nodes and the documents of operators.
 //!
-//! Both are TOML and are checked in full: a reader reports every fault with its
-//! path, line and reason at once. Documents are published to the platform's
-//! service by compare-and-swap.
+//! Both are written in TOML. The reader does not stop at the first fault: it
+//! reports all of them, each with its path, line and reason. Documents are
+//! published to the platform's store by compare-and-swap.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatnotch-config/src/reader.rs
+++ b/crates/kumquatnotch-config/src/reader.rs
@@ -1,8 +1,9 @@
-//! Reads TOML into a type and reports every fault at once.
+//! Deserializes TOML and reports every fault at once.
 //!
-//! `serde` stops at the first fault. Here the value at fault is taken out and
-//! the rest is read again, until nothing is wrong or too much is. A table that
-//! lacks a field is taken out whole.
+//! `serde` stops at the first fault. The reader therefore removes the faulty
+//! value and deserializes the rest again, until no fault is left or the limit
+//! on reported faults is reached. A table with a missing field is removed as a
+//! whole.
 
 use serde::de::DeserializeOwned;
 use serde_path_to_error::Segment;
@@ -13,10 +14,10 @@
 
 use crate::fault::Fault;
 
-/// The most faults reported for one file.
+/// Maximum number of faults reported per file.
 const FAULT_LIMIT: usize = 100;
 
-/// A file that was read, for finding the lines of its values.
+/// A parsed file, which maps the paths of its values to line numbers.
 pub struct Source<'a> {
     file: &'a str,
     text: &'a str,
@@ -24,7 +25,7 @@
 }
 
 impl<'a> Source<'a> {
-    /// Reads the syntax of `text`; `file` names it in faults.
+    /// Parses `text`; `file` is the name reported in faults.
     pub fn parse(file: &'a str, text: &'a str) -> Result<Source<'a>, Vec<Fault>> {
         let (tree, errors) = DeTable::parse_recoverable(text);
         if errors.is_empty() {
@@ -39,9 +40,10 @@
         Err(errors.iter().take(FAULT_LIMIT).map(fault).collect())
     }
 
-    /// Reads the values into a type, and reports every fault.
+    /// Deserializes the file into `T` and returns every fault.
     ///
-    /// The type is `None` if even the rest without the faults can't be read.
+    /// The value is `None` if deserialization fails even without the faulty
+    /// values.
     pub fn read<T: DeserializeOwned>(&self) -> (Option<T>, Vec<Fault>) {
         let mut faults = Vec::new();
         let mut rest: Value = match toml::from_str(self.text) {
@@ -65,7 +67,7 @@
         (None, faults)
     }
 
-    /// Whether a field is missing only because its faulty value was taken out.
+    /// Returns true if `reason` is a missing field whose faulty value was removed before.
     fn is_reported(&self, faults: &[Fault], path: &[&str], reason: &str) -> bool {
         let Some(field) = quoted_after("missing field `", reason) else {
             return false;
@@ -74,7 +76,7 @@
         faults.iter().any(|fault| fault.path == path)
     }
 
-    /// A fault of the value at `path`.
+    /// Creates a fault for the value at `path`.
     pub fn fault(&self, path: &[&str], reason: &str) -> Fault {
         Fault {
             file: self.file.to_owned(),
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The line of the value at `path`, or of the deepest table on the way.
+    /// Returns the line of the value at `path`, or of its closest existing ancestor.
     fn line(&self, path: &[&str]) -> Option<usize> {
         let mut table = self.tree.get_ref();
         let mut line = None;
@@ -102,7 +104,7 @@
     }
 }
 
-/// The path of the value at fault.
+/// Returns the path of the faulty value.
 fn path_of<'p>(path: &'p serde_path_to_error::Path, reason: &'p str) -> Vec<&'p str> {
     let mut names: Vec<&str> = path
         .iter()
@@ -111,7 +113,7 @@
             _ => None,
         })
         .collect();
-    // The path of an unknown field ends at its table; the field stands in the reason.
+    // The path of an unknown field ends at its table; only the reason names the field.
     if let Some(field) = quoted_after("unknown field `", reason)
         && names.last() != Some(&field)
     {
@@ -120,12 +122,12 @@
     names
 }
 
-/// The name in backquotes after `prefix`.
+/// Returns the text between `prefix`, which ends with a backquote, and the next backquote.
 fn quoted_after<'r>(prefix: &str, reason: &'r str) -> Option<&'r str> {
     reason.strip_prefix(prefix)?.split('`').next()
 }
 
-/// Takes the value at `path` out of `value`; false if there is none.
+/// Removes the value at `path` from `value`; returns false if it does not exist.
 fn remove(value: &mut Value, path: &[&str]) -> bool {
     let Some((last, parents)) = path.split_last() else {
         return false;
--- a/crates/kumquatnotch-config/src/settings.rs
+++ b/crates/kumquatnotch-config/src/settings.rs
@@ -1,7 +1,8 @@
 //! The settings of a node.
 //!
-//! A node learns its addresses and data centre from this file. Everything that
-//! operators change while nodes run stands in the document instead.
+//! The settings file defines the identity, addresses and limits of a node and is
+//! read once at startup. Everything that operators change while nodes are running
+//! belongs to the document instead.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -18,63 +19,63 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Who the node is.
+    /// Identity of the node.
     #[garde(dive)]
     pub node: NodeSettings,
-    /// Where it listens.
+    /// Listen addresses.
     #[garde(skip)]
     pub listen: ListenSettings,
-    /// Where others reach it, if that differs from where it listens.
+    /// Addresses given to callers and peers, if they differ from the listen addresses.
     #[garde(skip)]
     pub advertise: AdvertiseSettings,
-    /// The platform's service.
+    /// Connection to the platform's store.
     #[garde(dive)]
     pub platform: PlatformSettings,
-    /// How it finds the other nodes.
+    /// Discovery of the other nodes.
     #[garde(skip)]
     pub join: JoinSettings,
-    /// Bounds.
+    /// Resource limits.
     #[garde(dive)]
     pub limits: LimitSettings,
-    /// How groups of shards are held.
+    /// Groups of shards and their holders.
     #[garde(dive)]
     pub groups: GroupSettings,
-    /// Entry advice.
+    /// Entry advice given to callers.
     #[garde(dive)]
     pub advice: AdviceSettings,
-    /// Budgets and safeguards.
+    /// Budgets for hedges and retries, and safeguards against overload.
     #[garde(dive)]
     pub decisions: DecisionSettings,
-    /// Logs.
+    /// Logging.
     #[garde(skip)]
     pub log: LogSettings,
-    /// The seed of the generator; drawn at the start if absent.
+    /// Seed of the random number generator; drawn from the system if absent.
     #[garde(skip)]
     pub seed: Option<u64>,
 }
 
-/// Who the node is.
+/// The identity of the node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Its name, unlike that of every other node.
+    /// Name, unique among all nodes.
     #[garde(custom(valid_name))]
     pub name: String,
-    /// Its data centre.
+    /// Data centre.
     #[garde(custom(valid_name))]
     pub centre: String,
-    /// Its region.
+    /// Region.
     #[garde(custom(valid_name))]
     pub region: String,
 }
 
-/// Where the node listens; port 0 lets the system choose.
+/// The listen addresses; port 0 lets the system choose a free port.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers and operators.
+    /// Address for callers and operators.
     pub entry: SocketAddr,
-    /// For other nodes.
+    /// Address for other nodes.
     pub peer: SocketAddr,
 }
 
@@ -85,24 +86,24 @@
     }
 }
 
-/// Where others reach the node.
+/// The addresses given to callers and peers; the listen addresses if absent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdvertiseSettings {
-    /// For callers.
+    /// Address for callers.
     pub entry: Option<SocketAddr>,
-    /// For other nodes.
+    /// Address for other nodes.
     pub peer: Option<SocketAddr>,
 }
 
-/// The platform's service.
+/// The connection to the platform's store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Its address.
+    /// Address of the store.
     #[garde(custom(has_port))]
     pub address: SocketAddr,
-    /// How long one call may take.
+    /// Timeout of a single call.
     #[serde(with = "humantime_serde")]
     #[garde(custom(bounded_duration))]
     pub timeout: Duration,
@@ -115,31 +116,31 @@
     }
 }
 
-/// How the node finds the others.
+/// Discovery of the other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct JoinSettings {
-    /// Peer addresses to try besides the platform's list of VMs.
+    /// Peer addresses to contact in addition to the platform's list of VMs.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Bounds.
+/// Resource limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// The largest body taken from a caller, in bytes.
+    /// Maximum size of a request body from a caller, in bytes.
     #[garde(range(min = 1_024, max = 16 << 20))]
     pub body: u64,
-    /// The most connections open to one target.
+    /// Maximum number of connections to one target.
     #[garde(range(min = 1, max = 1_000))]
     pub connections: usize,
-    /// The most connections taken from callers.
+    /// Maximum number of connections accepted from callers.
     #[garde(range(min = 1, max = 15_000))]
     pub callers: usize,
-    /// The most requests in work at once.
+    /// Maximum number of concurrent requests.
     #[garde(range(min = 1, max = 100_000))]
     pub requests: usize,
-    /// The longest time a graceful shutdown waits for requests to end.
+    /// Maximum time that a graceful shutdown waits for requests in flight.
     #[serde(with = "humantime_serde")]
     #[garde(custom(bounded_duration))]
     pub shutdown: Duration,
@@ -157,14 +158,14 @@
     }
 }
 
-/// How groups of shards are held.
+/// Groups of shards and their holders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct GroupSettings {
-    /// How many nodes of a region hold each group.
+    /// Number of holders per group and region.
     #[garde(range(min = 1, max = 64))]
     pub holders: usize,
-    /// How many shards make up a group.
+    /// Number of shards per group.
     #[garde(range(min = 1, max = 1_000))]
     pub shards: usize,
 }
@@ -175,15 +176,15 @@
     }
 }
 
-/// Entry advice.
+/// Entry advice: the node addresses that are given to callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdviceSettings {
-    /// How long callers may keep the addresses they were given.
+    /// Time for which callers may use the addresses that they were given.
     #[serde(with = "humantime_serde")]
     #[garde(custom(bounded_duration))]
     pub valid: Duration,
-    /// How long the news that a node leaves may take to reach every other node.
+    /// Maximum time until every other node knows that a node is leaving.
     #[serde(with = "humantime_serde")]
     #[garde(custom(bounded_duration))]
     pub spread: Duration,
@@ -195,23 +196,23 @@
     }
 }
 
-/// Budgets and safeguards of the decisions.
+/// Budgets for hedges and retries, and safeguards against overload.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct DecisionSettings {
-    /// Second copies of late calls allowed for each call to a target.
+    /// Hedged calls allowed per call to a target.
     #[garde(range(min = 0.0, max = 0.5))]
     pub hedges: f64,
-    /// Repeated attempts allowed for each call to a target.
+    /// Retries allowed per call to a target.
     #[garde(range(min = 0.0, max = 1.0))]
     pub retries: f64,
-    /// Second copies allowed for each request to a holder.
+    /// Hedged requests allowed per request to a holder.
     #[garde(range(min = 0.0, max = 0.5))]
     pub group_hedges: f64,
-    /// Whether a request that was not seen before goes to one shard first.
+    /// Whether a request that was not seen before is sent to a single shard first.
     #[garde(skip)]
     pub canary: bool,
-    /// Whether requests are refused early when demand is over capacity.
+    /// Whether admission control refuses requests early when demand exceeds capacity.
     #[garde(skip)]
     pub admission: bool,
 }
@@ -228,29 +229,29 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// The format.
+    /// Output format.
     pub format: LogFormat,
-    /// The lowest level, or a filter such as `info,kumquatnotch_member=debug`.
+    /// Minimum level, or a filter such as `info,kumquatnotch_member=debug`.
     pub filter: Option<String>,
 }
 
-/// The format of logs.
+/// The output format of logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Lines of text.
+    /// Plain text, one line per event.
     #[default]
     Text,
-    /// A JSON object a line.
+    /// JSON, one object per line.
     Json,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Loads and validates a settings file.
     pub fn load(path: &Path) -> Result<Settings> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -258,7 +259,7 @@
         Settings::parse(&file, &text).map_err(|faults| bad_settings(&faults))
     }
 
-    /// Reads and checks settings; every fault is reported.
+    /// Parses and validates settings; on failure, returns every fault.
     pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<Fault>> {
         let source = Source::parse(file, text)?;
         let (settings, mut faults) = source.read::<Settings>();
@@ -266,7 +267,7 @@
         if let Err(report) = settings.validate() {
             for (path, error) in report.iter() {
                 let path = path.to_string();
-                // A value that can't be read stands at its default here.
+                // An unreadable value was replaced by its default, which is not at fault.
                 if faults.iter().any(|fault| fault.path == path) {
                     continue;
                 }
@@ -278,18 +279,18 @@
         if faults.is_empty() { Ok(settings) } else { Err(faults) }
     }
 
-    /// The address that callers are given.
+    /// Returns the address that is given to callers, `bound` unless one is advertised.
     pub fn entry_address(&self, bound: SocketAddr) -> SocketAddr {
         self.advertise.entry.unwrap_or(bound)
     }
 
-    /// The address that peers are given.
+    /// Returns the address that is given to peers, `bound` unless one is advertised.
     pub fn peer_address(&self, bound: SocketAddr) -> SocketAddr {
         self.advertise.peer.unwrap_or(bound)
     }
 }
 
-/// The longest time a setting may name.
+/// Upper bound of every duration in the settings.
 const MAX_DURATION: Duration = Duration::from_secs(600);
 
 fn valid_name(name: &str, (): &()) -> garde::Result {
@@ -305,7 +306,7 @@
 
 fn has_port(address: &SocketAddr, (): &()) -> garde::Result {
     if address.port() == 0 {
-        return Err(garde::Error::new("an address with a port is needed"));
+        return Err(garde::Error::new("must have a port other than 0"));
     }
     Ok(())
 }
--- a/crates/kumquatnotch-config/tests/document_store.rs
+++ b/crates/kumquatnotch-config/tests/document_store.rs
@@ -1,4 +1,4 @@
-//! Tests of publishing documents under races and lost replies.
+//! Tests of publishing documents with concurrent writers and lost replies.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,7 +22,7 @@
 
 const BY: Authorship<'_> = Authorship { author: "huda", note: "test" };
 
-/// A store in memory that can lose replies of writes.
+/// An in-memory store that can lose writes, or replies to writes of the head.
 #[derive(Default)]
 struct FakeStore {
     items: RefCell<BTreeMap<String, StoreItem>>,
@@ -67,7 +67,7 @@
         _: u64,
         _: Duration,
     ) -> LocalFuture<'a, Result<StoreChanges>> {
-        Box::pin(async { Err(Error::internal("operators watch nothing")) })
+        Box::pin(async { Err(Error::internal("unexpected watch")) })
     }
 
     fn write<'a>(&'a self, write: &'a StoreWrite) -> LocalFuture<'a, Result<u64>> {
@@ -87,11 +87,11 @@
     }
 
     fn grant(&self, _: Duration) -> LocalFuture<'_, Result<StoreLease>> {
-        Box::pin(async { Err(Error::internal("operators ask for no lease")) })
+        Box::pin(async { Err(Error::internal("unexpected grant of a lease")) })
     }
 
     fn renew(&self, _: u64) -> LocalFuture<'_, Result<()>> {
-        Box::pin(async { Err(Error::internal("operators renew no lease")) })
+        Box::pin(async { Err(Error::internal("unexpected renewal of a lease")) })
     }
 }
 
@@ -150,9 +150,9 @@
 
 #[test]
 fn racing_publish_reports_a_conflict() {
-    // Two operators read version 1. One adds a target, then the other does.
-    // The second must not undo the first unseen: it gets a conflict that says
-    // what was changed in between.
+    // Two operators read version 1, and each publishes a change of it. The second
+    // publication must not silently undo the first: it fails with a conflict that
+    // lists the intervening change.
     let fixture = Fixture::new();
     fixture.publish(&fixture.current(), &document(1)).unwrap();
     let base = fixture.current();
@@ -171,9 +171,9 @@
 
 #[test]
 fn lost_reply_of_a_head_write_is_resolved() {
-    // The head is written, its reply is lost, and the same write tried again
-    // finds another revision. Taken as a conflict, an operator would be told of
-    // a rival that does not exist and write the change twice.
+    // The head is written and the reply lost, so that the repeated write finds
+    // another revision. If this were taken for a conflict, an operator would see
+    // a rival that does not exist and apply the change twice.
     let fixture = Fixture::new();
     let base = fixture.current();
     fixture.platform.lost_replies.set(1);
@@ -186,9 +186,9 @@
 
 #[test]
 fn lost_reply_is_resolved_after_a_concurrent_publish() {
-    // Our head is written and its reply lost; before our next try, a rival
-    // publishes on top of it. Our write did take effect, so it must not be
-    // reported as a conflict, or the operator would apply it again.
+    // Our head is written and the reply lost, and a rival publishes on top of it
+    // before our next attempt. Our write took effect. If it were reported as a
+    // conflict, the operator would apply the change again.
     let fixture = Fixture::new();
     fixture.publish(&fixture.current(), &document(1)).unwrap();
     let base = fixture.current();
@@ -267,9 +267,9 @@
 
 #[test]
 fn drain_by_command_survives_the_next_apply() {
-    // An operator drains a target by command. Another then applies files that
-    // never mentioned it. Without the carried drain the target would take new
-    // work again while it is being taken apart.
+    // An operator drains a target by command, and another then applies files that
+    // do not mention the drain. If it were not carried over, the target would
+    // take new work again while it is being decommissioned.
     let fixture = Fixture::new();
     fixture.publish(&fixture.current(), &document(2)).unwrap();
     let drained = TargetName::from("t1");
--- a/crates/kumquatnotch-config/tests/settings.rs
+++ b/crates/kumquatnotch-config/tests/settings.rs
@@ -56,8 +56,8 @@
 
 #[test]
 fn every_fault_is_reported_with_path_line_and_reason() {
-    // An operator starts a node whose file has five faults of four kinds.
-    // Were only the first told, five starts would be needed to mend it.
+    // The file has five faults of four kinds. If only the first were reported,
+    // an operator would need five starts of the node to find them all.
     let text = r#"
 [node]
 name = "n 1"
@@ -124,11 +124,11 @@
 
 #[parameterized(
     unknown_tenant = { "tenants = [\"petra\"]", "tenants = [\"rum\"]",
-        "doc.toml:8: selectors.desk.tenants: there is no tenant rum" },
+        "doc.toml:8: selectors.desk.tenants: unknown tenant rum" },
     unknown_centre = { "centre = \"amman\"", "centre = \"aqaba\"",
         "doc.toml:15: targets.t1.centre: data centre aqaba has no region" },
     broken_key = { "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef", "secret",
-        "doc.toml:11: tenants.petra.keys: a key is its SHA-256 digest" },
+        "doc.toml:11: tenants.petra.keys: expected the SHA-256 digest of a key" },
     bad_expression = { "role = desk\"", "role = \"", "doc.toml:6: selectors.desk.targets: " },
     odd_label = { "labels =", "labls =", "doc.toml:17: targets.t1.labls: unknown field" },
     no_shard = { "shard = \"s1\"\n", "", "doc.toml:13: targets.t1: missing field `shard`" },
@@ -144,8 +144,8 @@
 
 #[test]
 fn key_shared_by_two_tenants_is_refused() {
-    // A key that stands under two tenants would let the callers of one in as
-    // the other, who would then see the rival's private rates.
+    // With a key listed under two tenants, callers of one would be authorised as
+    // the other and see the private rates of a competitor.
     let rival = "\n[tenants.rum]\nkeys = [\"KEY\"]\n";
     let key = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
     let text = GOOD_DOCUMENT.to_owned() + &rival.replace("KEY", key);
@@ -160,5 +160,5 @@
     let faults = files::parse(&[file(GOOD_DOCUMENT), file("[regions]\namman = \"x\"\n")]);
 
     let text = lines(&faults.unwrap_err()).join("\n");
-    assert_eq!(text, "doc.toml:2: regions.amman: stands in another file already");
+    assert_eq!(text, "doc.toml:2: regions.amman: already defined in another file");
 }
