--- a/crates/kumquatnotch/src/lib.rs
+++ b/crates/kumquatnotch/src/lib.rs
@@ -1,7 +1,7 @@
 //! The kumquatnotch query tier as a library.
 //!
-//! The crates of the tier stand here under their short names, and [`Node`]
-//! puts them together as the daemon runs them.
+//! This crate re-exports the crates of the tier under short names. [`Node`]
+//! assembles them into a node, as run by the daemon.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatnotch/src/node.rs
+++ b/crates/kumquatnotch/src/node.rs
@@ -1,5 +1,5 @@
-//! A node: every service, registered by its name, and the order in which they
-//! start and end.
+//! A node: creates every service, registers it under its name, and starts and
+//! stops the services in order.
 
 use std::{
     rc::Rc,
@@ -36,55 +36,55 @@
 
 use crate::operator::NodeOperator;
 
-/// How long a reply with advice is on its way to its caller, at most.
+/// Upper bound on the transit time of a reply that carries advice.
 ///
-/// A caller takes its advice to lapse from when the reply came, which is a way
-/// of at most 20 ms later than when it was given.
+/// A caller counts the validity of its advice from the arrival of the reply,
+/// which is up to 20 ms after the node has sent it.
 const MAX_REPLY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long the news that a node has gone takes to reach the others.
+/// Time for the news that a node has gone to spread to the other nodes.
 const DEPARTURE_SPREAD_TIME: Duration = Duration::from_secs(1);
 
-/// How often a node looks whether another process took its place.
+/// Interval of the check for another process with the name or address of this node.
 const SUPERSEDED_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The largest message between nodes, in bytes.
+/// Maximum size of a message between nodes, in bytes.
 const PEER_BODY_LIMIT: usize = 16 << 20;
 
-/// The most connections that a node takes from others.
+/// Maximum number of connections accepted from other nodes.
 const PEER_CONNECTION_LIMIT: usize = 16_000;
 
 /// Options of a [`Node`].
 pub struct NodeOptions {
-    /// The settings.
+    /// The settings of the node.
     pub settings: Settings,
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Renders the metrics of the process in Prometheus' text form.
+    /// Renders the metrics of the process in the Prometheus text format.
     pub metrics: Box<dyn Fn() -> String>,
 }
 
 impl NodeOptions {
-    /// Options without metrics.
+    /// Creates options without metrics.
     pub fn new(settings: Settings, store: Rc<dyn Store>) -> NodeOptions {
         NodeOptions { settings, store, metrics: Box::new(String::new) }
     }
 }
 
-/// How a node ended.
+/// The outcome of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shutdown {
-    /// Every request in flight ended.
+    /// All requests in flight were completed.
     Clean,
-    /// Some had not when the time for the shutdown was over.
+    /// Some requests were still in flight when the time for the shutdown had run out.
     TimedOut,
-    /// It left as another process has its name or address, and must be started again.
+    /// The node left because another process has its name or address; it must be restarted.
     Superseded,
 }
 
-/// A node of the tier.
+/// A node of the query tier.
 pub struct Node {
-    /// The services, by name.
+    /// The services by name.
     pub registry: Registry,
     settings: Settings,
     clock: Rc<dyn Clock>,
@@ -98,9 +98,9 @@
 }
 
 impl Node {
-    /// Listens, and puts every service together; none of them runs yet.
+    /// Opens the listening sockets and creates every service without starting it.
     ///
-    /// This must run inside a runtime.
+    /// Must be called inside a runtime.
     pub fn try_new(options: NodeOptions) -> Result<Node> {
         let NodeOptions { settings, store, metrics } = options;
         let registry = Registry::default();
@@ -110,7 +110,7 @@
         registry.register(services::RANDOM, random_generator(&settings));
         registry.register(services::LIFECYCLE, lifecycle.clone());
 
-        // The way out.
+        // Outbound connections and the store.
         TargetLinks::try_new(target_options(&settings), &registry)?;
         PeerLinks::try_new(
             PeerLinkOptions { body: PEER_BODY_LIMIT, ..Default::default() },
@@ -118,13 +118,13 @@
         )?;
         registry.register(services::STORE, store);
 
-        // The way in, which comes first because membership tells its addresses.
+        // Servers, created before the membership, which announces their addresses.
         let route = Rc::new(EntryRoute::new(registry.clone(), settings.limits.requests));
         let entry = Server::try_new(entry_options(&settings), clock.clone(), route)?;
         let route = Rc::new(PeerRoute::new(registry.clone()));
         let peer = Server::try_new(peer_options(&settings), clock.clone(), route)?;
 
-        // What runs in between, each after those that it looks up.
+        // Services, each created after those that it looks up in the registry.
         let options = member_options(&settings, &entry, &peer);
         let members = MembershipService::try_new(options, &registry)?;
         let config = ConfigService::try_new(ConfigOptions::default(), &registry)?;
@@ -148,7 +148,7 @@
         })
     }
 
-    /// The servers for callers and for peers.
+    /// Returns the servers for callers and for peers.
     pub fn servers(&self) -> (&Server, &Server) {
         (&self.entry, &self.peer)
     }
@@ -161,25 +161,26 @@
         self.front.start();
     }
 
-    /// Runs until it is to end, then leaves gracefully.
+    /// Starts the node, runs it until [`Node::wait`] returns, and then leaves gracefully.
     pub async fn run(&self, stop: LocalFuture<'_, ()>) -> Shutdown {
         self.start();
         self.wait(stop).await;
         self.leave().await
     }
 
-    /// Waits until `stop` completes or another process has taken this node's place.
+    /// Waits until `stop` completes or another process has superseded this node.
     ///
-    /// The others know only the later life of a name or an address, so this one
-    /// would be sent neither news nor work, would get no part of the readings of
-    /// the platform, and couldn't be seen: callers that still have its address
-    /// would be served from a configuration that nobody asks it about. It can't
-    /// take another number, as tickets carry the one that it has. So it ends, and
-    /// a new process draws a number above both.
+    /// Other nodes know only the latest incarnation of a name or address. A
+    /// superseded node therefore receives neither updates nor work, has no share
+    /// in reading the platform's store, and is invisible to operators, while
+    /// callers that still have its address would be served from a configuration
+    /// that nobody checks. It cannot take a new incarnation, because tickets
+    /// carry the present one. It therefore ends, and the process that is started
+    /// in its place draws an incarnation above both.
     pub async fn wait(&self, stop: LocalFuture<'_, ()>) {
         let superseded = std::pin::pin!(self.wait_until_superseded());
         if let Either::Right(_) = select(stop, superseded).await {
-            tracing::warn!("node: another process has this name or address, so it ends");
+            tracing::warn!("node: another process has this name or address, leaving");
         }
     }
 
@@ -189,36 +190,40 @@
         }
     }
 
-    /// Leaves gracefully: no request in flight is cut while time is left.
+    /// Leaves gracefully: requests in flight are completed unless the time runs out.
     ///
-    /// Also a node that was outlived may serve meanwhile: a ticket names the life
-    /// that issued it, so the later process never runs what this one may have run,
-    /// and whoever passes a ticket on to the later one is told that the outcome is
-    /// unknown. Searches change nothing, and their document is asked for on.
+    /// A superseded node may continue to serve while it leaves. A ticket names the
+    /// incarnation that issued it, so the later process never runs a request that
+    /// this one may have run, and a node that forwards such a ticket to the later
+    /// process is told that the outcome is unknown. Searches have no side effects,
+    /// and this node continues to ask for the newest document.
     pub async fn leave(&self) -> Shutdown {
-        // What another process does once this one leaves is no reason to start again.
+        // A process that supersedes this node after it began to leave is no reason
+        // for a restart.
         let superseded = self.members.is_outlived();
-        // Callers keep the address of this node for as long as their advice said,
-        // and other nodes go on giving it out until they hear that this one leaves.
-        // A node that waited for its own advice only would refuse callers that
-        // were advised in between: the specification of leaving shows it.
-        tracing::info!("node: leaving, and serving until the advice given out has lapsed");
+        // Callers use the address of this node until their advice expires, and other
+        // nodes include it in their advice until they learn that this one is leaving.
+        // If a node waited only for the advice that it gave itself, it would refuse
+        // callers that other nodes advised in the meantime, as the model of leaving in
+        // `crates/spec` shows.
+        tracing::info!("node: leaving, serving until earlier advice has expired");
         self.lifecycle.advance(Stage::Leaving);
         self.members.leave();
         self.entry.drain();
         let AdviceSettings { valid, spread } = self.settings.advice;
         clock::sleep(&*self.clock, spread + valid + MAX_REPLY_DELAY).await;
 
-        // Whoever still comes is refused, truthfully and by name.
+        // From now on new requests are refused, with an error that names the reason.
         tracing::info!("node: closing with {} requests in flight", self.entry.requests());
         self.lifecycle.advance(Stage::Closing);
         let deadline = self.clock.now() + self.settings.limits.shutdown;
         let entry = self.entry.close(deadline).await;
 
-        // Peers are told last: until here they may have asked for work of theirs.
-        // Those that have not heard of it yet are served a little longer, and none
-        // keeps an idle connection: a message sent on one just as it is closed
-        // would have an unknown outcome.
+        // Peers are notified last, because they may have forwarded requests until
+        // now. Peers that have not yet received the notice are served for a short
+        // time. The replies ask them to close their connections, so that none is
+        // idle when the server closes: a message sent on an idle connection just as
+        // it is closed would have an unknown outcome.
         self.peer.drain();
         self.members.farewell().await;
         clock::sleep(&*self.clock, DEPARTURE_SPREAD_TIME).await;
@@ -233,7 +238,7 @@
     async fn close_peer_server(&self, deadline: Instant) -> bool {
         let closed = self.peer.close(deadline).await;
         if !closed {
-            tracing::warn!("node: {} requests of peers are cut", self.peer.requests());
+            tracing::warn!("node: aborting {} requests of peers", self.peer.requests());
         }
         closed
     }
--- a/crates/kumquatnotch/src/operator.rs
+++ b/crates/kumquatnotch/src/operator.rs
@@ -1,4 +1,4 @@
-//! What a node shows its operators.
+//! The operator interface of a node: readiness, status, configuration and metrics.
 
 use std::{
     fmt::Write,
@@ -22,10 +22,10 @@
 use kumquatnotch_net::entry::Operator;
 use kumquatnotch_query::FrontService;
 
-/// How many nodes are asked for their configuration at once.
+/// Maximum number of concurrent requests for the configuration of other nodes.
 const CONCURRENT_REQUESTS: usize = 64;
 
-/// What a node shows its operators.
+/// The operator interface of a node.
 pub struct NodeOperator {
     clock: Rc<dyn Clock>,
     lifecycle: Lifecycle,
@@ -40,7 +40,7 @@
 }
 
 impl NodeOperator {
-    /// An operator's view of the services in `registry`.
+    /// Creates the operator interface of the services in `registry`.
     pub fn new(
         registry: &Registry,
         holder: Rc<HolderService>,
@@ -132,7 +132,7 @@
 
     fn status(&self) -> String {
         let mut text = String::new();
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ = self.write_status(&mut text);
         text
     }
--- a/crates/kumquatnotch/tests/node.rs
+++ b/crates/kumquatnotch/tests/node.rs
@@ -1,4 +1,4 @@
-//! Nodes put together in one process, among stand-ins.
+//! Tests of whole nodes in one process, with stand-ins for the platform and the targets.
 
 use std::{
     future::pending,
@@ -51,7 +51,7 @@
          [platform]\naddress = \"{platform}\"\n[join]\nseeds = {seeds:?}\n\
          [advice]\nvalid = \"1s\"\n",
     );
-    Settings::parse("settings", &text).expect("the settings are fine")
+    Settings::parse("settings", &text).expect("the settings are valid")
 }
 
 fn options(name: &str, platform: SocketAddr, seeds: &[SocketAddr]) -> NodeOptions {
@@ -60,8 +60,7 @@
 }
 
 fn node(name: &str, platform: SocketAddr, seeds: &[SocketAddr]) -> Rc<Node> {
-    let node =
-        Rc::new(Node::try_new(options(name, platform, seeds)).expect("the node is put together"));
+    let node = Rc::new(Node::try_new(options(name, platform, seeds)).expect("the node is created"));
     node.start();
     node
 }
@@ -86,12 +85,12 @@
 
 async fn publish(node: &Node, text: String) {
     let files = [FileText { name: "all.toml".to_owned(), text }];
-    let document = files::parse(&files).expect("the document is fine");
+    let document = files::parse(&files).expect("the document is valid");
     let store: Rc<dyn Store> = node.registry.find(services::STORE).unwrap();
     let store = DocumentStore::new(store, Rc::new(RuntimeClock), Random::with_seed(2));
     let base = store.current().await.expect("the platform answers");
     let author = Authorship { author: "test", note: "" };
-    store.publish(&base, &document, author).await.expect("it is accepted");
+    store.publish(&base, &document, author).await.expect("the document is accepted");
 }
 
 fn client(node: &Node) -> Client {
@@ -100,7 +99,7 @@
 
 async fn advised_addresses(node: &Node) -> Vec<SocketAddr> {
     let answer = client(node).get("/v1/entry").await.expect("the node answers");
-    answer.json::<EntryAdvice>().expect("it is advice").addresses
+    answer.json::<EntryAdvice>().expect("the answer is advice").addresses
 }
 
 async fn coverage(client: &Client) -> Value {
@@ -115,25 +114,25 @@
 async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) {
     let end = Instant::now() + Duration::from_secs(20);
     while !holds().await {
-        assert!(Instant::now() < end, "{what} does not come");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         pause(20).await;
     }
 }
 
-/// The example lists every setting with its default, so that a newcomer sees what
-/// there is. It must not go out of date.
+/// The example file documents every setting with its default. This fails if a
+/// setting is added or a default changes without an update of the example.
 #[test]
 fn example_settings_list_every_default() {
     let text = include_str!("../../../examples/kumquatnotchd.toml");
     let bare = "[node]\nname = \"n1\"\ncentre = \"amman\"\nregion = \"jordan\"\n\
                 [platform]\naddress = \"127.0.0.1:2379\"\n";
-    let table: toml::Table = text.parse().expect("it is TOML");
+    let table: toml::Table = text.parse().expect("the example is TOML");
 
-    let given = Settings::parse("example", text).expect("the example is fine");
-    let default = Settings::parse("bare", bare).expect("the rest has defaults");
+    let given = Settings::parse("example", text).expect("the example is valid");
+    let default = Settings::parse("bare", bare).expect("the other settings have defaults");
 
     assert_eq!(given, default);
-    let all = toml::Table::try_from(&default).expect("settings can be written");
+    let all = toml::Table::try_from(&default).expect("settings can be serialized");
     for (name, section) in &all {
         let section = section.as_table().into_iter().flat_map(|section| section.keys());
         for key in section {
@@ -174,9 +173,10 @@
     });
 }
 
-/// One of three nodes is told to stop while callers search at the others. It is
-/// advised to nobody soon, takes its time until its own advice has lapsed, and
-/// the shards that it held are answered by others: no search lacks a shard.
+/// One of three nodes leaves while callers search through the others. The others
+/// soon stop advising its address, it serves until earlier advice has expired,
+/// and other nodes take over its shards. A handover with a gap would show as a
+/// search with a missing shard.
 #[test]
 fn graceful_leave_keeps_full_coverage() {
     run(async {
@@ -212,13 +212,13 @@
 
         assert_eq!(left.await, Shutdown::Clean);
         assert!(advised_until < Duration::from_millis(1_000), "{advised_until:?}");
-        println!("advised for {advised_until:?} more");
+        println!("advised for another {advised_until:?}");
     });
 }
 
-/// The settings name the defaults of the decisions a second time, for operators
-/// to read. Were the two to differ, a node would run with other budgets than
-/// those that were measured.
+/// The settings repeat the defaults of the decisions, so that operators can read
+/// them. If the two differed, a node without explicit settings would not run with
+/// the default budgets of the decisions.
 #[test]
 fn settings_defaults_match_decision_defaults() {
     let settings = Settings::default().decisions;
@@ -230,16 +230,17 @@
     assert_eq!((settings.canary, settings.admission), (front.canary, front.admission));
 }
 
-/// Another process starts under the name of a node that still runs. The third node
-/// knows only the later life then. The earlier one hears of it within seconds, and
-/// leaves as if it had been told to; what it answers callers meanwhile is whole.
+/// A second process starts with the name of a node that is still running, and the
+/// other node then knows only the later incarnation. The earlier process learns of
+/// it within seconds and leaves gracefully; until then, its callers still get
+/// complete answers.
 #[test]
 fn superseded_node_leaves() {
     run(async {
         let platform = StoreServer::start(0).expect("a free port is found");
         let fleet = Fleet::start(&Plan::uniform(0, 8, 4)).expect("free ports are found");
         let earlier = Node::try_new(options("n1", platform.address, &[]));
-        let earlier = Rc::new(earlier.expect("the node is put together"));
+        let earlier = Rc::new(earlier.expect("the node is created"));
         let running = earlier.clone();
         let ended = monoio::spawn(async move { running.run(Box::pin(pending())).await });
         let second = node("n2", platform.address, &[earlier.servers().1.address()]);
--- a/crates/kumquatnotchd/src/logs.rs
+++ b/crates/kumquatnotchd/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs, on standard error.
+//! Logging to standard error.
 
 use kumquatnotch::{
     config::settings::{LogFormat, LogSettings},
@@ -6,15 +6,15 @@
 };
 use tracing_subscriber::EnvFilter;
 
-/// The filter if the settings give none.
+/// The filter that applies if the settings contain none.
 const DEFAULT_FILTER: &str = "info";
 
-/// Starts to write logs.
+/// Installs the global log subscriber.
 pub fn install(format: LogFormat, settings: &LogSettings) -> Result<()> {
     let filter = settings.filter.as_deref().unwrap_or(DEFAULT_FILTER);
     let filter = EnvFilter::try_new(filter)
         .map_err(|error| Error::BadSettings { detail: format!("log.filter: {error}") })?;
-    // The prefix of each message names the part, so the module is left out.
+    // The prefix of each message names the component, so the module path is omitted.
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
--- a/crates/kumquatnotchd/src/main.rs
+++ b/crates/kumquatnotchd/src/main.rs
@@ -1,7 +1,7 @@
 //! The daemon: one node of a kumquatnotch query tier.
 //!
-//! It reads its settings, runs until it is told to stop, and writes nothing but
-//! logs to its standard error.
+//! The daemon reads its settings and runs until it receives SIGTERM or SIGINT. It
+//! writes its logs to standard error.
 
 #![forbid(unsafe_code)]
 
@@ -21,9 +21,9 @@
 
 use crate::options::Options;
 
-/// The exit code after a second signal.
+/// Exit code after a second termination signal.
 const SECOND_SIGNAL: u8 = 4;
-/// The exit code if another process has this node's name or address.
+/// Exit code if another process has the name or the address of this node.
 const SUPERSEDED: u8 = 5;
 
 fn main() -> ExitCode {
@@ -34,7 +34,7 @@
 fn start(options: &Options) -> Result<ExitCode> {
     let settings = Settings::load(&options.settings)?;
     if options.check {
-        println!("{} is fine", options.settings.display());
+        println!("{} is valid", options.settings.display());
         return Ok(ExitCode::SUCCESS);
     }
     logs::install(options.log_format.unwrap_or(settings.log.format), &settings.log)?;
@@ -48,7 +48,7 @@
     let options = StoreOptions { address: platform.address, timeout: platform.timeout };
     let store = Rc::new(StoreClient::new(options, Rc::new(RuntimeClock)));
     let node = Node::try_new(NodeOptions { settings, store, metrics })?;
-    // The tests and scripts that let the system choose ports read this line.
+    // Tests and scripts that let the system choose the ports parse this line.
     let (entry, peer) = node.servers();
     tracing::info!("node: callers at {}, peers at {}", entry.address(), peer.address());
     node.start();
@@ -63,7 +63,7 @@
         Either::Left((Shutdown::TimedOut, _)) => Ok(ExitCode::from(process::DRAIN_TIMED_OUT)),
         Either::Left((Shutdown::Superseded, _)) => Ok(ExitCode::from(SUPERSEDED)),
         Either::Right(_) => {
-            tracing::warn!("node: told twice to stop, ending at once");
+            tracing::warn!("node: second termination signal, exiting at once");
             Ok(ExitCode::from(SECOND_SIGNAL))
         }
     }
--- a/crates/kumquatnotchd/tests/common/mod.rs
+++ b/crates/kumquatnotchd/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: the daemon as a process, among stand-ins that run in the test.
+//! Fixtures: the daemon as a process, with stand-ins that run inside the test.
 
 #![allow(dead_code)]
 
@@ -47,25 +47,25 @@
     monoio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-/// Waits until `probe` tells something, for at most ten seconds.
+/// Polls `probe` until it returns a value, for at most 10 s.
 pub async fn wait_until<T, F: Future<Output = Option<T>>>(what: &str, probe: impl Fn() -> F) -> T {
     let end = Instant::now() + Duration::from_secs(10);
     loop {
         if let Some(value) = probe().await {
             return value;
         }
-        assert!(Instant::now() < end, "{what} does not come");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         pause(20).await;
     }
 }
 
-/// The stand-ins around a daemon.
+/// Stand-ins for the platform and the targets of a daemon.
 pub struct Environment {
     pub platform: StoreServer,
     pub fleet: Fleet,
 }
 
-/// Three targets, each with a shard, and a platform without a document.
+/// Starts three targets with one shard each, and a platform without a document.
 pub fn environment(service_ms: f64) -> Environment {
     let mut plan = Plan::uniform(0, 3, 3);
     plan.target.iter_mut().for_each(|target| {
@@ -95,10 +95,10 @@
         text
     }
 
-    /// Puts the document of the stand-ins in force.
+    /// Publishes a document that lists the targets.
     pub async fn publish(&self) {
         let files = [FileText { name: "all.toml".to_owned(), text: self.document() }];
-        let document = files::parse(&files).expect("the document is fine");
+        let document = files::parse(&files).expect("the document is valid");
         let options = StoreOptions::new(self.platform.address);
         let clock = Rc::new(RuntimeClock);
         let random = Random::with_seed(3);
@@ -106,7 +106,7 @@
         let store = DocumentStore::new(client, clock, random);
         let author = Authorship { author: "test", note: "" };
         let current = store.current().await.expect("the platform answers");
-        store.publish(&current, &document, author).await.expect("it is accepted");
+        store.publish(&current, &document, author).await.expect("the document is accepted");
     }
 
     pub fn settings(&self) -> String {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Writes settings to a file of their own.
+/// Writes settings to a new file.
 pub fn settings_file(text: &str) -> PathBuf {
     let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
     let name = format!("kumquatnotchd-{}-{number}.toml", std::process::id());
@@ -133,7 +133,7 @@
     command
 }
 
-/// A running daemon, which ends with the test.
+/// A running daemon, which is killed when the value is dropped.
 pub struct Daemon {
     pub child: Child,
     pub entry: SocketAddr,
@@ -142,12 +142,12 @@
 }
 
 impl Daemon {
-    /// Starts a daemon and waits until it listens.
+    /// Starts a daemon named `n1` and waits until it listens.
     pub async fn start(environment: &Environment, extra: &[&str]) -> Daemon {
         Daemon::start_with(&environment.settings(), extra).await
     }
 
-    /// Starts a daemon named `name` that asks `seed` first.
+    /// Starts a daemon named `name` that joins through the peer at `seed`.
     pub async fn start_with_seed(
         environment: &Environment,
         name: &str,
@@ -164,7 +164,7 @@
         command.args(extra).stderr(Stdio::piped()).stdout(Stdio::null());
         let mut child = command.spawn().expect("the daemon starts");
         let lines = Arc::new(Mutex::new(Vec::new()));
-        let (output, shared) = (child.stderr.take().expect("it is piped"), lines.clone());
+        let (output, shared) = (child.stderr.take().expect("stderr is piped"), lines.clone());
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
                 shared.lock().expect("no reader panics").push(line);
@@ -174,9 +174,9 @@
         Daemon { child, entry, lines, settings }
     }
 
-    /// Where it listens for peers.
+    /// Returns the listen address for peers.
     pub fn peer(&self) -> SocketAddr {
-        find_address(&self.lines, "peers at ").expect("it is told with the other address")
+        find_address(&self.lines, "peers at ").expect("one log line has both addresses")
     }
 
     pub fn client(&self) -> Client {
@@ -187,7 +187,7 @@
         self.client().get(path).await.expect("the daemon answers")
     }
 
-    /// Waits until it serves callers.
+    /// Waits until the daemon serves callers.
     pub async fn wait_until_ready(&self) {
         wait_until("readiness", async || {
             let ready = self.get("/readyz").await.status == 200;
@@ -198,17 +198,17 @@
 
     pub fn send_sigterm(&self) {
         let pid = Pid::from_child(&self.child);
-        kill_process(pid, Signal::TERM).expect("it runs");
+        kill_process(pid, Signal::TERM).expect("the daemon is running");
     }
 
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
         for _ in 0..1_000 {
-            if let Some(status) = self.child.try_wait().expect("it can be waited for") {
+            if let Some(status) = self.child.try_wait().expect("waiting succeeds") {
                 return status;
             }
             pause(20).await;
         }
-        panic!("the daemon does not end");
+        panic!("the daemon does not exit");
     }
 }
 
@@ -227,7 +227,7 @@
     address.trim().parse().ok()
 }
 
-/// Sends a search or another request as a caller.
+/// Sends a request with the key of a caller.
 pub async fn call(client: &Client, path: &str, body: serde_json::Value) -> Answer {
     let bearer = format!("Bearer {KEY}");
     let headers = [("authorization", bearer.as_str()), ("content-type", "application/json")];
--- a/crates/kumquatnotchd/tests/daemon.rs
+++ b/crates/kumquatnotchd/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: what it serves, and how it ends.
+//! Tests of the daemon as a process: its endpoints, shutdown and exit codes.
 
 mod common;
 
@@ -32,8 +32,9 @@
     fs::remove_file(bad).unwrap();
 }
 
-/// A daemon starts before any document is in force: it answers, and says that it
-/// is not ready. Once the document is there it serves, and tells its state.
+/// A daemon that starts before any document is published answers `/healthz` but
+/// reports that it is not ready. Once a document is in force, it serves searches
+/// and reports its state.
 #[test]
 fn a_daemon_serves_callers_and_operators() {
     run(async {
@@ -65,8 +66,8 @@
     });
 }
 
-/// A machine allows no io_uring and no processes but the daemon's own. Both are
-/// looked for while it works.
+/// The machines allow neither io_uring nor child processes. The daemon is
+/// inspected for both while it runs.
 #[test]
 fn a_daemon_opens_no_io_uring_and_starts_no_process() {
     run(async {
@@ -90,10 +91,9 @@
     });
 }
 
-/// The daemon is told to stop while a search and a hold run that take longer
-/// than its advice is valid. Callers that come meanwhile with advice they were
-/// given are served. Both requests get their whole answers, and the daemon
-/// exits with 0.
+/// The daemon receives SIGTERM while a search and an exclusive request are running
+/// that take longer than its advice is valid. Callers with earlier advice are
+/// still served, both requests get complete answers, and the daemon exits with 0.
 #[test]
 fn graceful_shutdown_completes_requests_in_flight() {
     run(async {
@@ -130,9 +130,10 @@
     });
 }
 
-/// One of three daemons leaves and one is killed. An operator who then asks whether
-/// a change is in force everywhere must be told of the killed one: the others can't
-/// know whether it is dead or cut off and still serves. Nobody needs the other.
+/// One of three daemons leaves gracefully and one is killed. An operator who checks
+/// whether a change is in force everywhere must see the killed one, as the others
+/// cannot tell whether it is dead, or partitioned and still serving. The daemon
+/// that left is of no interest and not listed.
 #[test]
 fn config_report_lists_a_killed_daemon_but_not_one_that_left() {
     run(async {
@@ -164,10 +165,11 @@
     });
 }
 
-/// A VM is replaced by one of the same name while the earlier process still runs,
-/// and callers still have its address. It serves until their advice has lapsed,
-/// then exits with a code that says to start it again. Before, it went on for good,
-/// unseen: the others know only the later life, so nobody sent it news.
+/// A VM is replaced by one of the same name while the earlier process is still
+/// running and callers still have its address. The others know only the later
+/// incarnation and send the earlier one no updates, so without a check it would
+/// run forever, unseen. It must serve until the advice of its callers has expired,
+/// and then exit with the code that requests a restart.
 #[test]
 fn superseded_daemon_exits_with_its_own_code() {
     run(async {
@@ -176,8 +178,8 @@
         environment.publish().await;
         earlier.wait_until_ready().await;
         let second = Daemon::start_with_seed(&environment, "n2", earlier.peer()).await;
-        // The second knows the first only once that has announced itself; until then
-        // a later life of its name would make it take a higher number.
+        // The first daemon must have announced itself before the later one starts.
+        // Until then, it would take a higher incarnation instead of being superseded.
         wait_until("advice with two nodes", async || {
             let advice: Value = second.get("/v1/entry").await.json().unwrap();
             (advice["addresses"].as_array().map(Vec::len) == Some(2)).then_some(())
@@ -200,7 +202,7 @@
     });
 }
 
-/// An operator is in a hurry and sends the signal twice.
+/// A second SIGTERM ends the daemon without waiting for the advice to expire.
 #[test]
 fn a_second_signal_ends_the_daemon_at_once() {
     run(async {
