--- a/crates/kumquatnotch-ctl/src/caller_commands.rs
+++ b/crates/kumquatnotch-ctl/src/caller_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that call a node as a caller does.
+//! Commands that send requests to a node as a caller.
 
 use std::{fs, io::Read, path::Path, time::Duration};
 
@@ -46,8 +46,8 @@
         Some(ticket) => ticket.clone(),
         None => issue_ticket(context, &args.key_file).await?,
     };
-    // It is printed before the request goes out: whatever happens then, the
-    // outcome can be asked for again with it.
+    // The ticket is printed before the request is sent, so that the outcome can be
+    // queried with it if the request fails or the reply is lost.
     eprintln!("ticket {ticket}");
     let body = ExclusiveBody {
         ticket,
--- a/crates/kumquatnotch-ctl/src/config_commands.rs
+++ b/crates/kumquatnotch-ctl/src/config_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that read or change the document.
+//! Commands that read or change the operators' document.
 
 use std::time::Duration;
 
@@ -50,8 +50,8 @@
 pub async fn apply(context: &Context, args: &ApplyArgs) -> Result<u8> {
     let store = context.store()?;
     let base = store.current().await?;
-    // Files that were made from an older version would silently undo what
-    // others have changed since; the operator is told instead.
+    // Files based on an older version would silently revert later changes of other
+    // operators, so they are refused with a list of these changes.
     if let Base::Version(version) = args.base
         && version != version_of(&base)
     {
@@ -87,7 +87,7 @@
 
 pub async fn history(context: &Context) -> Result<u8> {
     let Some((head, _)) = context.store()?.head().await? else {
-        println!("no version was accepted yet");
+        println!("no version has been published yet");
         return Ok(0);
     };
     println!("{} in force, by {}: {}", head.version, head.author, head.note);
@@ -127,7 +127,9 @@
     Ok(0)
 }
 
-/// Says that a version was accepted, and waits until it is in force if asked to.
+/// Prints the accepted version, and waits for up to `wait` seconds until it is in force.
+///
+/// Without a node to ask, or if `wait` is zero, this does not wait.
 async fn report_accepted(context: &Context, version: ConfigVersion, wait: u64) -> Result<u8> {
     println!("accepted as version {version}");
     if wait == 0 || !context.has_node() {
@@ -146,7 +148,7 @@
     let version = version_of(now).0;
     let detail = match load_past_version(store, now, base).await {
         Ok(before) => to_text(&diff::diff(&before, &now.document)),
-        Err(_) => format!("version {base} isn't kept any more"),
+        Err(_) => format!("version {base} is no longer kept"),
     };
     Error::Conflict { version, detail }
 }
--- a/crates/kumquatnotch-ctl/src/context.rs
+++ b/crates/kumquatnotch-ctl/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command needs: clients, clock and generator.
+//! The context shared by all commands: clients, clock and random number generator.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -12,21 +12,21 @@
 };
 use kumquatnotch_platform::store_client::{StoreClient, StoreOptions};
 
-/// How long one call to a node may take beyond what the request itself may.
+/// Additional timeout of a call to a node, beyond the deadline of the request itself.
 const CALL_SLACK: Duration = Duration::from_secs(5);
 
-/// What every command needs.
+/// The context shared by all commands.
 pub struct Context {
     platform: Option<SocketAddr>,
     node: Option<SocketAddr>,
     author: String,
-    /// The clock.
+    /// The clock of the commands.
     pub clock: Rc<dyn Clock>,
     random: Random,
 }
 
 impl Context {
-    /// The context of a command line.
+    /// Creates the context from the command line.
     pub fn new(options: &crate::options::Options) -> Context {
         Context {
             platform: options.platform,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The store of documents.
+    /// Returns the document store at the address given by `--platform`.
     pub fn store(&self) -> Result<DocumentStore> {
         let Some(address) = self.platform else {
             return Err(Error::bad_request("this command needs --platform ADDRESS"));
@@ -46,12 +46,12 @@
         Ok(DocumentStore::new(client, self.clock.clone(), self.random.clone()))
     }
 
-    /// Whether a node was named.
+    /// Returns true if `--node` was given.
     pub fn has_node(&self) -> bool {
         self.node.is_some()
     }
 
-    /// Sends `request` to the node.
+    /// Sends `request`, which may take `time`, to the node given by `--node`.
     pub async fn call(&self, request: Request, time: Duration) -> Result<Reply> {
         let Some(address) = self.node else {
             return Err(Error::bad_request("this command needs --node ADDRESS"));
@@ -60,7 +60,7 @@
         client.call(request, time + CALL_SLACK).await
     }
 
-    /// Who makes a change, and why.
+    /// Returns the authorship of a change that is made for the reason `note`.
     pub fn authorship<'a>(&'a self, note: &'a str) -> Authorship<'a> {
         Authorship { author: &self.author, note }
     }
--- a/crates/kumquatnotch-ctl/src/explain_command.rs
+++ b/crates/kumquatnotch-ctl/src/explain_command.rs
@@ -1,8 +1,9 @@
-//! Tells where the worth of answers was lost, from the logs of all nodes.
+//! Attributes lost answers to causes, from the logs of all nodes.
 //!
-//! An answer that is whole and in time is worth one. One that leaves shards out is worth the
-//! square of the share that it covers; one that is late, refused or failed counts as lost.
-//! What is lost is summed by kind of request and cause, and by time.
+//! A complete answer in time scores 1. An answer with missing shards scores the square of
+//! its coverage, and a late, refused or failed request scores 0. The difference to 1 is
+//! the loss of the request. Requests with status 408 (the caller went away) or 404 lose
+//! nothing. Losses are summed by route and cause, and by time window.
 
 use std::{
     collections::BTreeMap,
@@ -17,12 +18,12 @@
     options::ExplainArgs,
 };
 
-/// How much later than due an answer still counts as in time, in milliseconds.
+/// Time after the due time within which an answer still counts as in time, in milliseconds.
 ///
-/// Nodes keep some time for the way to the caller, which this is a part of.
+/// Nodes reserve some time for the transit to the caller; the tolerance is a part of it.
 const LATE_TOLERANCE_MS: u64 = 10;
 
-/// The lines that say what became of a request.
+/// The log messages that report the outcome of a request.
 const OUTCOME_MESSAGES: [&str; 2] = ["front: answered", "front: refused"];
 
 pub fn explain(args: &ExplainArgs) -> Result<u8> {
@@ -33,17 +34,18 @@
     let window_length = Duration::from_secs_f64(args.window.max(0.1));
     let report = LossReport::new(&lines, window_length, &args.route);
     if report.requests == 0 {
-        return Err(Error::bad_request("no line tells what became of a request"));
+        return Err(Error::bad_request("no log line reports the outcome of a request"));
     }
-    // Whoever reads the first lines only closes the pipe before the rest.
+    // A reader of only the first lines, such as `head`, closes the pipe early.
     let _ = io::stdout().write_all(report.report(args.top).as_bytes());
     let _ = io::stdout().write_all(report_calls(&lines).as_bytes());
     Ok(0)
 }
 
-/// What the nodes asked of what they depend on, by kind of call and how it ended.
+/// Formats the number of calls of the nodes to their dependencies, by kind and result.
 ///
-/// Empty if no line tells. A process that is killed takes its last counts with it.
+/// The report is empty if the logs contain no such counts. Counts that a process had
+/// not yet logged when it was killed are missing.
 fn report_calls(lines: &[Line]) -> String {
     let mut kinds: BTreeMap<(&str, &str), [u64; 3]> = BTreeMap::new();
     for line in lines.iter().filter(|line| line.message == "calls: made") {
@@ -64,7 +66,7 @@
     report.join("\n")
 }
 
-/// What was lost for one reason.
+/// The losses due to one cause.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Loss {
     requests: u64,
@@ -78,7 +80,7 @@
     }
 }
 
-/// What became of the requests of one window.
+/// The requests and losses of one time window.
 #[derive(Clone, Debug, Default)]
 struct Window {
     requests: u64,
@@ -86,7 +88,7 @@
     causes: HashMap<String, f64>,
 }
 
-/// What was lost, by kind of request and cause, and by time.
+/// The losses by route and cause, and by time window.
 struct LossReport {
     requests: u64,
     lost: f64,
@@ -96,21 +98,21 @@
     start: Duration,
 }
 
-/// What the logs tell of a request besides its end.
+/// The logged events of a request other than its outcome.
 #[derive(Default)]
 struct RequestEvents<'a> {
-    /// The shards whose replies were lost.
+    /// Shards whose replies were lost.
     lost_replies: Vec<&'a str>,
-    /// The shards of which a copy was sent.
+    /// Shards whose calls were hedged.
     hedged: Vec<&'a str>,
-    /// The shards that were missing when it was answered.
+    /// Shards that were missing from the answer.
     missing: Vec<&'a str>,
-    /// Whether its caller came again, too late for an answer in time.
+    /// Whether the request was a repeated one, which came too late for an answer in time.
     repeated: bool,
 }
 
 impl LossReport {
-    /// The account of the requests of these routes; none means all.
+    /// Sums up the losses of the requests of `routes`, or of all requests if it is empty.
     fn new(lines: &[Line], window_length: Duration, routes: &[String]) -> LossReport {
         let events = request_events(lines);
         let is_counted = |line: &&Line| {
@@ -136,7 +138,7 @@
         report
     }
 
-    /// Adds what became of a request.
+    /// Adds the outcome of a request.
     fn add(&mut self, line: &Line, events: &RequestEvents<'_>) {
         self.requests += 1;
         let elapsed = line.since_epoch().saturating_sub(self.start);
@@ -152,12 +154,12 @@
         }
     }
 
-    /// The sums, and the `top` worst windows.
+    /// Formats the sums and the `top` windows with the largest losses.
     fn report(&self, top: usize) -> String {
         let share = |lost: f64| 100.0 * lost / self.requests as f64;
         let mut lines = vec![
             format!(
-                "{} requests, {:.1} answers lost ({:.2} in a hundred)\n",
+                "{} requests, {:.1} answers lost ({:.2} %)\n",
                 self.requests,
                 self.lost,
                 share(self.lost)
@@ -171,7 +173,7 @@
             lines.push(format!("{lost:>8.1} {share:>6.2} {requests:>8}  {route}  {cause}"));
         }
         lines.push(format!("\nworst windows of {} s", self.window_length.as_secs_f64()));
-        lines.push(format!("{:>8} {:>8} {:>8}  most for", "from s", "requests", "lost"));
+        lines.push(format!("{:>8} {:>8} {:>8}  main cause", "from s", "requests", "lost"));
         for (index, window) in sorted_by_loss(&self.windows, |window| window.lost).take(top) {
             let from = *index as f64 * self.window_length.as_secs_f64();
             let cause = sorted_by_loss(&window.causes, |lost| *lost).next();
@@ -184,7 +186,7 @@
     }
 }
 
-/// Entries with what was lost for each, the most first.
+/// Returns the entries sorted by loss, the largest first.
 fn sorted_by_loss<K: Ord, V>(
     map: &HashMap<K, V>,
     lost: impl Fn(&V) -> f64,
@@ -196,7 +198,7 @@
     entries.into_iter()
 }
 
-/// What the logs tell of each request besides its end.
+/// Collects the logged events of each request other than its outcome.
 fn request_events(lines: &[Line]) -> HashMap<&str, RequestEvents<'_>> {
     let mut events: HashMap<&str, RequestEvents<'_>> = HashMap::default();
     for line in lines {
@@ -217,11 +219,11 @@
     events
 }
 
-/// What was lost with a request, by cause.
+/// Returns the losses of a request by cause.
 fn losses(line: &Line, events: &RequestEvents<'_>) -> Vec<(String, f64)> {
     let (status, reason) = (line.number("status"), line.text("reason"));
     match status {
-        // Nobody waited for the answer any more.
+        // The caller had gone away and waited for no answer.
         408 => Vec::new(),
         404 => Vec::new(),
         503 => vec![(format!("refused: {reason}"), 1.0)],
@@ -231,28 +233,28 @@
     }
 }
 
-/// Whether an answer was late; one whose line doesn't say when it was due wasn't.
+/// Returns true if an answer was late; false if its log line has no due time.
 fn is_late(line: &Line) -> bool {
     line.fields.contains_key("due_ms")
         && line.number("ms") > line.number("due_ms") + LATE_TOLERANCE_MS
 }
 
-/// Why an answer was late.
+/// Returns the cause of a late answer.
 fn late_cause(events: &RequestEvents<'_>) -> String {
     let cause = match events {
-        RequestEvents { repeated: true, .. } => "late: the caller came again",
+        RequestEvents { repeated: true, .. } => "late: repeated request",
         RequestEvents { missing, lost_replies, .. }
             if missing.iter().any(|shard| lost_replies.contains(shard)) =>
         {
             "late: too few parts in time, replies were lost"
         }
         RequestEvents { missing, .. } if !missing.is_empty() => "late: too few parts in time",
-        _ => "late: all parts came in the end",
+        _ => "late: all parts arrived eventually",
     };
     cause.to_owned()
 }
 
-/// What an answer that leaves shards out has lost, by the reason for each.
+/// Returns the losses of an incomplete answer by cause, with an equal share per missing shard.
 fn missing_losses(line: &Line, events: &RequestEvents<'_>) -> Vec<(String, f64)> {
     let (parts, missing) = (line.number("parts") as f64, line.number("missing") as f64);
     if missing == 0.0 {
@@ -265,9 +267,9 @@
         let cause = if events.lost_replies.contains(shard) {
             "part: its reply was lost"
         } else if events.hedged.contains(shard) {
-            "part: late, and a copy as well"
+            "part: late, hedge also late"
         } else {
-            "part: late, without a copy"
+            "part: late, not hedged"
         };
         *causes.entry(cause).or_default() += each;
     }
--- a/crates/kumquatnotch-ctl/src/log_lines.rs
+++ b/crates/kumquatnotch-ctl/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the logs of nodes.
+//! Parser for the JSON log lines of nodes.
 
 use std::{
     fs::File,
@@ -11,43 +11,43 @@
 use kumquatnotch::core::{Error, Result};
 use serde_json::{Map, Value};
 
-/// The fields that stand in every line, or are told before the others.
+/// Standard fields, which are parsed separately or dropped, and not kept in [`Line::fields`].
 const HEADER_FIELDS: [&str; 4] = ["timestamp", "level", "message", "request"];
 
-/// A line of a log.
+/// A log line.
 pub struct Line {
-    /// The process that wrote it.
+    /// The name of the process that wrote it.
     pub source: String,
-    /// When, as it was written.
+    /// The timestamp, as written in the log.
     pub time: String,
-    /// What it says.
+    /// The message.
     pub message: String,
-    /// The request that it tells of.
+    /// The identity of the request that it refers to, if any.
     pub request: Option<String>,
-    /// Everything else.
+    /// All other fields.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
-    /// When it was written, since 1970; zero if that can't be read.
+    /// Returns the timestamp as the time since the Unix epoch; zero if it is malformed.
     pub fn since_epoch(&self) -> Duration {
         let time = humantime::parse_rfc3339_weak(&self.time);
         let since = time.ok().and_then(|time| time.duration_since(SystemTime::UNIX_EPOCH).ok());
         since.unwrap_or_default()
     }
 
-    /// A number; zero if there is none of that name.
+    /// Returns the number in the field `name`; zero if there is none.
     pub fn number(&self, name: &str) -> u64 {
         self.fields.get(name).and_then(Value::as_u64).unwrap_or_default()
     }
 
-    /// A text; empty if there is none of that name.
+    /// Returns the text in the field `name`; empty if there is none.
     pub fn text(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 }
 
-/// Reads the lines of a file; what is none of them is passed over.
+/// Reads the log lines of a file, skipping all other lines.
 pub fn read(path: &Path) -> Result<Vec<Line>> {
     let file = File::open(path)
         .map_err(|error| Error::bad_request(format!("{}: {error}", path.display())))?;
@@ -56,7 +56,8 @@
     Ok(lines.filter_map(|line| parse(&line, &name)).collect())
 }
 
-/// Reads a line; what stands before its JSON names the process, else its file does.
+/// Parses a line. The last word before the JSON object is the name of the process; without
+/// one, the process is named `file`.
 fn parse(line: &str, file: &str) -> Option<Line> {
     let (before, json) = line.split_at(line.find('{')?);
     let Ok(Value::Object(mut fields)) = serde_json::from_str(json) else {
--- a/crates/kumquatnotch-ctl/src/main.rs
+++ b/crates/kumquatnotch-ctl/src/main.rs
@@ -1,7 +1,7 @@
-//! The operators' command line.
+//! The command line for operators.
 //!
-//! Exit codes: 0 done, 1 failed, 2 usage, 3 another operator was first, 4 not in
-//! force everywhere yet.
+//! Exit codes: 0 success, 1 failure or usage error, 3 conflict with another
+//! operator's change, 4 version not in force on every node.
 
 #![forbid(unsafe_code)]
 
@@ -24,9 +24,9 @@
     options::{Command, Options},
 };
 
-/// The exit code of a failure.
+/// Exit code of a failed command.
 const FAILED: u8 = 1;
-/// The exit code when another operator was first.
+/// Exit code if another operator has published a change in the meantime.
 const CONFLICT: u8 = 3;
 
 fn main() -> ExitCode {
@@ -44,7 +44,7 @@
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
         .build()
-        .map_err(|error| Error::internal(format!("the runtime can't start: {error}")))?;
+        .map_err(|error| Error::internal(format!("failed to start the runtime: {error}")))?;
     let context = Context::new(&options);
     runtime.block_on(dispatch(&context, &options.command))
 }
--- a/crates/kumquatnotch-ctl/src/options.rs
+++ b/crates/kumquatnotch-ctl/src/options.rs
@@ -1,31 +1,32 @@
-//! The arguments of the command line.
+//! Command-line arguments.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use argh::FromArgs;
 use kumquatnotch::core::{Error, Result, ids::ConfigVersion};
 
-/// Reads and changes what is in force on a kumquatnotch query tier.
+/// Inspects and changes the configuration of a kumquatnotch query tier.
 #[derive(FromArgs)]
 #[argh(
-    note = "The platform's service holds the configuration; a node tells what is in force.",
-    example = "Put files in force in place of version 41, and wait until every node has them:\n\
+    note = "The configuration is stored in the platform's store (--platform); a node (--node) \
+            reports the version in force on every node.",
+    example = "Publish files based on version 41, and wait until they are in force everywhere:\n\
                {command_name} --platform 10.0.0.9:2379 --node 10.0.0.1:7000 \
                apply config/ --base 41 --note 'add targets of Aqaba' --wait 19",
-    error_code(1, "The command failed; the number in the message is in docs/ERRORS.md."),
-    error_code(3, "Another operator changed the configuration in between."),
-    error_code(4, "The configuration isn't in force everywhere.")
+    error_code(1, "The command failed; docs/ERRORS.md lists the number in the message."),
+    error_code(3, "Another operator has changed the configuration in the meantime."),
+    error_code(4, "The configuration is not known to be in force on every node.")
 )]
 pub struct Options {
-    /// address of the platform's service
+    /// address of the platform's store
     #[argh(option)]
     pub platform: Option<SocketAddr>,
 
-    /// address of any node, as callers use it
+    /// address of any node, as used by callers
     #[argh(option)]
     pub node: Option<SocketAddr>,
 
-    /// who makes changes; the user's name by default
+    /// author of the change; the user's name by default
     #[argh(option, default = "default_author()")]
     pub author: String,
 
@@ -57,46 +58,45 @@
     Exclusive(ExclusiveArgs),
 }
 
-/// Tell what became of a request, from the logs of several processes.
+/// Print the log lines of a request in order, from the logs of several processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "story")]
 pub struct StoryArgs {
-    /// the identity of the request
+    /// identity of the request
     #[argh(positional)]
     pub request: String,
 
-    /// how many lines on what each process believed are told before it
+    /// number of earlier lines on the state of each process to print
     #[argh(option, default = "5")]
     pub beliefs: usize,
 
-    /// files with logs, one for each process or of all together
+    /// log files, one per process or merged
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Tell where the worth of answers was lost, by kind of request, cause and time, from the
-/// logs of all nodes.
+/// Report which answers were lost, by route, cause and time, from the logs of all nodes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainArgs {
-    /// the length of the windows that are compared, in seconds
+    /// length of the compared time windows, in seconds
     #[argh(option, default = "2.0")]
     pub window: f64,
 
-    /// how many of the worst windows are told
+    /// number of windows with the largest losses to print
     #[argh(option, default = "8")]
     pub top: usize,
 
-    /// count the requests of this route only; may be given again for others
+    /// count only requests of this route; may be repeated
     #[argh(option)]
     pub route: Vec<String>,
 
-    /// files with logs, one for each process or of all together
+    /// log files, one per process or merged
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Check a document, and report every fault.
+/// Validate a document and report every fault.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArgs {
@@ -105,7 +105,7 @@
     pub files: PathBuf,
 }
 
-/// Show what files would change.
+/// Show the changes that applying files would make.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub struct DiffArgs {
@@ -114,7 +114,7 @@
     pub files: PathBuf,
 }
 
-/// Put files in force.
+/// Publish files as the new configuration.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyArgs {
@@ -122,24 +122,24 @@
     #[argh(positional)]
     pub files: PathBuf,
 
-    /// the version that the files were made from (0 for none, or `current` where
-    /// version control already puts changes in order)
+    /// version that the files are based on (0 for none, or `current` if version
+    /// control already serialises changes)
     #[argh(option)]
     pub base: Base,
 
-    /// why
+    /// reason for the change
     #[argh(option, default = "String::new()")]
     pub note: String,
 
-    /// wait at most this many seconds until it is in force everywhere
+    /// maximum time to wait until it is in force everywhere, in seconds
     #[argh(option, default = "0")]
     pub wait: u64,
 }
 
-/// The version that files were made from.
+/// The version that files are based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Base {
-    /// Whatever is in force.
+    /// The current version, whichever it is.
     Current,
     /// This version.
     Version(ConfigVersion),
@@ -153,92 +153,92 @@
             "current" => Ok(Base::Current),
             number => match number.parse() {
                 Ok(number) => Ok(Base::Version(ConfigVersion(number))),
-                Err(_) => Err(Error::bad_request("a version is a number or `current`")),
+                Err(_) => Err(Error::bad_request("expected a version number or `current`")),
             },
         }
     }
 }
 
-/// Print the document in force, or an earlier one, as TOML.
+/// Print the current or an earlier document as TOML.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub struct ShowArgs {
-    /// an earlier version
+    /// version to print; the current one by default
     #[argh(positional)]
     pub version: Option<u64>,
 }
 
-/// List the versions that can be returned to.
+/// List the current version and those that are available for rollback.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub struct HistoryArgs {}
 
-/// Put an earlier version in force again, as a new version.
+/// Publish an earlier version again, as a new version.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 pub struct RollbackArgs {
-    /// the earlier version
+    /// version to return to
     #[argh(positional)]
     pub version: u64,
 
-    /// why
+    /// reason for the change
     #[argh(option, default = "String::new()")]
     pub note: String,
 
-    /// wait at most this many seconds until it is in force everywhere
+    /// maximum time to wait until it is in force everywhere, in seconds
     #[argh(option, default = "0")]
     pub wait: u64,
 }
 
-/// Order a target to take no new work; this outlasts the next `apply`.
+/// Drain a target, so that it takes no new work; the drain persists over later `apply` commands.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainArgs {
-    /// the target
+    /// name of the target
     #[argh(positional)]
     pub target: String,
 
-    /// take the order back
+    /// end the drain
     #[argh(switch)]
     pub undo: bool,
 
-    /// why
+    /// reason for the change
     #[argh(option, default = "String::new()")]
     pub note: String,
 
-    /// wait at most this many seconds until it is in force everywhere
+    /// maximum time to wait until it is in force everywhere, in seconds
     #[argh(option, default = "0")]
     pub wait: u64,
 }
 
-/// Delete stored values that no kept version needs.
+/// Delete stored values that no kept version refers to.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "collect")]
 pub struct CollectArgs {
-    /// seconds to wait for writers that have not finished
+    /// time to wait for writers that have not finished, in seconds
     #[argh(option, default = "60")]
     pub grace: u64,
 }
 
-/// Tell whether the newest configuration is in force on every node.
+/// Report whether the newest configuration is in force on every node.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
-    /// the version to ask for; the newest by default
+    /// version to check; the newest by default
     #[argh(option)]
     pub version: Option<u64>,
 
-    /// wait at most this many seconds
+    /// maximum time to wait until it is in force everywhere, in seconds
     #[argh(option, default = "0")]
     pub wait: u64,
 }
 
-/// Read a caller's key from standard input and print its digest for a document.
+/// Read a caller's key from standard input and print its digest for use in a document.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "key-digest")]
 pub struct KeyDigestArgs {}
 
-/// Ask a node which addresses to use.
+/// Print the addresses that a node advises callers to use.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "entry")]
 pub struct EntryArgs {
@@ -247,15 +247,15 @@
     pub near: Option<String>,
 }
 
-/// Send a search, and print the answer.
+/// Send a search and print the answer.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "search")]
 pub struct SearchArgs {
-    /// the selector
+    /// name of the selector
     #[argh(positional)]
     pub selector: String,
 
-    /// the query in JSON
+    /// query, as JSON
     #[argh(positional)]
     pub query: String,
 
@@ -263,28 +263,28 @@
     #[argh(option)]
     pub key_file: PathBuf,
 
-    /// how many hits to return
+    /// maximum number of hits to return
     #[argh(option, default = "10")]
     pub limit: u32,
 
-    /// the time to wait, in milliseconds
+    /// deadline of the request, in milliseconds
     #[argh(option, default = "1000")]
     pub deadline_ms: u64,
 }
 
-/// Send a non-idempotent request, or ask for its outcome again.
+/// Send a non-idempotent request, or query its outcome.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "exclusive")]
 pub struct ExclusiveArgs {
-    /// the selector
+    /// name of the selector
     #[argh(positional)]
     pub selector: String,
 
-    /// the key by which the shard is chosen, such as the room or van
+    /// key that determines the shard, such as a room or a van
     #[argh(positional)]
     pub key: String,
 
-    /// the request in JSON
+    /// request, as JSON
     #[argh(positional)]
     pub request: String,
 
@@ -292,11 +292,11 @@
     #[argh(option)]
     pub key_file: PathBuf,
 
-    /// a ticket that was used before, to ask for its outcome again
+    /// ticket of an earlier request, to query its outcome
     #[argh(option)]
     pub ticket: Option<String>,
 
-    /// the time to wait, in milliseconds
+    /// deadline of the request, in milliseconds
     #[argh(option, default = "1000")]
     pub deadline_ms: u64,
 }
--- a/crates/kumquatnotch-ctl/src/status_command.rs
+++ b/crates/kumquatnotch-ctl/src/status_command.rs
@@ -1,4 +1,4 @@
-//! Tells whether a configuration is in force everywhere.
+//! Reports whether a configuration is in force on every node.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 
 use crate::{context::Context, options::StatusArgs};
 
-/// The exit code when some node doesn't have it, or can't be asked.
+/// Exit code if the version is not in force on some node, or some node did not answer.
 const LAGGING: u8 = 4;
 
-/// How long to wait between two looks.
+/// Interval between two requests for the report.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 pub async fn status(context: &Context, args: &StatusArgs) -> Result<u8> {
@@ -28,7 +28,8 @@
     wait_for_version(context, version, Duration::from_secs(args.wait)).await
 }
 
-/// Waits until every node has `version` in force, and names those that lag.
+/// Waits for up to `wait` until `version` is in force on every node, and otherwise prints
+/// the nodes that lag.
 pub async fn wait_for_version(
     context: &Context,
     version: ConfigVersion,
@@ -52,7 +53,8 @@
     }
 }
 
-/// The newest version that the platform's service or, without it, a node knows of.
+/// Returns the version of the head in the platform's store. If the store is unavailable,
+/// returns the newest version that any node reports.
 async fn newest_version(context: &Context) -> Result<ConfigVersion> {
     let head = match context.store() {
         Ok(store) => store.head().await,
@@ -61,7 +63,7 @@
     match head {
         Ok(Some((head, _))) => return Ok(head.version),
         Ok(None) => return Ok(ConfigVersion(0)),
-        Err(error) => println!("the platform's service was not asked: {error}"),
+        Err(error) => println!("failed to read the newest version from the store: {error}"),
     }
     let report = request_report(context).await?;
     let versions = report.nodes.iter().filter_map(|node| node.confirmation);
--- a/crates/kumquatnotch-ctl/src/story_command.rs
+++ b/crates/kumquatnotch-ctl/src/story_command.rs
@@ -1,4 +1,4 @@
-//! Tells the story of one request from the logs of several processes.
+//! Prints the log lines of one request, merged from the logs of several processes.
 
 use kumquatnotch::core::{Error, Result, collections::HashSet};
 
@@ -7,7 +7,7 @@
     options::StoryArgs,
 };
 
-/// The parts whose lines tell what a process believes, as their messages begin.
+/// Message prefixes of the components that log the state known to a process.
 const STATE_PREFIXES: [&str; 4] = ["mirror:", "replica:", "announce:", "node:"];
 
 pub fn story(args: &StoryArgs) -> Result<u8> {
@@ -17,14 +17,14 @@
     }
     let selected = select_lines(lines, &args.request, args.beliefs);
     if selected.is_empty() {
-        return Err(Error::bad_request(format!("no line tells of request {}", args.request)));
+        return Err(Error::bad_request(format!("no log line refers to request {}", args.request)));
     }
     selected.iter().for_each(|line| println!("{line}"));
     Ok(0)
 }
 
-/// The lines of a request in their order, and as many `beliefs` before it of each
-/// process that had to do with it.
+/// Returns the lines of a request in order, preceded by up to `beliefs` earlier state lines
+/// of each process that took part in it.
 fn select_lines(mut lines: Vec<Line>, request: &str, beliefs: usize) -> Vec<String> {
     lines.sort_by(|one, other| one.time.cmp(&other.time));
     let is_of_request = |line: &Line| line.request.as_deref() == Some(request);
--- a/crates/kumquatnotch-ctl/tests/ctl.rs
+++ b/crates/kumquatnotch-ctl/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! Runs the command line against a stand-in for the platform.
+//! Tests of the command line against a stand-in for the platform.
 
 use std::{
     fs,
@@ -16,10 +16,10 @@
 
 use standin_store::{StoreServer, faults::StoreChange};
 
-/// How often the platform's thread looks whether it should end.
+/// Interval at which the thread of the platform checks whether to stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A platform in a thread, and a folder for documents.
+/// A platform that runs in a thread, and a folder for documents.
 struct Fixture {
     address: SocketAddr,
     folder: PathBuf,
@@ -102,9 +102,9 @@
 
 #[test]
 fn files_based_on_an_older_version_are_refused() {
-    // Two operators start from version 1. One applies a target; the other, whose
-    // checkout lacks it, applies next. Taken as it is, the second would remove
-    // the first one's target without anybody having asked for that.
+    // Two operators start from version 1. One applies files with a new target, and
+    // the other then applies files without it. If these were accepted, the second
+    // operator would unintentionally remove the target of the first.
     let fixture = Fixture::start("older", StoreChange::default());
     let (one, two, three) = (fixture.document(1), fixture.document(2), fixture.document(3));
     fixture.run(&["apply", &one, "--base", "0"]);
@@ -119,9 +119,9 @@
 
 #[test]
 fn a_lost_reply_is_resolved() {
-    // The platform stores each of the five values, the head last, and every reply
-    // is lost. The operator must be told "accepted", once, and the history must
-    // not show the change twice.
+    // The platform stores all five values, the head last, but every reply is lost.
+    // The operator must see "accepted", and the history must contain the change
+    // only once.
     let change = StoreChange { lose_replies: Some(5), ..StoreChange::default() };
     let fixture = Fixture::start("lost", change);
     let one = fixture.document(1);
--- a/crates/kumquatnotch-ctl/tests/explain.rs
+++ b/crates/kumquatnotch-ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Where the worth of answers was lost, told from the logs of several processes.
+//! Tests of the `explain` command on the logs of several processes.
 
 use std::process::Command;
 
@@ -38,15 +38,15 @@
     let words = |line: &str| line.split_whitespace().collect::<Vec<&str>>().join(" ");
     let lines: Vec<String> = report.lines().map(words).collect();
     assert_eq!(code, Some(0));
-    assert_eq!(lines[0], "5 requests, 2.4 answers lost (47.20 in a hundred)");
-    // Two of ten parts cost 0.36 of an answer, half of it for each.
+    assert_eq!(lines[0], "5 requests, 2.4 answers lost (47.20 %)");
+    // Two missing parts of ten lose 1 - 0.8 * 0.8 = 0.36 of an answer, half of it each.
     for line in [
         "1.0 20.00 1 q refused: replicas are crowded",
         "1.0 20.00 1 r late: too few parts in time, replies were lost",
-        "0.2 3.60 1 r part: late, and a copy as well",
-        "0.2 3.60 1 r part: late, without a copy",
+        "0.2 3.60 1 r part: late, hedge also late",
+        "0.2 3.60 1 r part: late, not hedged",
         "2.0 3 2.0 late: too few parts in time, replies were lost",
-        "0.0 2 0.4 part: late, and a copy as well",
+        "0.0 2 0.4 part: late, hedge also late",
     ] {
         assert!(lines.iter().any(|printed| printed == line), "{line}: {report}");
     }
--- a/crates/kumquatnotch-ctl/tests/story.rs
+++ b/crates/kumquatnotch-ctl/tests/story.rs
@@ -1,4 +1,4 @@
-//! The story of a request, told from the logs of several processes.
+//! Tests of the `story` command on the logs of several processes.
 
 use std::{path::PathBuf, process::Command};
 
