--- a/crates/kumquatnotch-ctl/src/explain_command.rs
+++ b/crates/kumquatnotch-ctl/src/explain_command.rs
@@ -37,7 +37,7 @@
         return Err(Error::bad_request("no log line reports the outcome of a request"));
     }
     // A reader of only the first lines, such as `head`, closes the pipe early.
-    let _ = io::stdout().write_all(report.report(args.top).as_bytes());
+    let _ = io::stdout().write_all(report.to_text(args.top).as_bytes());
     let _ = io::stdout().write_all(report_calls(&lines).as_bytes());
     Ok(0)
 }
@@ -155,7 +155,7 @@
     }
 
     /// Formats the sums and the `top` windows with the largest losses.
-    fn report(&self, top: usize) -> String {
+    fn to_text(&self, top: usize) -> String {
         let share = |lost: f64| 100.0 * lost / self.requests as f64;
         let mut lines = vec![
             format!(
