--- a/crates/kumquatnotch-ctl/src/status_command.rs
+++ b/crates/kumquatnotch-ctl/src/status_command.rs
@@ -1,4 +1,4 @@
-//! Tells whether a configuration is in force everywhere.
+//! Reports whether a configuration is in force on every node.
 
 use std::time::Duration;
 
@@ -14,25 +14,30 @@
 
 use crate::{context::Context, options::StatusArgs};
 
-/// The exit code when some node doesn't have it, or can't be asked.
+/// Exit code if the version is not in force on some node, or some node did not answer.
 const LAGGING: u8 = 4;
 
-/// How long to wait between two looks.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two requests for the report.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 pub async fn status(context: &Context, args: &StatusArgs) -> Result<u8> {
     let version = match args.version {
         Some(version) => ConfigVersion(version),
-        None => newest(context).await?,
+        None => newest_version(context).await?,
     };
-    wait_for(context, version, Duration::from_secs(args.wait)).await
+    wait_for_version(context, version, Duration::from_secs(args.wait)).await
 }
 
-/// Waits until every node has `version` in force, and names those that lag.
-pub async fn wait_for(context: &Context, version: ConfigVersion, wait: Duration) -> Result<u8> {
+/// Waits for up to `wait` until `version` is in force on every node, and otherwise prints
+/// the nodes that lag.
+pub async fn wait_for_version(
+    context: &Context,
+    version: ConfigVersion,
+    wait: Duration,
+) -> Result<u8> {
     let end = context.clock.now() + wait;
     loop {
-        let report = ask(context).await?;
+        let report = request_report(context).await?;
         let lagging: Vec<&NodeReport> =
             report.nodes.iter().filter(|node| !node.has_version(version)).collect();
         if lagging.is_empty() && !report.nodes.is_empty() {
@@ -44,12 +49,13 @@
             lagging.iter().for_each(|node| println!("  {node}"));
             return Ok(LAGGING);
         }
-        sleep(&*context.clock, PAUSE).await;
+        sleep(&*context.clock, POLL_INTERVAL).await;
     }
 }
 
-/// The newest version that the platform's service or, without it, a node knows of.
-async fn newest(context: &Context) -> Result<ConfigVersion> {
+/// Returns the version of the head in the platform's store. If the store is unavailable,
+/// returns the newest version that any node reports.
+async fn newest_version(context: &Context) -> Result<ConfigVersion> {
     let head = match context.store() {
         Ok(store) => store.head().await,
         Err(_) => Err(Error::PlatformUnavailable),
@@ -57,14 +63,14 @@
     match head {
         Ok(Some((head, _))) => return Ok(head.version),
         Ok(None) => return Ok(ConfigVersion(0)),
-        Err(error) => println!("the platform's service was not asked: {error}"),
+        Err(error) => println!("failed to read the newest version from the store: {error}"),
     }
-    let report = ask(context).await?;
+    let report = request_report(context).await?;
     let versions = report.nodes.iter().filter_map(|node| node.confirmation);
     Ok(versions.map(|confirmation| confirmation.version).max().unwrap_or_default())
 }
 
-async fn ask(context: &Context) -> Result<ConfigReport> {
+async fn request_report(context: &Context) -> Result<ConfigReport> {
     let reply = context.call(Request::get("/v1/config"), Duration::ZERO).await?;
     serde_json::from_slice(&reply.body).map_err(Error::protocol)
 }
--- a/crates/kumquatnotch/src/operator.rs
+++ b/crates/kumquatnotch/src/operator.rs
@@ -1,4 +1,4 @@
-//! What a node shows its operators.
+//! The operator interface of a node: readiness, status, configuration and metrics.
 
 use std::{
     fmt::Write,
@@ -22,10 +22,10 @@
 use kumquatnotch_net::entry::Operator;
 use kumquatnotch_query::FrontService;
 
-/// How many nodes are asked for their configuration at once.
-const ASKED_AT_ONCE: usize = 64;
+/// Maximum number of concurrent requests for the configuration of other nodes.
+const CONCURRENT_REQUESTS: usize = 64;
 
-/// What a node shows its operators.
+/// The operator interface of a node.
 pub struct NodeOperator {
     clock: Rc<dyn Clock>,
     lifecycle: Lifecycle,
@@ -40,7 +40,7 @@
 }
 
 impl NodeOperator {
-    /// An operator's view of the services in `registry`.
+    /// Creates the operator interface of the services in `registry`.
     pub fn new(
         registry: &Registry,
         holder: Rc<HolderService>,
@@ -62,15 +62,15 @@
         })
     }
 
-    async fn config_of(&self, record: NodeRecord) -> NodeReport {
-        let (confirmation, error) = match self.ask(&record).await {
+    async fn node_report(&self, record: NodeRecord) -> NodeReport {
+        let (confirmation, error) = match self.request_confirmation(&record).await {
             Ok(confirmation) => (Some(confirmation), None),
             Err(error) => (None, Some(error.to_string())),
         };
         NodeReport { name: record.name, state: record.state, confirmation, error }
     }
 
-    async fn ask(&self, record: &NodeRecord) -> Result<Confirmation> {
+    async fn request_confirmation(&self, record: &NodeRecord) -> Result<Confirmation> {
         if record.name == self.members.local().name {
             return Ok(self.members.confirmed());
         }
@@ -132,7 +132,7 @@
 
     fn status(&self) -> String {
         let mut text = String::new();
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ = self.write_status(&mut text);
         text
     }
@@ -142,8 +142,8 @@
             let mut listed = self.members.known();
             listed.extend(self.members.lost());
             listed.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-            let asked = stream::iter(listed).map(|record| self.config_of(record));
-            ConfigReport { nodes: asked.buffered(ASKED_AT_ONCE).collect().await }
+            let reports = stream::iter(listed).map(|record| self.node_report(record));
+            ConfigReport { nodes: reports.buffered(CONCURRENT_REQUESTS).collect().await }
         })
     }
 
