--- a/crates/kumquatnotch-net/src/call_counts.rs
+++ b/crates/kumquatnotch-net/src/call_counts.rs
@@ -10,7 +10,7 @@
 /// How often the counts are written to the log.
 ///
 /// With seven kinds of calls this is less than a line a second for each node.
-const PERIOD: Duration = Duration::from_secs(10);
+const LOG_PERIOD: Duration = Duration::from_secs(10);
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     /// Writes the counts to the log, now and then, for good.
     pub async fn report(self: Rc<CallCounts>, clock: Rc<dyn Clock>) {
         loop {
-            clock::sleep(&*clock, PERIOD).await;
+            clock::sleep(&*clock, LOG_PERIOD).await;
             self.write();
         }
     }
--- a/crates/kumquatnotch-net/src/caller_client.rs
+++ b/crates/kumquatnotch-net/src/caller_client.rs
@@ -5,16 +5,16 @@
 use kumquatnotch_core::{Clock, Result, random::Random};
 
 use crate::{
-    flight::Plan,
     message::{Reply, Request},
+    outbound::OutboundRequest,
     pool::{Lane, Pool, PoolOptions},
 };
 
 /// How long a connection is kept without use.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The largest reply, in bytes.
-const BODY: usize = 64 << 20;
+const MAX_REPLY_BODY: usize = 64 << 20;
 
 /// A client of one node.
 pub struct CallerClient {
@@ -29,7 +29,12 @@
         clock: Rc<dyn Clock>,
         random: Random,
     ) -> CallerClient {
-        let options = PoolOptions { control: 0, work: connections, idle: IDLE, body: BODY };
+        let options = PoolOptions {
+            max_control: 0,
+            max_work: connections,
+            idle_timeout: IDLE_TIMEOUT,
+            max_body: MAX_REPLY_BODY,
+        };
         CallerClient { pool: Pool::new(address, options, clock, random) }
     }
 
@@ -39,6 +44,6 @@
     /// its caller has gone away.
     pub async fn call(&self, request: Request, time: Duration) -> Result<Reply> {
         let deadline = self.pool.clock.now() + time;
-        self.pool.call(Lane::Work, &Plan::plain(request), deadline).await
+        self.pool.call(Lane::Work, &OutboundRequest::plain(request), deadline).await
     }
 }
--- a/crates/kumquatnotch-net/src/link.rs
+++ b/crates/kumquatnotch-net/src/client_connection.rs
@@ -18,10 +18,10 @@
 use kumquatnotch_core::{Error, LocalFuture, Result, clock};
 
 use crate::{
-    exchange::{Ends, Exchanged},
+    exchange::{ClientStream, ExchangeResult},
     message::{Reply, Request},
     pool::{Lane, Pool},
-    silence::{self, CancelProof},
+    silence::{self, CancelOutcome},
 };
 
 /// A request for one connection.
@@ -29,7 +29,7 @@
     /// The request.
     pub(crate) request: Request,
     /// Its number.
-    pub(crate) number: u64,
+    pub(crate) request_id: u64,
     /// Where the reply goes; [`JobFault::NotSent`] tells that another connection can be tried.
     pub(crate) reply: oneshot::Sender<Result<Reply, JobFault>>,
     /// Asks, when sent, whether the connection is silent.
@@ -39,11 +39,11 @@
     /// A request to send before this one, to see whether the connection lives.
     pub(crate) check: Option<Request>,
     /// The silence in which a node of the tier would have sent something.
-    pub(crate) mute: Option<Duration>,
+    pub(crate) silence_timeout: Option<Duration>,
 }
 
 /// Cancels a request at the other side and tells what that proved.
-pub(crate) type Cancel = Rc<dyn Fn() -> LocalFuture<'static, CancelProof>>;
+pub(crate) type Cancel = Rc<dyn Fn() -> LocalFuture<'static, CancelOutcome>>;
 
 /// Why a job failed.
 #[derive(Debug)]
@@ -57,14 +57,14 @@
 /// What is known about a connection whose request was abandoned or questioned.
 enum Drained {
     /// The reply came.
-    Reply(Result<Exchanged>),
+    Reply(Result<ExchangeResult>),
     /// Nothing came in the time that a living connection would have needed.
-    Mute(CancelProof),
+    NoReply(CancelOutcome),
 }
 
 /// What a job leaves of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum After {
+enum Disposition {
     /// It can be used again.
     Keep,
     /// It must be closed.
@@ -74,62 +74,73 @@
 }
 
 /// Runs a connection to its end.
-pub(crate) async fn run(mut ends: Ends, pool: Weak<Pool>, lane: Lane, address: SocketAddr) {
-    let mut useful = false;
-    let mut after = After::Lost;
-    while let Some(job) = next_job(&mut ends, &pool, lane).await {
+pub(crate) async fn run(
+    mut stream: ClientStream,
+    pool: Weak<Pool>,
+    lane: Lane,
+    address: SocketAddr,
+) {
+    let mut served = false;
+    let mut disposition = Disposition::Lost;
+    while let Some(job) = next_job(&mut stream, &pool, lane).await {
         let Some(pool) = pool.upgrade() else {
             return;
         };
-        after = run_job(&mut ends, job, &pool, lane, address).await;
-        if after != After::Keep {
+        disposition = run_job(&mut stream, job, &pool, lane, address).await;
+        if disposition != Disposition::Keep {
             break;
         }
-        useful = true;
+        served = true;
         pool.note_success();
     }
     if let Some(pool) = pool.upgrade() {
         // A target that takes connections only to drop them is as good as one
         // that refuses them.
-        pool.closed(lane, after == After::Lost && !useful);
+        pool.closed(lane, disposition == Disposition::Lost && !served);
     }
 }
 
 /// Offers the connection to its pool and waits for a job; `None` if it has ended.
-async fn next_job(ends: &mut Ends, pool: &Weak<Pool>, lane: Lane) -> Option<Job> {
+async fn next_job(stream: &mut ClientStream, pool: &Weak<Pool>, lane: Lane) -> Option<Job> {
     let (sender, receiver) = oneshot::channel();
     let mut idle = {
         let pool = pool.upgrade()?;
-        let idle = clock::sleep(&*pool.clock, pool.options.idle);
+        let idle = clock::sleep(&*pool.clock, pool.options.idle_timeout);
         pool.offer(lane, sender);
         idle.fuse()
     };
     let mut receiver = receiver.fuse();
-    let mut ended = pin!(ends.ended().fuse());
+    let mut closed = pin!(stream.wait_closed().fuse());
     // The end is looked at first: a job that is dropped here was not sent, and
     // its caller takes another connection.
     select_biased! {
-        _ = ended => None,
+        _ = closed => None,
         job = receiver => job.ok(),
         () = idle => None,
     }
 }
 
 /// Runs one job.
-async fn run_job(ends: &mut Ends, job: Job, pool: &Pool, lane: Lane, address: SocketAddr) -> After {
-    let Job { request, number, mut reply, challenge, cancel, check, mute } = job;
+async fn run_job(
+    stream: &mut ClientStream,
+    job: Job,
+    pool: &Pool,
+    lane: Lane,
+    address: SocketAddr,
+) -> Disposition {
+    let Job { request, request_id, mut reply, challenge, cancel, check, silence_timeout } = job;
     let clock = &*pool.clock;
     if let Some(check) = check
-        && !answers(ends, check, pool, address).await
+        && !answers(stream, check, pool, address).await
     {
         let _ = reply.send(Err(JobFault::NotSent));
-        return After::Close;
+        return Disposition::Close;
     }
     // Whoever gave up during the check must not have the request run later.
     if reply.is_canceled() {
-        return After::Keep;
+        return Disposition::Keep;
     }
-    let mut work = pin!(ends.exchange(request, number, mute, clock).fuse());
+    let mut work = pin!(stream.exchange(request, request_id, silence_timeout, clock).fuse());
     let mut challenge = pin!(
         async {
             // A sender that was dropped asks nothing.
@@ -148,48 +159,54 @@
     // Without a way to cancel, closing the connection is what tells the other side.
     let Some(cancel) = cancel else {
         let _ = reply.send(Err(JobFault::Failed(Error::TimedOut)));
-        return After::Close;
+        return Disposition::Close;
     };
-    let mute = pin!(async {
-        let proof = cancel().await;
-        clock::sleep(clock, silence::HASTY_DRAIN_TIME).await;
+    let drain = pin!(async {
+        let outcome = cancel().await;
+        clock::sleep(clock, silence::SHORT_DRAIN_TIMEOUT).await;
         // A new connection costs less than callers that wait behind this one.
-        if !abandoned || !pool.is_wanted(lane) {
-            clock::sleep(clock, silence::DRAIN_TIME - silence::HASTY_DRAIN_TIME).await;
+        if !abandoned || !pool.has_waiters(lane) {
+            clock::sleep(clock, silence::DRAIN_TIMEOUT - silence::SHORT_DRAIN_TIMEOUT).await;
         }
-        proof
+        outcome
     });
     let drained = select_biased! {
         result = work => Drained::Reply(result),
-        proof = mute.fuse() => Drained::Mute(proof),
+        outcome = drain.fuse() => Drained::NoReply(outcome),
     };
     match drained {
         Drained::Reply(result) => finish(result, reply, address),
         // Nobody suspected this connection; its target may be slow to cancel.
-        Drained::Mute(_) if reply.is_canceled() => {
+        Drained::NoReply(_) if reply.is_canceled() => {
             metrics::counter!("kumquatnotch_undrained_connections_total").increment(1);
-            After::Close
+            Disposition::Close
         }
-        Drained::Mute(CancelProof::Answered) => {
+        Drained::NoReply(CancelOutcome::Answered) => {
             silence::report(address, "a cancelled request was never answered");
             let _ = reply.send(Err(JobFault::Failed(Error::ConnectionSilent)));
-            After::Close
+            Disposition::Close
         }
         // The whole target is quiet, which says nothing about this connection.
-        Drained::Mute(CancelProof::Nothing) => {
+        Drained::NoReply(CancelOutcome::Unanswered) => {
             let _ = reply.send(Err(JobFault::Failed(Error::TimedOut)));
-            After::Close
+            Disposition::Close
         }
     }
 }
 
 /// Whether the other side answers on this connection at all.
-async fn answers(ends: &mut Ends, check: Request, pool: &Pool, address: SocketAddr) -> bool {
+async fn answers(
+    stream: &mut ClientStream,
+    check: Request,
+    pool: &Pool,
+    address: SocketAddr,
+) -> bool {
     let clock = &*pool.clock;
-    let deadline = clock.now() + silence::CHECK_TIME;
-    let number = pool.number();
-    match clock::timeout_at(clock, deadline, ends.exchange(check, number, None, clock)).await {
-        Ok(Ok(exchanged)) => exchanged.keep,
+    let deadline = clock.now() + silence::CHECK_TIMEOUT;
+    let request_id = pool.next_request_id();
+    match clock::timeout_at(clock, deadline, stream.exchange(check, request_id, None, clock)).await
+    {
+        Ok(Ok(exchanged)) => exchanged.keep_alive,
         Ok(Err(_)) => false,
         Err(_) => {
             silence::report(address, "it did not answer a check before its next use");
@@ -200,23 +217,24 @@
 
 /// Hands a result to the caller.
 fn finish(
-    result: Result<Exchanged>,
+    result: Result<ExchangeResult>,
     reply: oneshot::Sender<Result<Reply, JobFault>>,
     address: SocketAddr,
-) -> After {
+) -> Disposition {
     match result {
         Ok(exchanged) => {
             // A caller that has gone away no longer wants it.
             let _ = reply.send(Ok(exchanged.reply));
-            if exchanged.keep { After::Keep } else { After::Close }
+            if exchanged.keep_alive { Disposition::Keep } else { Disposition::Close }
         }
         Err(error) => {
             if error == Error::ConnectionSilent {
                 silence::report(address, "a working node would have sent something");
             }
-            let after = if error == Error::ConnectionLost { After::Lost } else { After::Close };
+            let disposition =
+                if error == Error::ConnectionLost { Disposition::Lost } else { Disposition::Close };
             let _ = reply.send(Err(JobFault::Failed(error)));
-            after
+            disposition
         }
     }
 }
--- a/crates/kumquatnotch-net/src/entry.rs
+++ b/crates/kumquatnotch-net/src/entry.rs
@@ -37,7 +37,7 @@
 pub const OPERATOR: &str = "operator";
 
 /// When a caller that met the bound on searches may come back.
-const BUSY_RETRY: Duration = Duration::from_millis(100);
+const OVERLOAD_RETRY: Duration = Duration::from_millis(100);
 
 /// The routes for callers and operators.
 ///
@@ -45,7 +45,7 @@
 /// there before them: they need its address.
 pub struct EntryRoute {
     registry: Registry,
-    limit: usize,
+    max_searches: usize,
     searches: Cell<usize>,
 }
 
@@ -55,9 +55,9 @@
 }
 
 impl EntryRoute {
-    /// Routes to the services of `registry`, with at most `limit` searches at once.
-    pub fn new(registry: Registry, limit: usize) -> EntryRoute {
-        EntryRoute { registry, limit, searches: Cell::new(0) }
+    /// Routes to the services of `registry`, with at most `max_searches` searches at once.
+    pub fn new(registry: Registry, max_searches: usize) -> EntryRoute {
+        EntryRoute { registry, max_searches, searches: Cell::new(0) }
     }
 
     fn front(&self) -> Result<Rc<dyn Front>> {
@@ -71,10 +71,10 @@
     async fn search(&self, request: Request) -> Reply {
         // Only searches are refused here: whether a non-idempotent request has run
         // is known to the front alone, and a refusal says "not run".
-        if self.searches.get() >= self.limit {
-            return Reply::error(&Error::overloaded(BUSY_RETRY));
+        if self.searches.get() >= self.max_searches {
+            return Reply::error(&Error::overloaded(OVERLOAD_RETRY));
         }
-        let _running = Running::new(&self.searches);
+        let _running = SearchGuard::new(&self.searches);
         let answer = async {
             let key = key_of(&request)?;
             self.front()?.search(key, request.json()?).await
@@ -99,7 +99,7 @@
     }
 
     fn advice(&self, request: &Request) -> Reply {
-        to_reply(self.front().map(|front| front.advice(request.field("near"))))
+        to_reply(self.front().map(|front| front.advice(request.query_param("near"))))
     }
 
     async fn config(&self) -> Reply {
@@ -118,16 +118,16 @@
 }
 
 /// Counts a search for as long as it runs.
-struct Running<'a>(&'a Cell<usize>);
+struct SearchGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Running<'a> {
-    fn new(cell: &'a Cell<usize>) -> Running<'a> {
+impl<'a> SearchGuard<'a> {
+    fn new(cell: &'a Cell<usize>) -> SearchGuard<'a> {
         cell.set(cell.get() + 1);
-        Running(cell)
+        SearchGuard(cell)
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for SearchGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -151,7 +151,7 @@
         match request.path.as_str() {
             "/v1/search" => Work::new(self.search(request)),
             "/v1/tickets" => Work::ready(self.ticket(&request)),
-            "/v1/exclusive" => Work::lasting(self.exclusive(request)),
+            "/v1/exclusive" => Work::detached(self.exclusive(request)),
             "/v1/entry" => Work::ready(self.advice(&request)),
             "/readyz" => self.page(ready),
             "/status" => self.page(|operator| Reply::text(StatusCode::OK, operator.status())),
--- a/crates/kumquatnotch-net/src/exchange.rs
+++ b/crates/kumquatnotch-net/src/exchange.rs
@@ -12,55 +12,55 @@
 use monoio_http::{common::body::HttpBody, h1::codec::encoder::GenericEncoder};
 
 use crate::{
-    message::{REQUEST_HEADER, Reply, Request},
+    message::{REQUEST_ID_HEADER, Reply, Request},
     reader::{Peek, ReadFault, ResponseReader},
 };
 
 /// The two ends of a connection of a client.
-pub(crate) struct Ends {
+pub(crate) struct ClientStream {
     reader: ResponseReader,
     encoder: GenericEncoder<OwnedWriteHalf<TcpStream>>,
     address: SocketAddr,
 }
 
 /// A reply, and whether the connection can be used again.
-pub(crate) struct Exchanged {
+pub(crate) struct ExchangeResult {
     pub(crate) reply: Reply,
-    pub(crate) keep: bool,
+    pub(crate) keep_alive: bool,
 }
 
-impl Ends {
+impl ClientStream {
     /// Takes over a connection; replies may have bodies of up to `limit` bytes.
-    pub(crate) fn new(stream: TcpStream, address: SocketAddr, limit: usize) -> Ends {
+    pub(crate) fn new(stream: TcpStream, address: SocketAddr, limit: usize) -> ClientStream {
         let (read, write) = stream.into_split();
         let reader = ResponseReader::new(read, limit);
-        Ends { reader, encoder: GenericEncoder::new(write), address }
+        ClientStream { reader, encoder: GenericEncoder::new(write), address }
     }
 
     /// Completes when an idle connection has ended.
     ///
     /// Bytes that nobody asked for end it too: a late or doubled reply would be
     /// taken for the reply to the next request.
-    pub(crate) async fn ended(&mut self) -> Peek {
+    pub(crate) async fn wait_closed(&mut self) -> Peek {
         self.reader.peek().await
     }
 
     /// Sends `request` and reads its reply.
     ///
-    /// With `mute`, the other side is one of our nodes: it sends an interim
+    /// With `silence_timeout`, the other side is one of our nodes: it sends an interim
     /// response now and then while it works, and a silence of that length means
     /// that the connection is lost.
     pub(crate) async fn exchange(
         &mut self,
         request: Request,
-        number: u64,
-        mute: Option<Duration>,
+        request_id: u64,
+        silence_timeout: Option<Duration>,
         clock: &dyn Clock,
-    ) -> Result<Exchanged> {
-        let request = self.head_of(request, number)?;
+    ) -> Result<ExchangeResult> {
+        let request = self.build_request(request, request_id)?;
         self.encoder.send_and_flush(request).await.map_err(|_| Error::ConnectionLost)?;
         loop {
-            let head = read_head(&mut self.reader, mute, clock).await?;
+            let head = read_head(&mut self.reader, silence_timeout, clock).await?;
             let (head, decoder) = head;
             if head.status.is_informational() {
                 continue;
@@ -68,13 +68,13 @@
             let body = self.reader.body(&head.headers, decoder).await.map_err(to_error)?;
             let Parts { status, headers, .. } = head;
             let reply = Reply { status, headers, body };
-            check_number(&reply, number)?;
-            let keep = keeps_alive(&reply);
-            return Ok(Exchanged { reply, keep });
+            check_request_id(&reply, request_id)?;
+            let keep_alive = keeps_alive(&reply);
+            return Ok(ExchangeResult { reply, keep_alive });
         }
     }
 
-    fn head_of(&self, request: Request, number: u64) -> Result<http::Request<HttpBody>> {
+    fn build_request(&self, request: Request, request_id: u64) -> Result<http::Request<HttpBody>> {
         let uri: Uri = request.target().parse().map_err(Error::internal)?;
         let body = if request.body.is_empty() { None } else { Some(request.body) };
         let mut message = http::Request::new(HttpBody::Ready(body));
@@ -85,7 +85,7 @@
         let host = HeaderValue::from_str(&self.address.to_string()).map_err(Error::internal)?;
         headers.insert(header::HOST, host);
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from_static("0"));
-        headers.insert(REQUEST_HEADER, HeaderValue::from(number));
+        headers.insert(REQUEST_ID_HEADER, HeaderValue::from(request_id));
         Ok(message)
     }
 }
@@ -96,14 +96,14 @@
 
 async fn read_head(
     reader: &mut ResponseReader,
-    mute: Option<Duration>,
+    silence_timeout: Option<Duration>,
     clock: &dyn Clock,
 ) -> Result<Head> {
     let head = reader.head();
-    let Some(mute) = mute else {
+    let Some(silence_timeout) = silence_timeout else {
         return head.await.map_err(to_error);
     };
-    match select(std::pin::pin!(head), clock::sleep(clock, mute)).await {
+    match select(std::pin::pin!(head), clock::sleep(clock, silence_timeout)).await {
         Either::Left((head, _)) => head.map_err(to_error),
         Either::Right(_) => Err(Error::ConnectionSilent),
     }
@@ -112,17 +112,17 @@
 fn to_error(fault: ReadFault) -> Error {
     match fault {
         ReadFault::Closed => Error::ConnectionLost,
-        ReadFault::Broken(detail) => Error::protocol(detail),
+        ReadFault::Malformed(detail) => Error::protocol(detail),
         ReadFault::TooLong => Error::protocol("the reply is too long"),
     }
 }
 
 /// Checks that a reply which carries a number carries that of its request.
-fn check_number(reply: &Reply, number: u64) -> Result<()> {
-    match reply.header::<u64>(REQUEST_HEADER) {
-        Some(other) if other != number => {
-            Err(Error::protocol(format!("a reply to request {other} came for request {number}")))
-        }
+fn check_request_id(reply: &Reply, request_id: u64) -> Result<()> {
+    match reply.header::<u64>(REQUEST_ID_HEADER) {
+        Some(other) if other != request_id => Err(Error::protocol(format!(
+            "a reply to request {other} came for request {request_id}"
+        ))),
         _ => Ok(()),
     }
 }
--- a/crates/kumquatnotch-net/src/lib.rs
+++ b/crates/kumquatnotch-net/src/lib.rs
@@ -20,13 +20,13 @@
 pub mod silence;
 pub mod target_links;
 
-mod connection;
+mod client_connection;
 mod exchange;
-mod flight;
-mod link;
-mod pace;
+mod latency;
+mod outbound;
 mod pool;
 mod reader;
+mod server_connection;
 mod socket;
 mod target_reply;
 
--- a/crates/kumquatnotch-net/src/message.rs
+++ b/crates/kumquatnotch-net/src/message.rs
@@ -14,7 +14,7 @@
 ///
 /// A reply with another number belongs to another request: the connection has
 /// got out of step and is closed instead of handing one caller's answer to the next.
-pub const REQUEST_HEADER: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// The content type of JSON.
 pub const JSON: &str = "application/json";
@@ -75,7 +75,7 @@
     }
 
     /// A field of the query, as it was written.
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub fn query_param(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
     }
--- a/crates/kumquatnotch-net/src/opaque_link.rs
+++ b/crates/kumquatnotch-net/src/opaque_link.rs
@@ -41,7 +41,7 @@
 /// How many replies to earlier requests are passed over before the one awaited.
 ///
 /// A faulty replica sends a reply twice; each extra one stands before the next.
-const EXTRA_REPLIES: usize = 4;
+const MAX_REPLIES_READ: usize = 4;
 
 /// A reply, and whether its connection can be used again.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     /// The reply, without the headers of the connection.
     pub reply: Reply,
     /// How long the connection may stay idle; `None` if it must be closed.
-    pub keep: Option<Duration>,
+    pub idle_limit: Option<Duration>,
 }
 
 /// A connection that carries requests of others unchanged.
@@ -79,14 +79,14 @@
     ///
     /// Its end, or bytes that nobody asked for, would otherwise be taken for the
     /// reply to the next request.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_reusable(&mut self) -> bool {
         self.reader.peek().now_or_never().is_none()
     }
 
     /// Whether nothing of a reply has come, so that [`receive`](OpaqueLink::receive) can
     /// be dropped and called again for the same request.
-    pub fn is_untouched(&self) -> bool {
-        self.reader.is_untouched()
+    pub fn awaits_first_byte(&self) -> bool {
+        self.reader.awaits_first_byte()
     }
 
     /// Sends a request.
@@ -107,14 +107,14 @@
         self.encoder.send_and_flush(message).await.map_err(|_| Error::ConnectionLost)
     }
 
-    /// Reads the reply that `belongs` to the request sent last.
+    /// Reads the reply that belongs to the request sent last.
     ///
     /// Replies to earlier requests, which the other side sent late or twice, are
     /// passed over.
-    pub async fn receive(&mut self, belongs: &dyn Fn(&Reply) -> bool) -> Result<OpaqueReply> {
-        for _ in 0..EXTRA_REPLIES {
+    pub async fn receive(&mut self, is_match: &dyn Fn(&Reply) -> bool) -> Result<OpaqueReply> {
+        for _ in 0..MAX_REPLIES_READ {
             let answer = self.receive_any().await?;
-            if belongs(&answer.reply) {
+            if is_match(&answer.reply) {
                 return Ok(answer);
             }
         }
@@ -131,12 +131,15 @@
             let body = if framed {
                 self.reader.body(&head.headers, decoder).await.map_err(to_error)?
             } else {
-                self.reader.rest().await.map_err(to_error)?
+                self.reader.body_to_end().await.map_err(to_error)?
             };
-            let keep = if framed { idle_time(&head.headers) } else { None };
+            let idle_limit = if framed { idle_time(&head.headers) } else { None };
             let mut headers = head.headers;
             remove_hop_headers(&mut headers);
-            return Ok(OpaqueReply { reply: Reply { status: head.status, headers, body }, keep });
+            return Ok(OpaqueReply {
+                reply: Reply { status: head.status, headers, body },
+                idle_limit,
+            });
         }
     }
 }
@@ -177,19 +180,19 @@
     if text(header::CONNECTION).is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
         return None;
     }
-    let told = text(header::HeaderName::from_static("keep-alive"))
+    let advertised = text(header::HeaderName::from_static("keep-alive"))
         .into_iter()
         .flat_map(|value| value.split(','))
         .filter_map(|part| part.trim().strip_prefix("timeout="))
         .find_map(|seconds| seconds.parse::<u64>().ok());
-    let idle = told.map_or(DEFAULT_IDLE, Duration::from_secs);
+    let idle = advertised.map_or(DEFAULT_IDLE, Duration::from_secs);
     Some(idle.saturating_sub(IDLE_MARGIN))
 }
 
 fn to_error(fault: ReadFault) -> Error {
     match fault {
         ReadFault::Closed => Error::ConnectionLost,
-        ReadFault::Broken(detail) => Error::protocol(detail),
+        ReadFault::Malformed(detail) => Error::protocol(detail),
         ReadFault::TooLong => Error::protocol("the reply is too long"),
     }
 }
--- a/crates/kumquatnotch-net/src/flight.rs
+++ b/crates/kumquatnotch-net/src/outbound.rs
@@ -10,51 +10,57 @@
 use kumquatnotch_core::{Clock, Error, Result, target::MIN_CALL_TIME};
 
 use crate::{
-    link::{Cancel, Job, JobFault},
+    client_connection::{Cancel, Job, JobFault},
     message::{DEADLINE_HEADER, Reply, Request},
     pool::{Lane, Pool},
 };
 
 /// How many connections are tried that turn out to have ended before anything was sent.
-const TRY_COUNT: usize = 8;
+const MAX_ATTEMPTS: usize = 8;
 
 /// How long the first try of an idempotent request may take at least.
-const FIRST_TRY: Duration = Duration::from_millis(150);
+const MIN_FIRST_ATTEMPT: Duration = Duration::from_millis(150);
 
 /// A request and how it is to be sent.
-pub(crate) struct Plan {
+pub(crate) struct OutboundRequest {
     /// The request.
     pub(crate) request: Request,
     /// Whether it carries the time left.
-    pub(crate) timed: bool,
+    pub(crate) carry_deadline: bool,
     /// Cancels it at the other side.
     pub(crate) cancel: Option<Cancel>,
     /// A request that shows whether a connection lives, and the idle time from
     /// which on it is sent first.
     pub(crate) check: Option<(Duration, Request)>,
     /// The silence after which a connection to a node is lost.
-    pub(crate) mute: Option<Duration>,
+    pub(crate) silence_timeout: Option<Duration>,
 }
 
-impl Plan {
+impl OutboundRequest {
     /// A request without any of the rest.
-    pub(crate) fn plain(request: Request) -> Plan {
-        Plan { request, timed: false, cancel: None, check: None, mute: None }
+    pub(crate) fn plain(request: Request) -> OutboundRequest {
+        OutboundRequest {
+            request,
+            carry_deadline: false,
+            cancel: None,
+            check: None,
+            silence_timeout: None,
+        }
     }
 }
 
 /// A request that was handed to a connection.
 ///
-/// Dropping it abandons the request: it is cancelled if its plan says how, and
+/// Dropping it abandons the request: it is cancelled if `cancel` is set, and
 /// else its connection is closed.
-pub(crate) struct Flight {
+pub(crate) struct PendingRequest {
     reply: oneshot::Receiver<Result<Reply, JobFault>>,
     challenge: Option<oneshot::Sender<()>>,
     /// When it was handed over.
     pub(crate) start: Instant,
 }
 
-impl Flight {
+impl PendingRequest {
     /// Waits for the reply until `until`.
     pub(crate) async fn wait(
         &mut self,
@@ -81,35 +87,35 @@
     pub(crate) async fn start(
         self: &Rc<Pool>,
         lane: Lane,
-        plan: &Plan,
+        outbound: &OutboundRequest,
         deadline: Instant,
-    ) -> Result<Flight> {
-        for _ in 0..TRY_COUNT {
+    ) -> Result<PendingRequest> {
+        for _ in 0..MAX_ATTEMPTS {
             let lease = self.acquire(lane, deadline).await?;
             let start = self.clock.now();
             let left = deadline.saturating_duration_since(start);
             if left < MIN_CALL_TIME {
                 return Err(Error::ExpiredInQueue);
             }
-            let mut request = plan.request.clone();
-            if plan.timed {
+            let mut request = outbound.request.clone();
+            if outbound.carry_deadline {
                 request = request.with(DEADLINE_HEADER, left.as_millis());
             }
             let idle = lease.idle_for();
-            let check = plan.check.as_ref().filter(|(age, _)| idle >= *age);
+            let check = outbound.check.as_ref().filter(|(age, _)| idle >= *age);
             let (reply, receiver) = oneshot::channel();
             let (challenge, asked) = oneshot::channel();
             let job = Job {
                 request,
-                number: self.number(),
+                request_id: self.next_request_id(),
                 reply,
                 challenge: asked,
-                cancel: plan.cancel.clone(),
+                cancel: outbound.cancel.clone(),
                 check: check.map(|(_, request)| request.clone()),
-                mute: plan.mute,
+                silence_timeout: outbound.silence_timeout,
             };
             if lease.run(job) {
-                return Ok(Flight { reply: receiver, challenge: Some(challenge), start });
+                return Ok(PendingRequest { reply: receiver, challenge: Some(challenge), start });
             }
         }
         Err(Error::ConnectFailed)
@@ -119,12 +125,12 @@
     pub(crate) async fn call(
         self: &Rc<Pool>,
         lane: Lane,
-        plan: &Plan,
+        outbound: &OutboundRequest,
         deadline: Instant,
     ) -> Result<Reply> {
-        for _ in 0..TRY_COUNT {
-            let mut flight = self.start(lane, plan, deadline).await?;
-            match flight.wait(&*self.clock, deadline).await {
+        for _ in 0..MAX_ATTEMPTS {
+            let mut pending = self.start(lane, outbound, deadline).await?;
+            match pending.wait(&*self.clock, deadline).await {
                 Some(Ok(reply)) => return Ok(reply),
                 Some(Err(JobFault::Failed(error))) => return Err(error),
                 Some(Err(JobFault::NotSent)) => {}
@@ -140,27 +146,27 @@
     /// Otherwise one silent connection would make a living target or node look
     /// dead to whoever probes it. The first try lasts longer where replies are
     /// usually slow, since a second try costs the other side a connection.
-    pub(crate) async fn call_again(
+    pub(crate) async fn call_with_retry(
         self: &Rc<Pool>,
         lane: Lane,
-        plan: &Plan,
+        outbound: &OutboundRequest,
         deadline: Instant,
     ) -> Result<Reply> {
         let now = self.clock.now();
         let half = deadline.saturating_duration_since(now) / 2;
-        let first = half.min(self.pace.lateness().max(FIRST_TRY));
-        let result = match self.call(lane, plan, now + first).await {
+        let first = half.min(self.latency.late_threshold().max(MIN_FIRST_ATTEMPT));
+        let result = match self.call(lane, outbound, now + first).await {
             Err(Error::TimedOut | Error::ConnectionLost | Error::ConnectionSilent) => {
                 self.purge(lane);
                 metrics::counter!("kumquatnotch_control_retries_total").increment(1);
-                self.call(lane, plan, deadline).await
+                self.call(lane, outbound, deadline).await
             }
             // The whole time was not used yet, and nothing was sent.
-            Err(Error::ExpiredInQueue) => self.call(lane, plan, deadline).await,
+            Err(Error::ExpiredInQueue) => self.call(lane, outbound, deadline).await,
             other => other,
         };
         if result.is_ok() {
-            self.pace.note(now, self.clock.now());
+            self.latency.note(now, self.clock.now());
         }
         result
     }
--- a/crates/kumquatnotch-net/src/peer_links.rs
+++ b/crates/kumquatnotch-net/src/peer_links.rs
@@ -18,32 +18,37 @@
 };
 
 use crate::{
-    flight::Plan,
     message::Request,
+    outbound::OutboundRequest,
     peer_route::PEER_PATH,
     pool::{Lane, Pool, PoolOptions},
     silence,
 };
 
 /// How many addresses are kept before unused ones are looked for.
-const SWEEP_SIZE: usize = 64;
+const SWEEP_THRESHOLD: usize = 64;
 
 /// Options of [`PeerLinks`].
 #[derive(Clone, Debug)]
 pub struct PeerLinkOptions {
     /// The most connections for sub-requests to one node.
-    pub work: usize,
+    pub max_work: usize,
     /// The most connections for control messages to one node.
-    pub control: usize,
+    pub max_control: usize,
     /// The largest reply, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// How long a connection is kept without use.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for PeerLinkOptions {
     fn default() -> PeerLinkOptions {
-        PeerLinkOptions { work: 64, control: 2, body: 16 << 20, idle: Duration::from_secs(30) }
+        PeerLinkOptions {
+            max_work: 64,
+            max_control: 2,
+            max_body: 16 << 20,
+            idle_timeout: Duration::from_secs(30),
+        }
     }
 }
 
@@ -71,11 +76,11 @@
             return pool.clone();
         }
         // Addresses of nodes that are gone would add up over a year of restarts.
-        if pools.len() >= SWEEP_SIZE && pools.len().is_power_of_two() {
+        if pools.len() >= SWEEP_THRESHOLD && pools.len().is_power_of_two() {
             pools.retain(|_, pool| pool.open_count() > 0);
         }
-        let PeerLinkOptions { work, control, body, idle } = self.options;
-        let options = PoolOptions { control, work, idle, body };
+        let PeerLinkOptions { max_work, max_control, max_body, idle_timeout } = self.options;
+        let options = PoolOptions { max_control, max_work, idle_timeout, max_body };
         let pool = Pool::new(address, options, self.clock.clone(), self.random.clone());
         pools.insert(address, pool.clone());
         pool
@@ -95,17 +100,21 @@
             // budget counts them with each membership message.
             let mut request = Request::new(Method::POST, PEER_PATH);
             request.body = codec::encode(message)?.into();
-            let plan = Plan {
+            let outbound = OutboundRequest {
                 request,
                 // Messages that need it carry the time left themselves.
-                timed: false,
+                carry_deadline: false,
                 cancel: None,
-                check: check_of(message),
-                mute: Some(silence::MUTE_TIME),
+                check: check_for(message),
+                silence_timeout: Some(silence::SILENCE_TIMEOUT),
             };
             let reply = match kind_of(message) {
-                Kind::Control => pool.call_again(Lane::Control, &plan, deadline).await?,
-                Kind::Search | Kind::Exclusive => pool.call(Lane::Work, &plan, deadline).await?,
+                MessageKind::Control => {
+                    pool.call_with_retry(Lane::Control, &outbound, deadline).await?
+                }
+                MessageKind::Search | MessageKind::Exclusive => {
+                    pool.call(Lane::Work, &outbound, deadline).await?
+                }
             };
             match reply.status.as_u16() {
                 200 => codec::decode(&reply.body),
@@ -117,7 +126,7 @@
 
 /// How a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
+pub(crate) enum MessageKind {
     /// It is answered at once and may be sent twice.
     Control,
     /// It takes time and may be sent twice, which its sender decides.
@@ -127,7 +136,7 @@
 }
 
 /// How `message` is sent.
-pub(crate) fn kind_of(message: &PeerMessage) -> Kind {
+pub(crate) fn kind_of(message: &PeerMessage) -> MessageKind {
     match message {
         PeerMessage::Ping(_)
         | PeerMessage::PingFor(_)
@@ -135,18 +144,18 @@
         | PeerMessage::Exchange(_)
         | PeerMessage::Fetch(_)
         | PeerMessage::ConfigState
-        | PeerMessage::Versions(_) => Kind::Control,
-        PeerMessage::Group(_) => Kind::Search,
-        PeerMessage::Relay(_) | PeerMessage::Exclusive(_) => Kind::Exclusive,
+        | PeerMessage::Versions(_) => MessageKind::Control,
+        PeerMessage::Group(_) => MessageKind::Search,
+        PeerMessage::Relay(_) | PeerMessage::Exclusive(_) => MessageKind::Exclusive,
     }
 }
 
 /// How a connection is checked before `message` is sent on it.
-fn check_of(message: &PeerMessage) -> Option<(Duration, Request)> {
+fn check_for(message: &PeerMessage) -> Option<(Duration, Request)> {
     let age = match kind_of(message) {
-        Kind::Control => return None,
-        Kind::Search => silence::CHECK_SEARCH,
-        Kind::Exclusive => silence::CHECK_EXCLUSIVE,
+        MessageKind::Control => return None,
+        MessageKind::Search => silence::SEARCH_CHECK_IDLE,
+        MessageKind::Exclusive => silence::EXCLUSIVE_CHECK_IDLE,
     };
     Some((age, Request::get("/healthz")))
 }
--- a/crates/kumquatnotch-net/src/peer_route.rs
+++ b/crates/kumquatnotch-net/src/peer_route.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     message::{Reply, Request},
-    peer_links::{Kind, kind_of},
+    peer_links::{MessageKind, kind_of},
     server::{Handler, Work},
 };
 
@@ -67,8 +67,8 @@
         // A search ends with its asker; what must run at most once goes on, so
         // that its outcome can be asked for again.
         match kind_of(&message) {
-            Kind::Exclusive => Work::lasting(self.answer(message)),
-            Kind::Control | Kind::Search => Work::new(self.answer(message)),
+            MessageKind::Exclusive => Work::detached(self.answer(message)),
+            MessageKind::Control | MessageKind::Search => Work::new(self.answer(message)),
         }
     }
 }
--- a/crates/kumquatnotch-net/src/pool.rs
+++ b/crates/kumquatnotch-net/src/pool.rs
@@ -18,19 +18,22 @@
 use futures_channel::oneshot;
 use kumquatnotch_core::{Clock, Error, Result, clock, random::Random};
 
-use crate::{exchange::Ends, link, link::Job, pace::Pace, socket};
+use crate::{
+    client_connection, client_connection::Job, exchange::ClientStream, latency::LatencyEstimator,
+    socket,
+};
 
 /// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The pause after the first failure to open a connection, before jitter.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
 /// The longest pause after failures, before jitter.
-const LAST_BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Below which the first number of a request is drawn, so that pools differ.
-const FIRST_NUMBER: usize = 10_000;
+const INITIAL_ID_RANGE: usize = 10_000;
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,13 +50,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PoolOptions {
     /// The most connections for control.
-    pub(crate) control: usize,
+    pub(crate) max_control: usize,
     /// The most connections for work.
-    pub(crate) work: usize,
+    pub(crate) max_work: usize,
     /// How long a connection is kept without use.
-    pub(crate) idle: Duration,
+    pub(crate) idle_timeout: Duration,
     /// The largest body of a reply, in bytes.
-    pub(crate) body: usize,
+    pub(crate) max_body: usize,
 }
 
 /// The connections to one address.
@@ -62,32 +65,32 @@
     pub(crate) options: PoolOptions,
     pub(crate) clock: Rc<dyn Clock>,
     /// How fast requests that may run twice are answered.
-    pub(crate) pace: Pace,
+    pub(crate) latency: LatencyEstimator,
     random: Random,
-    numbers: Cell<u64>,
+    last_id: Cell<u64>,
     lanes: [RefCell<LaneState>; 2],
     opening: Cell<bool>,
     failures: Cell<u32>,
     /// Whether the last of them was a refusal by the VM at the address.
     refused: Cell<bool>,
-    pause_end: Cell<Instant>,
+    backoff_end: Cell<Instant>,
     closed: Cell<bool>,
 }
 
 #[derive(Default)]
 struct LaneState {
-    idle: Vec<(JobSlot, Instant)>,
+    idle: Vec<(JobSender, Instant)>,
     waiters: VecDeque<oneshot::Sender<Result<Lease>>>,
     open: usize,
     /// Whether one of them was opened, so that waiting means waiting for its work.
-    served: bool,
+    connected: bool,
 }
 
-type JobSlot = oneshot::Sender<Job>;
+type JobSender = oneshot::Sender<Job>;
 
 /// A connection that was handed out and waits for a job.
 pub(crate) struct Lease {
-    slot: Option<JobSlot>,
+    slot: Option<JobSender>,
     since: Instant,
     pool: Rc<Pool>,
     lane: Lane,
@@ -121,19 +124,19 @@
         clock: Rc<dyn Clock>,
         random: Random,
     ) -> Rc<Pool> {
-        let pause_end = Cell::new(clock.now());
+        let backoff_end = Cell::new(clock.now());
         Rc::new(Pool {
             address,
             options,
             clock,
-            pace: Pace::default(),
-            numbers: Cell::new(random.below(FIRST_NUMBER) as u64),
+            latency: LatencyEstimator::default(),
+            last_id: Cell::new(random.below(INITIAL_ID_RANGE) as u64),
             random,
             lanes: Default::default(),
             opening: Cell::new(false),
             failures: Cell::new(0),
             refused: Cell::new(false),
-            pause_end,
+            backoff_end,
             closed: Cell::new(false),
         })
     }
@@ -141,10 +144,10 @@
     /// A number for a request, unlike the others of this pool.
     ///
     /// Small ones are shorter on the wire, which membership messages feel.
-    pub(crate) fn number(&self) -> u64 {
-        let number = self.numbers.get() + 1;
-        self.numbers.set(number);
-        number
+    pub(crate) fn next_request_id(&self) -> u64 {
+        let request_id = self.last_id.get() + 1;
+        self.last_id.set(request_id);
+        request_id
     }
 
     /// Waits for a connection until `deadline`.
@@ -162,7 +165,7 @@
             }
             // While opening pauses, an address without connections fails at once,
             // so that the caller can turn to another replica.
-            if state.open == 0 && self.is_refusing() {
+            if state.open == 0 && self.is_backing_off() {
                 return Err(self.last_failure());
             }
             let (sender, receiver) = oneshot::channel();
@@ -173,17 +176,17 @@
         match clock::timeout_at(&*self.clock, deadline, receiver).await {
             Ok(Ok(lease)) => lease,
             Ok(Err(_)) => Err(Error::ConnectFailed),
-            Err(_) if self.lane(lane).borrow().served => Err(Error::ExpiredInQueue),
+            Err(_) if self.lane(lane).borrow().connected => Err(Error::ExpiredInQueue),
             Err(_) => Err(Error::ConnectFailed),
         }
     }
 
     /// Takes a connection that has become idle.
-    pub(crate) fn offer(self: &Rc<Pool>, lane: Lane, slot: JobSlot) {
+    pub(crate) fn offer(self: &Rc<Pool>, lane: Lane, slot: JobSender) {
         self.hand_out(lane, slot, self.clock.now());
     }
 
-    fn hand_out(self: &Rc<Pool>, lane: Lane, slot: JobSlot, since: Instant) {
+    fn hand_out(self: &Rc<Pool>, lane: Lane, slot: JobSender, since: Instant) {
         // Dropping the slot ends the connection.
         if self.closed.get() {
             return;
@@ -218,7 +221,7 @@
         {
             let mut state = self.lane(lane).borrow_mut();
             state.open -= 1;
-            state.served &= state.open > 0;
+            state.connected &= state.open > 0;
             state.idle.retain(|(slot, _)| !slot.is_canceled());
         }
         self.fail_waiters();
@@ -226,7 +229,7 @@
     }
 
     /// Whether someone waits for a connection.
-    pub(crate) fn is_wanted(&self, lane: Lane) -> bool {
+    pub(crate) fn has_waiters(&self, lane: Lane) -> bool {
         self.lane(lane).borrow().waiters.iter().any(|waiter| !waiter.is_canceled())
     }
 
@@ -260,23 +263,23 @@
 
     fn limit(&self, lane: Lane) -> usize {
         match lane {
-            Lane::Control => self.options.control,
-            Lane::Work => self.options.work,
+            Lane::Control => self.options.max_control,
+            Lane::Work => self.options.max_work,
         }
     }
 
     /// Whether no connection may be opened now, and callers are told so.
-    fn is_refusing(&self) -> bool {
-        self.clock.now() < self.pause_end.get()
+    fn is_backing_off(&self) -> bool {
+        self.clock.now() < self.backoff_end.get()
     }
 
     /// Starts to open connections if someone waits for one and the bounds allow it.
     fn open_more(self: &Rc<Pool>) {
-        if self.opening.get() || self.is_refusing() || self.lane_to_open().is_none() {
+        if self.opening.get() || self.is_backing_off() || self.lane_to_open().is_none() {
             return;
         }
         self.opening.set(true);
-        monoio::spawn(open_links(self.clone()));
+        monoio::spawn(open_connections(self.clone()));
     }
 
     /// The lane in which a connection is wanted and allowed.
@@ -299,14 +302,14 @@
     fn note_failure(&self, refused: bool) {
         self.refused.set(refused);
         let failures = self.failures.get();
-        let pause = FIRST_BACKOFF.saturating_mul(1 << failures.min(10)).min(LAST_BACKOFF);
+        let pause = INITIAL_BACKOFF.saturating_mul(1 << failures.min(10)).min(MAX_BACKOFF);
         self.failures.set(failures.saturating_add(1));
-        self.pause_end.set(self.clock.now() + self.random.jitter(pause));
+        self.backoff_end.set(self.clock.now() + self.random.jitter(pause));
     }
 
     /// Fails those who wait in a lane that has no connection and may open none now.
     fn fail_waiters(&self) {
-        if !self.is_refusing() {
+        if !self.is_backing_off() {
             return;
         }
         for lane in LANES {
@@ -322,9 +325,9 @@
 }
 
 /// Opens connections, one after the other, while they are wanted.
-async fn open_links(pool: Rc<Pool>) {
+async fn open_connections(pool: Rc<Pool>) {
     while let Some(lane) = pool.lane_to_open() {
-        let pause = pool.pause_end.get().saturating_duration_since(pool.clock.now());
+        let pause = pool.backoff_end.get().saturating_duration_since(pool.clock.now());
         if !pause.is_zero() {
             clock::sleep(&*pool.clock, pause).await;
         }
@@ -334,9 +337,9 @@
         metrics::counter!("kumquatnotch_connections_opened_total").increment(1);
         match opened {
             Ok(Ok(stream)) => {
-                pool.lane(lane).borrow_mut().served = true;
-                let ends = Ends::new(stream, pool.address, pool.options.body);
-                let link = link::run(ends, Rc::downgrade(&pool), lane, pool.address);
+                pool.lane(lane).borrow_mut().connected = true;
+                let stream = ClientStream::new(stream, pool.address, pool.options.max_body);
+                let link = client_connection::run(stream, Rc::downgrade(&pool), lane, pool.address);
                 monoio::spawn(link);
                 // The new link offers itself before the next one is opened.
                 clock::yield_now().await;
--- a/crates/kumquatnotch-net/src/reader.rs
+++ b/crates/kumquatnotch-net/src/reader.rs
@@ -29,7 +29,7 @@
 const HEAD_LIMIT: usize = 32 << 10;
 
 /// What a body may cost beyond its own length, for the framing of chunks.
-const BODY_SLACK: usize = 64 << 10;
+const FRAMING_ALLOWANCE: usize = 64 << 10;
 
 /// Reads requests.
 pub(crate) type RequestReader =
@@ -46,7 +46,7 @@
     /// The connection was closed or broke.
     Closed,
     /// The message is not HTTP/1.1 as the library knows it.
-    Broken(String),
+    Malformed(String),
     /// The message is longer than the reader takes.
     TooLong,
 }
@@ -63,16 +63,16 @@
 /// Reads messages from one connection.
 pub(crate) struct MessageReader<D> {
     framed: FramedRead<Bounded, D>,
-    left: Rc<Cell<usize>>,
+    budget: Rc<Cell<usize>>,
     limit: usize,
 }
 
 impl<D: Default> MessageReader<D> {
     /// A reader that takes bodies of up to `limit` bytes.
     pub(crate) fn new(half: OwnedReadHalf<TcpStream>, limit: usize) -> MessageReader<D> {
-        let left = Rc::new(Cell::new(HEAD_LIMIT));
-        let input = Bounded { half, left: left.clone() };
-        MessageReader { framed: FramedRead::new(input, D::default()), left, limit }
+        let budget = Rc::new(Cell::new(HEAD_LIMIT));
+        let input = Bounded { half, budget: budget.clone() };
+        MessageReader { framed: FramedRead::new(input, D::default()), budget, limit }
     }
 }
 
@@ -82,7 +82,7 @@
     /// Dropping this future loses nothing: with the epoll driver a read that
     /// has not completed has not taken any bytes, and it starts with an empty buffer.
     pub(crate) async fn peek(&mut self) -> Peek {
-        self.left.set(HEAD_LIMIT);
+        self.budget.set(HEAD_LIMIT);
         match self.framed.peek_data().await {
             Ok(data) if !data.is_empty() => Peek::Data,
             _ => Peek::Closed,
@@ -92,8 +92,8 @@
     /// Whether no byte of the message has come whose head is being read.
     ///
     /// As long as this is so, reading its head can be dropped and begun anew.
-    pub(crate) fn is_untouched(&self) -> bool {
-        self.left.get() == HEAD_LIMIT
+    pub(crate) fn awaits_first_byte(&self) -> bool {
+        self.budget.get() == HEAD_LIMIT
     }
 
     /// Reads a head and what is needed to read its body.
@@ -101,7 +101,7 @@
     where
         FramedRead<Bounded, D>: Stream<Item = Result<(H, BodyDecoder), HttpError>>,
     {
-        self.left.set(HEAD_LIMIT);
+        self.budget.set(HEAD_LIMIT);
         match self.framed.next().await {
             Some(Ok(head)) => Ok(head),
             Some(Err(error)) => Err(self.fault(error)),
@@ -119,7 +119,7 @@
         if content_length(headers).is_some_and(|length| length > self.limit as u64) {
             return Err(ReadFault::TooLong);
         }
-        self.left.set(self.limit + BODY_SLACK);
+        self.budget.set(self.limit + FRAMING_ALLOWANCE);
         match decoder {
             PayloadDecoder::None => Ok(Bytes::new()),
             PayloadDecoder::Fixed(mut decoder) => match self.framed.next_with(&mut decoder).await {
@@ -150,14 +150,14 @@
     ///
     /// A connection that was reset has not ended: what came before is a part of
     /// the body, which must not pass for the whole.
-    pub(crate) async fn rest(&mut self) -> Result<Bytes, ReadFault> {
-        self.left.set(self.limit + BODY_SLACK);
+    pub(crate) async fn body_to_end(&mut self) -> Result<Bytes, ReadFault> {
+        self.budget.set(self.limit + FRAMING_ALLOWANCE);
         let mut body = BytesMut::new();
         loop {
             match self.framed.peek_data().await {
                 Ok([]) => return Ok(body.freeze()),
                 Ok(_) => body.unsplit(self.framed.read_buffer_mut().split()),
-                Err(_) if self.left.get() == 0 => return Err(ReadFault::TooLong),
+                Err(_) if self.budget.get() == 0 => return Err(ReadFault::TooLong),
                 Err(_) => return Err(ReadFault::Closed),
             }
             if body.len() > self.limit {
@@ -171,19 +171,19 @@
     /// Closing a connection with unread bytes resets it, and the reset can
     /// overtake the reply that tells the client what was wrong.
     pub(crate) async fn discard(&mut self) {
-        let mut left = self.limit;
+        let mut budget = self.limit;
         while self.peek().await == Peek::Data {
             let count = self.framed.read_buffer().len();
             self.framed.read_buffer_mut().clear();
-            if count > left {
+            if count > budget {
                 return;
             }
-            left -= count;
+            budget -= count;
         }
     }
 
     fn fault(&self, error: HttpError) -> ReadFault {
-        if self.left.get() == 0 {
+        if self.budget.get() == 0 {
             return ReadFault::TooLong;
         }
         match error {
@@ -191,7 +191,7 @@
                 ReadFault::Closed
             }
             HttpError::H1DecodeError(DecodeError::UnexpectedEof) => ReadFault::Closed,
-            error => ReadFault::Broken(error.to_string()),
+            error => ReadFault::Malformed(error.to_string()),
         }
     }
 }
@@ -210,7 +210,7 @@
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
     if lengths > 1 || (lengths == 1 && chunked) {
-        return Err(ReadFault::Broken("the length of the body is ambiguous".to_owned()));
+        return Err(ReadFault::Malformed("the length of the body is ambiguous".to_owned()));
     }
     Ok(())
 }
@@ -218,20 +218,20 @@
 /// Input that fails once a budget of bytes is used up.
 pub(crate) struct Bounded {
     half: OwnedReadHalf<TcpStream>,
-    left: Rc<Cell<usize>>,
+    budget: Rc<Cell<usize>>,
 }
 
 impl Bounded {
     fn spend(&self, result: io::Result<usize>) -> io::Result<usize> {
         let count = result?;
-        self.left.set(self.left.get().saturating_sub(count));
+        self.budget.set(self.budget.get().saturating_sub(count));
         Ok(count)
     }
 }
 
 impl AsyncReadRent for Bounded {
     async fn read<T: IoBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if self.left.get() == 0 {
+        if self.budget.get() == 0 {
             return (Err(io::ErrorKind::InvalidData.into()), buf);
         }
         let (result, buf) = self.half.read(buf).await;
@@ -239,7 +239,7 @@
     }
 
     async fn readv<T: IoVecBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if self.left.get() == 0 {
+        if self.budget.get() == 0 {
             return (Err(io::ErrorKind::InvalidData.into()), buf);
         }
         let (result, buf) = self.half.readv(buf).await;
--- a/crates/kumquatnotch-net/src/server.rs
+++ b/crates/kumquatnotch-net/src/server.rs
@@ -22,19 +22,18 @@
 use monoio::net::TcpListener;
 
 use crate::{
-    connection,
     message::{Reply, Request},
-    socket,
+    server_connection, socket,
 };
 
 /// The time for requests that were sent before their client saw the shutdown.
 ///
 /// It is longer than any way, for clients that do not look whether a connection
 /// they kept was closed: within it they get a refusal that says "not run".
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIME: Duration = Duration::from_secs(1);
 
 /// How often the end of the last request is looked for.
-const END_CHECK: Duration = Duration::from_millis(5);
+const CLOSE_POLL_PERIOD: Duration = Duration::from_millis(5);
 
 /// How long accepting pauses when no more connections can be taken.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -48,7 +47,7 @@
     ///
     /// It is the time from its last reply until it has closed its end, for clients that
     /// ask in their request to close the connection.
-    fn note_trip(&self, _trip: Duration) {}
+    fn record_round_trip(&self, _trip: Duration) {}
 }
 
 /// The work on one request.
@@ -59,18 +58,18 @@
     ///
     /// A search is dropped then; a non-idempotent request must run to its end,
     /// or its outcome would be lost for the client that asks again.
-    pub lasting: bool,
+    pub detached: bool,
 }
 
 impl<'a> Work<'a> {
     /// Work that ends when its client goes away.
     pub fn new(reply: impl Future<Output = Reply> + 'a) -> Work<'a> {
-        Work { reply: Box::pin(reply), lasting: false }
+        Work { reply: Box::pin(reply), detached: false }
     }
 
     /// Work that goes on to its end.
-    pub fn lasting(reply: impl Future<Output = Reply> + 'a) -> Work<'a> {
-        Work { reply: Box::pin(reply), lasting: true }
+    pub fn detached(reply: impl Future<Output = Reply> + 'a) -> Work<'a> {
+        Work { reply: Box::pin(reply), detached: true }
     }
 
     /// A reply that is at hand.
@@ -87,15 +86,15 @@
     /// What it is called in logs and metrics.
     pub name: &'static str,
     /// The largest body it takes, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// The most connections open at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long a connection may wait for its next request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long a request may take to arrive once it has begun, and a reply to leave.
-    pub transfer: Duration,
+    pub transfer_timeout: Duration,
     /// How often a client is told that its request still runs; never if absent.
-    pub interim: Option<Duration>,
+    pub interim_period: Option<Duration>,
 }
 
 impl Default for ServerOptions {
@@ -103,11 +102,11 @@
         ServerOptions {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             name: "entry",
-            body: 1 << 20,
-            connections: 4_000,
-            idle: Duration::from_secs(60),
-            transfer: Duration::from_secs(10),
-            interim: None,
+            max_body: 1 << 20,
+            max_connections: 4_000,
+            idle_timeout: Duration::from_secs(60),
+            transfer_timeout: Duration::from_secs(10),
+            interim_period: None,
         }
     }
 }
@@ -122,7 +121,7 @@
     /// Connections that wait for a request, the longest idle first.
     pub(crate) idle: RefCell<VecDeque<oneshot::Sender<()>>>,
     pub(crate) open: Cell<usize>,
-    pub(crate) busy: Cell<usize>,
+    pub(crate) in_flight: Cell<usize>,
 }
 
 /// A server.
@@ -155,7 +154,7 @@
             closing: closing.shared(),
             idle: RefCell::default(),
             open: Cell::new(0),
-            busy: Cell::new(0),
+            in_flight: Cell::new(0),
         });
         monoio::spawn(accept(listener, shared.clone()));
         tracing::info!("net: {name} listens at {address}");
@@ -174,7 +173,7 @@
 
     /// How many requests are in work.
     pub fn requests(&self) -> usize {
-        self.shared.busy.get()
+        self.shared.in_flight.get()
     }
 
     /// Asks clients with each reply from now on to leave their connection.
@@ -194,7 +193,7 @@
             if clock.now() >= deadline {
                 return false;
             }
-            clock::sleep(clock, END_CHECK).await;
+            clock::sleep(clock, CLOSE_POLL_PERIOD).await;
         }
         true
     }
@@ -202,7 +201,7 @@
 
 impl Context {
     /// Notes a connection that waits for a request; completes if it must make room.
-    pub(crate) fn note_idle(&self) -> oneshot::Receiver<()> {
+    pub(crate) fn register_idle(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let mut idle = self.idle.borrow_mut();
         // Those that got their request are left behind; they are dropped now and then.
@@ -217,7 +216,7 @@
     ///
     /// Otherwise callers that keep connections without using them would lock out
     /// others for as long as idle connections are kept.
-    fn make_room(&self) {
+    fn close_longest_idle(&self) {
         while let Some(sender) = self.idle.borrow_mut().pop_front() {
             if sender.send(()).is_ok() {
                 return;
@@ -226,21 +225,21 @@
     }
 
     /// Completes when connections that have been idle since the shutdown must close.
-    pub(crate) async fn lingered(&self) {
+    pub(crate) async fn linger_elapsed(&self) {
         let _ = self.closing.clone().await;
-        clock::sleep(&*self.clock, LINGER).await;
+        clock::sleep(&*self.clock, LINGER_TIME).await;
     }
 }
 
 async fn accept(listener: TcpListener, shared: Rc<Context>) {
     // Until the linger time ends, new connections are taken too: their requests
     // get a refusal that says "not run", where a reset connection says nothing.
-    let end = shared.lingered();
+    let end = shared.linger_elapsed();
     let mut end = std::pin::pin!(end);
     loop {
-        if shared.open.get() >= shared.options.connections {
+        if shared.open.get() >= shared.options.max_connections {
             // The rest waits in the backlog of the kernel.
-            shared.make_room();
+            shared.close_longest_idle();
             let pause = clock::sleep(&*shared.clock, ACCEPT_PAUSE);
             if let Either::Left(_) = select(end.as_mut(), pause).await {
                 return;
@@ -250,7 +249,7 @@
         let next = std::pin::pin!(listener.accept());
         match select(next, end.as_mut()).await {
             Either::Left((Ok((stream, _)), _)) => {
-                monoio::spawn(connection::serve(stream, shared.clone()));
+                monoio::spawn(server_connection::serve(stream, shared.clone()));
             }
             Either::Left((Err(error), _)) => {
                 // Out of descriptors: those in use come back when requests end.
--- a/crates/kumquatnotch-net/src/connection.rs
+++ b/crates/kumquatnotch-net/src/server_connection.rs
@@ -15,30 +15,30 @@
 use monoio_http::{common::body::HttpBody, h1::codec::encoder::GenericEncoder};
 
 use crate::{
-    message::{REQUEST_HEADER, Reply, Request},
+    message::{REQUEST_ID_HEADER, Reply, Request},
     reader::{Peek, ReadFault, RequestReader},
     server::{Context, Work},
 };
 
 /// How long the rest of a refused request is read.
-const DISCARD_TIME: Duration = Duration::from_millis(500);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a client that asked to close its connection may take to do so.
-const LEAVE_TIME: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 type Encoder = GenericEncoder<OwnedWriteHalf<TcpStream>>;
 
 /// Counts a connection or request for as long as it lives.
-struct Counted<'a>(&'a Cell<usize>);
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
-    fn new(cell: &'a Cell<usize>) -> Counted<'a> {
+impl<'a> CountGuard<'a> {
+    fn new(cell: &'a Cell<usize>) -> CountGuard<'a> {
         cell.set(cell.get() + 1);
-        Counted(cell)
+        CountGuard(cell)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -46,18 +46,18 @@
 
 /// Serves a connection to its end.
 pub(crate) async fn serve(stream: TcpStream, context: Rc<Context>) {
-    let _open = Counted::new(&context.open);
+    let _open = CountGuard::new(&context.open);
     let (read, write) = stream.into_split();
-    let mut reader = RequestReader::new(read, context.options.body);
+    let mut reader = RequestReader::new(read, context.options.max_body);
     let mut encoder = Encoder::new(write);
     let mut is_first = true;
     while await_request(&mut reader, &context).await {
-        let busy = Counted::new(&context.busy);
+        let in_flight = CountGuard::new(&context.in_flight);
         let next = serve_request(&mut reader, &mut encoder, &context, is_first).await;
-        drop(busy);
+        drop(in_flight);
         match next {
             Next::Request => is_first = false,
-            Next::Leave => return see_off(&mut reader, &mut encoder, &context).await,
+            Next::AwaitClose => return await_close(&mut reader, &mut encoder, &context).await,
             Next::End => return,
         }
     }
@@ -68,7 +68,7 @@
     /// Another request.
     Request,
     /// Its client asked to close it, and has the reply.
-    Leave,
+    AwaitClose,
     /// Nothing: it broke, or the request could not be read.
     End,
 }
@@ -76,26 +76,26 @@
 /// Closes this end, and waits until a client that asked for it has closed its own.
 ///
 /// The client does so when it has the reply, which tells how far away it is.
-async fn see_off(reader: &mut RequestReader, encoder: &mut Encoder, context: &Context) {
+async fn await_close(reader: &mut RequestReader, encoder: &mut Encoder, context: &Context) {
     let clock = &*context.clock;
     let start = clock.now();
     let _ = Sink::<Response<HttpBody>>::close(encoder).await;
-    let peek = clock::timeout_at(clock, start + LEAVE_TIME, reader.peek()).await;
+    let peek = clock::timeout_at(clock, start + CLOSE_TIMEOUT, reader.peek()).await;
     if matches!(peek, Ok(Peek::Closed)) {
-        context.handler.note_trip(clock.now().saturating_duration_since(start));
+        context.handler.record_round_trip(clock.now().saturating_duration_since(start));
     }
 }
 
 /// Waits for a request to begin; false if the connection is to be closed.
 async fn await_request(reader: &mut RequestReader, context: &Context) -> bool {
-    let mut idle = clock::sleep(&*context.clock, context.options.idle).fuse();
-    let mut lingered = pin!(context.lingered().fuse());
-    let mut crowded = context.note_idle().fuse();
+    let mut idle = clock::sleep(&*context.clock, context.options.idle_timeout).fuse();
+    let mut linger_elapsed = pin!(context.linger_elapsed().fuse());
+    let mut evicted = context.register_idle().fuse();
     let mut peek = pin!(reader.peek().fuse());
     select_biased! {
         peek = peek => peek == Peek::Data,
-        _ = crowded => false,
-        () = lingered => false,
+        _ = evicted => false,
+        () = linger_elapsed => false,
         () = idle => false,
     }
 }
@@ -107,17 +107,17 @@
     context: &Context,
     is_first: bool,
 ) -> Next {
-    let deadline = context.clock.now() + context.options.transfer;
+    let deadline = context.clock.now() + context.options.transfer_timeout;
     let read = read_request(reader, encoder);
-    let (mut request, keep) = match clock::timeout_at(&*context.clock, deadline, read).await {
+    let (mut request, keep_alive) = match clock::timeout_at(&*context.clock, deadline, read).await {
         Ok(Ok(request)) => request,
         Ok(Err(ReadFault::Closed)) => return Next::End,
-        Ok(Err(ReadFault::Broken(detail))) => {
+        Ok(Err(ReadFault::Malformed(detail))) => {
             refuse(reader, encoder, context, Error::bad_request(detail)).await;
             return Next::End;
         }
         Ok(Err(ReadFault::TooLong)) => {
-            let limit = context.options.body as u64;
+            let limit = context.options.max_body as u64;
             refuse(reader, encoder, context, Error::BodyTooLarge { limit }).await;
             return Next::End;
         }
@@ -128,17 +128,17 @@
         }
     };
     request.is_first = is_first;
-    let number = request.headers.get(REQUEST_HEADER).cloned();
+    let request_id = request.headers.get(REQUEST_ID_HEADER).cloned();
     let work = context.handler.start(request);
     let Some(reply) = run(work, reader, encoder, context).await else {
         return Next::End;
     };
     // A client that is asked to leave its connection but sends once more is served:
     // closing at once would look to it like a request that was cut.
-    let stay = keep && !context.draining.get();
-    match send(encoder, reply, number, stay, context).await {
-        true if keep => Next::Request,
-        true => Next::Leave,
+    let keep_open = keep_alive && !context.draining.get();
+    match send(encoder, reply, request_id, keep_open, context).await {
+        true if keep_alive => Next::Request,
+        true => Next::AwaitClose,
         false => Next::End,
     }
 }
@@ -152,7 +152,7 @@
 ) {
     if send(encoder, Reply::error(&error), None, false, context).await {
         let _ = Sink::<Response<HttpBody>>::close(encoder).await;
-        let deadline = context.clock.now() + DISCARD_TIME;
+        let deadline = context.clock.now() + DISCARD_TIMEOUT;
         let _ = clock::timeout_at(&*context.clock, deadline, reader.discard()).await;
     }
 }
@@ -171,12 +171,12 @@
         }
     }
     let body = reader.body(&head.headers, decoder).await?;
-    let keep = keeps_alive(&head);
+    let keep_alive = keeps_alive(&head);
     let path = head.uri.path().to_owned();
     let query = head.uri.query().unwrap_or_default().to_owned();
     Ok((
         Request { method: head.method, path, query, headers: head.headers, body, is_first: false },
-        keep,
+        keep_alive,
     ))
 }
 
@@ -202,11 +202,11 @@
     encoder: &mut Encoder,
     context: &Context,
 ) -> Option<Reply> {
-    let Work { reply, lasting } = work;
+    let Work { reply, detached } = work;
     let mut reply = reply.fuse();
     let mut gone = pin!(client_gone(reader).fuse());
     loop {
-        let interim = context.options.interim.unwrap_or(Duration::MAX);
+        let interim = context.options.interim_period.unwrap_or(Duration::MAX);
         let mut tick = pin!(
             async {
                 match interim {
@@ -219,14 +219,14 @@
         select_biased! {
             reply = reply => return Some(reply),
             () = gone => {
-                if !lasting {
+                if !detached {
                     return None;
                 }
                 return Some(reply.await);
             }
             () = tick => {
                 // The client takes the silence of this connection for its loss.
-                if !send_interim(encoder).await && !lasting {
+                if !send_interim(encoder).await && !detached {
                     return None;
                 }
             }
@@ -255,22 +255,22 @@
 async fn send(
     encoder: &mut Encoder,
     reply: Reply,
-    number: Option<HeaderValue>,
-    stay: bool,
+    request_id: Option<HeaderValue>,
+    keep_open: bool,
     context: &Context,
 ) -> bool {
     let Reply { status, mut headers, body } = reply;
-    if let Some(number) = number {
-        headers.insert(REQUEST_HEADER, number);
+    if let Some(request_id) = request_id {
+        headers.insert(REQUEST_ID_HEADER, request_id);
     }
-    if !stay {
+    if !keep_open {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     let body = if body.is_empty() { None } else { Some(body) };
     let mut response = Response::new(HttpBody::Ready(body));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
-    let deadline = context.clock.now() + context.options.transfer;
+    let deadline = context.clock.now() + context.options.transfer_timeout;
     let sent = encoder.send_and_flush(response);
     matches!(clock::timeout_at(&*context.clock, deadline, sent).await, Ok(Ok(())))
 }
--- a/crates/kumquatnotch-net/src/silence.rs
+++ b/crates/kumquatnotch-net/src/silence.rs
@@ -17,13 +17,13 @@
 //!    deadline has passed) cancels it over another connection. A living
 //!    connection then delivers a reply at once, `499` or another. If the other
 //!    connection answered the cancellation and this one stays mute for
-//!    [`DRAIN_TIME`], it is closed. So a silent connection costs at most one
+//!    [`DRAIN_TIMEOUT`], it is closed. So a silent connection costs at most one
 //!    request, never a second one. It isn't called silent for that alone: the
 //!    target may be slow to cancel.
 //! 4. A challenge while a search still waits: the same proof by cancellation,
 //!    started early if the reply is late for this target and class *and* either
 //!    later requests on other connections were answered before it
-//!    ([`OVERTAKEN_LIMIT`]), or two status probes in a row say that the target
+//!    ([`MIN_LATER_REPLIES`]), or two status probes in a row say that the target
 //!    runs nothing at all. A straggler shows neither: it is slow for all its
 //!    connections, and it does not call itself idle while it runs our request.
 //!    Should it do so by a lagging report, the cancellation is answered on the
@@ -31,7 +31,7 @@
 //!    connections are not challenged again for a while.
 //! 5. Between our nodes: a node sends an interim response each
 //!    [`INTERIM_PERIOD`] while it works, so that a mute connection is found
-//!    after [`MUTE_TIME`] whatever it works on.
+//!    after [`SILENCE_TIMEOUT`] whatever it works on.
 //!
 //! Weighed and left: pipelining a probe behind the request (its reply would
 //! wait for the first one's), repeating the search on another connection (extra
@@ -42,23 +42,23 @@
 use std::{net::SocketAddr, time::Duration};
 
 /// The time in which a living connection delivers the reply to a cancelled request.
-pub const DRAIN_TIME: Duration = Duration::from_millis(250);
+pub const DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The same if others wait for a connection and nobody for this reply.
-pub const HASTY_DRAIN_TIME: Duration = Duration::from_millis(60);
+pub const SHORT_DRAIN_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The time in which an idle connection has to answer a check before its use.
-pub const CHECK_TIME: Duration = Duration::from_millis(150);
+pub const CHECK_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The idle time after which a connection is checked before a request that must
 /// run at most once.
-pub const CHECK_EXCLUSIVE: Duration = Duration::from_millis(20);
+pub const EXCLUSIVE_CHECK_IDLE: Duration = Duration::from_millis(20);
 
 /// The idle time after which a connection is checked before any request.
-pub const CHECK_SEARCH: Duration = Duration::from_secs(2);
+pub const SEARCH_CHECK_IDLE: Duration = Duration::from_secs(2);
 
 /// How many later requests must have been answered first for a challenge.
-pub const OVERTAKEN_LIMIT: usize = 3;
+pub const MIN_LATER_REPLIES: usize = 3;
 
 /// How many status probes in a row must say that the target runs nothing.
 pub const IDLE_PROBES: u32 = 2;
@@ -67,15 +67,15 @@
 pub const INTERIM_PERIOD: Duration = Duration::from_millis(100);
 
 /// The silence after which a connection between nodes is lost.
-pub const MUTE_TIME: Duration = Duration::from_millis(400);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What an attempt to cancel a request proved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CancelProof {
+pub(crate) enum CancelOutcome {
     /// The other side answered it on another connection.
     Answered,
     /// It could not be delivered or was not answered.
-    Nothing,
+    Unanswered,
 }
 
 /// Notes that a connection was found silent.
--- a/crates/kumquatnotch-net/src/socket.rs
+++ b/crates/kumquatnotch-net/src/socket.rs
@@ -23,17 +23,17 @@
 ///
 /// Round trips are at most 40 ms between regions and the least retransmission
 /// timer is 200 ms, so a living path loses two segments before this passes.
-const CLIENT_TIMEOUT: Duration = Duration::from_millis(600);
+const CLIENT_USER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The same for accepted connections.
 ///
 /// It is longer because the kernel also counts the time in which the other
 /// side's window is closed: a caller that reads a long answer slowly must not
 /// be cut off.
-const SERVER_TIMEOUT: Duration = Duration::from_secs(10);
+const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The silence after which the kernel asks the other one, and between its tries.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
 
 /// How many connections may wait to be accepted.
 const BACKLOG: i32 = 1_024;
@@ -46,17 +46,17 @@
     };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
-    set_options(&socket, CLIENT_TIMEOUT)?;
+    set_options(&socket, CLIENT_USER_TIMEOUT)?;
     sockopt::set_tcp_nodelay(&socket, true)?;
     match rustix::net::connect(&socket, &address) {
         Ok(()) | Err(Errno::INPROGRESS) => {}
         Err(error) => return Err(error.into()),
     }
     let socket = StdStream::from(socket);
-    let twin = socket.try_clone()?;
+    let duplicate = socket.try_clone()?;
     let stream = TcpStream::from_std(socket)?;
     stream.writable(false).await?;
-    match twin.take_error()? {
+    match duplicate.take_error()? {
         Some(error) => Err(error),
         None => Ok(stream),
     }
@@ -67,7 +67,7 @@
     let listener = StdListener::bind(address)?;
     listener.set_nonblocking(true)?;
     // Accepted connections inherit the options.
-    set_options(&listener, SERVER_TIMEOUT)?;
+    set_options(&listener, SERVER_USER_TIMEOUT)?;
     sockopt::set_tcp_nodelay(&listener, true)?;
     // The standard library's backlog of 128 is too short for the reconnects
     // after a restart of many nodes.
@@ -78,7 +78,7 @@
 fn set_options(socket: impl AsFd, timeout: Duration) -> io::Result<()> {
     sockopt::set_tcp_user_timeout(&socket, timeout.as_millis() as u32)?;
     sockopt::set_socket_keepalive(&socket, true)?;
-    sockopt::set_tcp_keepidle(&socket, KEEPALIVE)?;
-    sockopt::set_tcp_keepintvl(&socket, KEEPALIVE)?;
+    sockopt::set_tcp_keepidle(&socket, KEEPALIVE_PERIOD)?;
+    sockopt::set_tcp_keepintvl(&socket, KEEPALIVE_PERIOD)?;
     Ok(())
 }
--- a/crates/kumquatnotch-net/src/target_links.rs
+++ b/crates/kumquatnotch-net/src/target_links.rs
@@ -21,32 +21,33 @@
 };
 
 use crate::{
-    flight::{Flight, Plan},
-    link::{Cancel, JobFault},
+    client_connection::{Cancel, JobFault},
+    latency::LatencyEstimator,
     message::{JSON, Reply, Request},
-    pace::Pace,
+    outbound::{OutboundRequest, PendingRequest},
     pool::{Lane, Pool, PoolOptions},
-    silence::{self, CancelProof},
+    silence::{self, CancelOutcome},
     target_reply,
 };
 
 /// How long a cancellation may take.
-const CANCEL_TIME: Duration = Duration::from_millis(400);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a look at the load of a target may take.
-const LOOK_TIME: Duration = Duration::from_millis(300);
+const LOAD_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a look counts as new.
-const LOOK_AGE: Duration = Duration::from_millis(40);
+const LOAD_MAX_AGE: Duration = Duration::from_millis(40);
 
 /// The least and the longest pause between two looks.
-const LOOK_PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
+const LOAD_PROBE_PAUSES: (Duration, Duration) =
+    (Duration::from_millis(50), Duration::from_millis(400));
 
 /// How long a target's connections are left alone after one was cleared.
-const CLEARED_PAUSE: Duration = Duration::from_secs(10);
+const CHALLENGE_COOLDOWN: Duration = Duration::from_secs(10);
 
 /// How many requests of a call may turn out unsent, each on an ended connection.
-const TRY_COUNT: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// Options of [`TargetLinks`].
 #[derive(Clone, Debug)]
@@ -55,29 +56,38 @@
     ///
     /// With a single one nothing can be asked while a request is out: a silent
     /// connection is then found by the kernel or at the request's deadline only.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The largest body of a reply, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// How long a connection is kept without use.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for TargetLinkOptions {
     fn default() -> TargetLinkOptions {
-        TargetLinkOptions { connections: 3, body: 8 << 20, idle: Duration::from_secs(30) }
+        TargetLinkOptions {
+            max_connections: 3,
+            max_body: 8 << 20,
+            idle_timeout: Duration::from_secs(30),
+        }
     }
 }
 
 impl TargetLinkOptions {
-    fn pool(&self) -> PoolOptions {
-        let work = self.connections.saturating_sub(1).max(1);
-        let control = self.connections.saturating_sub(work);
-        PoolOptions { control, work, idle: self.idle, body: self.body }
+    fn pool_options(&self) -> PoolOptions {
+        let max_work = self.max_connections.saturating_sub(1).max(1);
+        let max_control = self.max_connections.saturating_sub(max_work);
+        PoolOptions {
+            max_control,
+            max_work,
+            idle_timeout: self.idle_timeout,
+            max_body: self.max_body,
+        }
     }
 
     /// The lane of probes and cancellations; a single connection is shared.
-    fn control(&self) -> Lane {
-        if self.connections > 1 { Lane::Control } else { Lane::Work }
+    fn control_lane(&self) -> Lane {
+        if self.max_connections > 1 { Lane::Control } else { Lane::Work }
     }
 }
 
@@ -92,11 +102,11 @@
 /// What is kept for one target.
 struct TargetLink {
     pool: Rc<Pool>,
-    paces: [Pace; 3],
-    look: Cell<Option<(Instant, u32)>>,
-    looking: Cell<bool>,
+    latencies: [LatencyEstimator; 3],
+    last_load: Cell<Option<(Instant, u32)>>,
+    probing: Cell<bool>,
     /// Until when connections are not challenged, because one was cleared.
-    cleared: Cell<Option<Instant>>,
+    cooldown_end: Cell<Option<Instant>>,
 }
 
 impl TargetLink {
@@ -104,23 +114,23 @@
     ///
     /// The status of such a target is worth nothing. Without the pause, each
     /// search on a straggler that calls itself idle would be cancelled.
-    fn clear(&self, now: Instant) {
-        self.cleared.set(Some(now + CLEARED_PAUSE));
+    fn start_cooldown(&self, now: Instant) {
+        self.cooldown_end.set(Some(now + CHALLENGE_COOLDOWN));
     }
 
-    fn is_cleared(&self, now: Instant) -> bool {
-        self.cleared.get().is_some_and(|end| now < end)
+    fn is_cooling_down(&self, now: Instant) -> bool {
+        self.cooldown_end.get().is_some_and(|end| now < end)
     }
 
-    fn pace(&self, call: &TargetCall) -> &Pace {
-        &self.paces[call.class as usize]
+    fn latency(&self, call: &TargetCall) -> &LatencyEstimator {
+        &self.latencies[call.class as usize]
     }
 }
 
 impl TargetLinks {
     /// Links that use the clock and generator of the registry; registers itself.
     pub fn try_new(options: TargetLinkOptions, registry: &Registry) -> Result<Rc<TargetLinks>> {
-        if options.connections == 0 {
+        if options.max_connections == 0 {
             return Err(Error::BadSettings { detail: "connections: must be above 0".to_owned() });
         }
         let clock = registry.find::<Rc<dyn Clock>>(services::CLOCK)?;
@@ -143,13 +153,18 @@
             }
             link.pool.close();
         }
-        let pool = Pool::new(address, self.options.pool(), self.clock.clone(), self.random.clone());
+        let pool = Pool::new(
+            address,
+            self.options.pool_options(),
+            self.clock.clone(),
+            self.random.clone(),
+        );
         let link = Rc::new(TargetLink {
             pool,
-            paces: Default::default(),
-            look: Cell::new(None),
-            looking: Cell::new(false),
-            cleared: Cell::new(None),
+            latencies: Default::default(),
+            last_load: Cell::new(None),
+            probing: Cell::new(false),
+            cooldown_end: Cell::new(None),
         });
         targets.insert(name.clone(), link.clone());
         link
@@ -161,10 +176,10 @@
         call: &TargetCall,
         deadline: Instant,
     ) -> Result<TargetReply> {
-        let plan = self.plan(link, call)?;
-        for _ in 0..TRY_COUNT {
-            let flight = link.pool.start(Lane::Work, &plan, deadline).await?;
-            match self.await_reply(link, call, flight, deadline).await {
+        let request = self.outbound_request(link, call)?;
+        for _ in 0..MAX_ATTEMPTS {
+            let pending = link.pool.start(Lane::Work, &request, deadline).await?;
+            match self.await_reply(link, call, pending, deadline).await {
                 Ok(reply) => return target_reply::read_reply(call, &reply),
                 Err(JobFault::Failed(error)) => return Err(error),
                 Err(JobFault::NotSent) => {}
@@ -173,18 +188,24 @@
         Err(Error::ConnectFailed)
     }
 
-    fn plan(&self, link: &TargetLink, call: &TargetCall) -> Result<Plan> {
+    fn outbound_request(&self, link: &TargetLink, call: &TargetCall) -> Result<OutboundRequest> {
         let body = serde_json::to_vec(call).map_err(Error::internal)?;
         let request = Request::post("/v1/run", JSON, body);
         let status = Request::get("/v1/status");
         if call.exclusive {
             // It is never cancelled: a reply that tells its outcome may be on the way.
-            let check = Some((silence::CHECK_EXCLUSIVE, status));
-            return Ok(Plan { request, timed: true, cancel: None, check, mute: None });
+            let check = Some((silence::EXCLUSIVE_CHECK_IDLE, status));
+            return Ok(OutboundRequest {
+                request,
+                carry_deadline: true,
+                cancel: None,
+                check,
+                silence_timeout: None,
+            });
         }
-        let cancel = Some(canceller(link.pool.clone(), self.options.control(), call.id));
-        let check = Some((silence::CHECK_SEARCH, status));
-        Ok(Plan { request, timed: true, cancel, check, mute: None })
+        let cancel = Some(canceller(link.pool.clone(), self.options.control_lane(), call.id));
+        let check = Some((silence::SEARCH_CHECK_IDLE, status));
+        Ok(OutboundRequest { request, carry_deadline: true, cancel, check, silence_timeout: None })
     }
 
     /// Waits for the reply, and challenges the connection if it seems silent.
@@ -192,79 +213,80 @@
         &self,
         link: &TargetLink,
         call: &TargetCall,
-        mut flight: Flight,
+        mut pending: PendingRequest,
         deadline: Instant,
     ) -> Result<Reply, JobFault> {
         let clock = &*self.clock;
-        let pace = link.pace(call);
-        let start = flight.start;
-        let mut until = start + pace.lateness();
-        let mut pause = LOOK_PAUSES.0;
-        let mut idle_looks = 0;
+        let latency = link.latency(call);
+        let start = pending.start;
+        let mut until = start + latency.late_threshold();
+        let mut pause = LOAD_PROBE_PAUSES.0;
+        let mut idle_probes = 0;
         let mut challenged = false;
         loop {
-            if let Some(result) = flight.wait(clock, until.min(deadline)).await {
+            if let Some(result) = pending.wait(clock, until.min(deadline)).await {
                 if result.is_ok() {
-                    pace.note(start, clock.now());
+                    latency.note(start, clock.now());
                 }
                 if result.is_ok() && challenged {
-                    link.clear(clock.now());
+                    link.start_cooldown(clock.now());
                 }
                 return result;
             }
             if clock.now() >= deadline {
                 return Err(JobFault::Failed(Error::TimedOut));
             }
-            if call.exclusive || challenged || link.is_cleared(clock.now()) {
+            if call.exclusive || challenged || link.is_cooling_down(clock.now()) {
                 until = deadline;
                 continue;
             }
-            if pace.overtaken(start) >= silence::OVERTAKEN_LIMIT {
-                idle_looks = silence::IDLE_PROBES;
+            if latency.replies_after(start) >= silence::MIN_LATER_REPLIES {
+                idle_probes = silence::IDLE_PROBES;
             } else {
-                let look = pin!(self.look(link));
-                let reply = pin!(flight.wait(clock, deadline));
-                match select(reply, look).await {
+                let probe = pin!(self.probe_load(link));
+                let reply = pin!(pending.wait(clock, deadline));
+                match select(reply, probe).await {
                     Either::Left((Some(result), _)) => {
-                        pace.note(start, clock.now());
+                        latency.note(start, clock.now());
                         return result;
                     }
                     Either::Left((None, _)) => return Err(JobFault::Failed(Error::TimedOut)),
-                    Either::Right((Some(0), _)) => idle_looks += 1,
-                    Either::Right((Some(_), _)) => idle_looks = 0,
+                    Either::Right((Some(0), _)) => idle_probes += 1,
+                    Either::Right((Some(_), _)) => idle_probes = 0,
                     Either::Right((None, _)) => {}
                 }
             }
-            if idle_looks >= silence::IDLE_PROBES {
-                flight.challenge();
+            if idle_probes >= silence::IDLE_PROBES {
+                pending.challenge();
                 challenged = true;
             }
             until = clock.now() + pause;
-            pause = (pause * 2).min(LOOK_PAUSES.1);
+            pause = (pause * 2).min(LOAD_PROBE_PAUSES.1);
         }
     }
 
     /// The load that the target tells on another connection; `None` if it tells nothing.
-    async fn look(&self, link: &TargetLink) -> Option<u32> {
+    async fn probe_load(&self, link: &TargetLink) -> Option<u32> {
         let now = self.clock.now();
-        if let Some((at, load)) = link.look.get()
-            && now.saturating_duration_since(at) < LOOK_AGE
+        if let Some((at, load)) = link.last_load.get()
+            && now.saturating_duration_since(at) < LOAD_MAX_AGE
         {
             return Some(load);
         }
         // Many requests can be late together; one of them asks.
-        if link.looking.replace(true) {
+        if link.probing.replace(true) {
             return None;
         }
-        let _looking = Looking(&link.looking);
-        let status = self.status(link, now + LOOK_TIME).await.ok()?;
-        link.look.set(Some((self.clock.now(), status.load)));
+        let _probing = ProbeGuard(&link.probing);
+        let status = self.status(link, now + LOAD_PROBE_TIMEOUT).await.ok()?;
+        link.last_load.set(Some((self.clock.now(), status.load)));
         Some(status.load)
     }
 
     async fn status(&self, link: &TargetLink, deadline: Instant) -> Result<TargetStatus> {
-        let plan = Plan::plain(Request::get("/v1/status"));
-        let reply = link.pool.call_again(self.options.control(), &plan, deadline).await?;
+        let request = OutboundRequest::plain(Request::get("/v1/status"));
+        let reply =
+            link.pool.call_with_retry(self.options.control_lane(), &request, deadline).await?;
         match reply.status.as_u16() {
             200 => reply.read_json(),
             status => Err(Error::protocol(format!("status {status}"))),
@@ -273,9 +295,9 @@
 }
 
 /// Lets the next request look when this look has ended or was dropped.
-struct Looking<'a>(&'a Cell<bool>);
+struct ProbeGuard<'a>(&'a Cell<bool>);
 
-impl Drop for Looking<'_> {
+impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
         self.0.set(false);
     }
@@ -287,11 +309,11 @@
         let pool = pool.clone();
         Box::pin(async move {
             let body = format!("{{\"id\":{id}}}");
-            let plan = Plan::plain(Request::post("/v1/cancel", JSON, body));
-            let deadline = pool.clock.now() + CANCEL_TIME;
-            match pool.call_again(lane, &plan, deadline).await {
-                Ok(_) => CancelProof::Answered,
-                Err(_) => CancelProof::Nothing,
+            let request = OutboundRequest::plain(Request::post("/v1/cancel", JSON, body));
+            let deadline = pool.clock.now() + CANCEL_TIMEOUT;
+            match pool.call_with_retry(lane, &request, deadline).await {
+                Ok(_) => CancelOutcome::Answered,
+                Err(_) => CancelOutcome::Unanswered,
             }
         })
     })
--- a/crates/kumquatnotch-net/tests/common/mod.rs
+++ b/crates/kumquatnotch-net/tests/common/mod.rs
@@ -100,7 +100,7 @@
     answer: Answer,
     pub asked: RefCell<Vec<String>>,
     /// How far away clients were found to be.
-    pub trips: RefCell<Vec<Duration>>,
+    pub round_trips: RefCell<Vec<Duration>>,
 }
 
 impl Handler for Scripted {
@@ -109,8 +109,8 @@
         (self.answer)(request)
     }
 
-    fn note_trip(&self, trip: Duration) {
-        self.trips.borrow_mut().push(trip);
+    fn record_round_trip(&self, trip: Duration) {
+        self.round_trips.borrow_mut().push(trip);
     }
 }
 
@@ -119,14 +119,14 @@
     options: ServerOptions,
     answer: impl Fn(Request) -> Work<'static> + 'static,
 ) -> (Server, Rc<Scripted>) {
-    let (asked, trips) = (RefCell::default(), RefCell::default());
-    let handler = Rc::new(Scripted { answer: Box::new(answer), asked, trips });
+    let (asked, round_trips) = (RefCell::default(), RefCell::default());
+    let handler = Rc::new(Scripted { answer: Box::new(answer), asked, round_trips });
     let server = Server::try_new(options, Rc::new(RuntimeClock), handler.clone());
     (server.expect("a free port is found"), handler)
 }
 
 /// Work that answers with a text after some time.
-pub fn slowly(millis: u64, text: &str) -> Work<'static> {
+pub fn reply_after(millis: u64, text: &str) -> Work<'static> {
     let reply = Reply::text(http::StatusCode::OK, text);
     Work::new(async move {
         pause(millis).await;
@@ -188,7 +188,7 @@
 }
 
 /// One of `seeds` with some bytes changed, left out or doubled.
-pub fn garbage(random: &mut fastrand::Rng, seeds: &[String]) -> Vec<u8> {
+pub fn mutated(random: &mut fastrand::Rng, seeds: &[String]) -> Vec<u8> {
     let mut bytes = random.choice(seeds).expect("there are seeds").clone().into_bytes();
     for _ in 0..random.usize(1..4) {
         let at = random.usize(..bytes.len());
--- a/crates/kumquatnotch-net/tests/peer_links.rs
+++ b/crates/kumquatnotch-net/tests/peer_links.rs
@@ -66,8 +66,11 @@
     for service in [CONFIG_SERVICE, HOLDER_SERVICE, TICKET_SERVICE] {
         registry.register::<Rc<dyn PeerHandler>>(service, worker.clone());
     }
-    let options =
-        ServerOptions { name: "peer", interim: Some(INTERIM_PERIOD), ..ServerOptions::default() };
+    let options = ServerOptions {
+        name: "peer",
+        interim_period: Some(INTERIM_PERIOD),
+        ..ServerOptions::default()
+    };
     let route = Rc::new(PeerRoute::new(registry));
     (Server::try_new(options, Rc::new(RuntimeClock), route).expect("a free port"), worker)
 }
@@ -127,7 +130,7 @@
 
 /// A service fails, or isn't there. The node answers with the numbered error.
 #[test]
-fn errors_travel_with_their_numbers() {
+fn errors_keep_their_codes() {
     run(async {
         let (server, _) = node(0);
         let links = links();
@@ -151,7 +154,7 @@
 /// A holder works longer on a group than the silence that means a lost
 /// connection. It says now and then that it works, and its answer is waited for.
 #[test]
-fn long_work_is_not_taken_for_silence() {
+fn interim_responses_prevent_the_silence_timeout() {
     run(async {
         let (server, _) = node(900);
 
@@ -168,7 +171,7 @@
     for_exclusive = { exclusive(), 1 },
     for_relay = { relay(), 1 },
 )]
-fn a_dropped_message_ends_searches_only(message: PeerMessage, ended: usize) {
+fn dropping_a_send_ends_searches_only(message: PeerMessage, ended: usize) {
     run(async {
         let (server, worker) = node(200);
         let links = links();
@@ -183,7 +186,7 @@
 
 /// A relay between nodes whose first `silent` connections lose everything after
 /// they were used once.
-fn lossy(upstream: SocketAddr, silent: usize) -> SocketAddr {
+fn lossy_proxy(upstream: SocketAddr, silent: usize) -> SocketAddr {
     accept(move |number, mut stream| async move {
         use monoio::{io::AsyncWriteRentExt, net::TcpStream};
         let mut other = TcpStream::connect_addr(upstream).await.expect("the node listens");
@@ -215,10 +218,10 @@
 /// message is sent again on a new one within the time of a probe; otherwise the
 /// node would be suspected, though only the connection is at fault.
 #[test]
-fn a_silent_connection_does_not_make_its_node_look_dead() {
+fn control_messages_are_retried_on_a_new_connection() {
     run(async {
         let (server, _) = node(0);
-        let address = lossy(server.address(), 1);
+        let address = lossy_proxy(server.address(), 1);
         let links = links();
         links.send(address, &PeerMessage::ConfigState, after(500)).await.unwrap();
 
@@ -235,7 +238,7 @@
 fn a_search_on_a_silent_connection_fails_early() {
     run(async {
         let (server, _) = node(0);
-        let address = lossy(server.address(), 1);
+        let address = lossy_proxy(server.address(), 1);
         let links = links();
         links.send(address, &group(), after(500)).await.unwrap();
         let start = Instant::now();
@@ -254,10 +257,10 @@
 /// idle. The connection does not answer the check, and the request goes over a
 /// new one, once.
 #[test]
-fn an_exclusive_request_never_goes_out_on_a_silent_connection() {
+fn an_exclusive_request_is_not_sent_on_a_silent_connection() {
     run(async {
         let (server, worker) = node(0);
-        let address = lossy(server.address(), 1);
+        let address = lossy_proxy(server.address(), 1);
         let links = links();
         links.send(address, &group(), after(500)).await.unwrap();
         pause(50).await;
@@ -292,7 +295,7 @@
 }
 
 #[test]
-fn a_node_that_is_not_there_is_known_at_once() {
+fn a_refused_connection_fails_at_once() {
     run(async {
         let address = "127.0.0.1:9".parse().unwrap();
 
--- a/crates/kumquatnotch-net/tests/server.rs
+++ b/crates/kumquatnotch-net/tests/server.rs
@@ -4,7 +4,7 @@
 
 use std::{cell::Cell, rc::Rc, time::Instant};
 
-use common::{exchange, garbage, pause, read, run, serve, slowly, write};
+use common::{exchange, mutated, pause, read, reply_after, run, serve, write};
 use http::StatusCode;
 use kumquatnotch_net::{
     message::{Reply, Request},
@@ -14,7 +14,7 @@
 use yare::parameterized;
 
 fn small() -> ServerOptions {
-    ServerOptions { body: 1_000, ..ServerOptions::default() }
+    ServerOptions { max_body: 1_000, ..ServerOptions::default() }
 }
 
 fn echo(request: Request) -> Work<'static> {
@@ -97,7 +97,7 @@
 /// A client asks to close its connection, and does so as soon as it has the reply, which
 /// tells how far away it is. One that keeps its connection tells nothing.
 #[test]
-fn a_client_that_leaves_tells_how_far_away_it_is() {
+fn the_round_trip_is_recorded_when_a_client_closes() {
     run(async {
         let (server, handler) = serve(small(), echo);
         let leave = "GET /x HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
@@ -113,15 +113,18 @@
         pause(20).await;
 
         assert!(replies.iter().all(|reply| reply.starts_with("HTTP/1.1 200 ")), "{replies:?}");
-        let trips = handler.trips.borrow();
-        assert_eq!(trips.len(), 1, "{trips:?}");
-        assert!(trips[0].as_millis() >= 35 && trips[0].as_millis() < 500, "{trips:?}");
+        let round_trips = handler.round_trips.borrow();
+        assert_eq!(round_trips.len(), 1, "{round_trips:?}");
+        assert!(
+            round_trips[0].as_millis() >= 35 && round_trips[0].as_millis() < 500,
+            "{round_trips:?}"
+        );
     });
 }
 
 /// A client asks to close its connection, and never does. It is let go after a second.
 #[test]
-fn a_client_that_stays_after_all_is_let_go() {
+fn a_client_that_does_not_close_is_disconnected() {
     run(async {
         let (server, handler) = serve(small(), echo);
         let mut stream = TcpStream::connect_addr(server.address()).await.unwrap();
@@ -131,7 +134,7 @@
         pause(1_200).await;
 
         assert_eq!(server.connections(), 0);
-        assert!(handler.trips.borrow().is_empty());
+        assert!(handler.round_trips.borrow().is_empty());
     });
 }
 
@@ -143,7 +146,7 @@
     }
 }
 
-fn watched(ended: &Rc<Cell<bool>>, dropped: &Rc<Cell<bool>>, lasting: bool) -> Work<'static> {
+fn watched(ended: &Rc<Cell<bool>>, dropped: &Rc<Cell<bool>>, detached: bool) -> Work<'static> {
     let (ended, dropped) = (ended.clone(), OnDrop(dropped.clone()));
     let reply = async move {
         let _dropped = dropped;
@@ -151,18 +154,18 @@
         ended.set(true);
         Reply::text(StatusCode::OK, "done")
     };
-    if lasting { Work::lasting(reply) } else { Work::new(reply) }
+    if detached { Work::detached(reply) } else { Work::new(reply) }
 }
 
 /// A caller hangs up while its request runs. A search is dropped at once, so
 /// that it costs the targets no more. A booking goes on: its caller will come
 /// back with the ticket and ask for the outcome.
 #[parameterized(search = { false }, booking = { true })]
-fn a_caller_that_goes_away_ends_searches_only(lasting: bool) {
+fn a_disconnect_ends_searches_only(detached: bool) {
     run(async {
         let (ended, dropped) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
         let flags = (ended.clone(), dropped.clone());
-        let work = move |_| watched(&flags.0, &flags.1, lasting);
+        let work = move |_| watched(&flags.0, &flags.1, detached);
         let (server, _) = serve(small(), work);
         let mut stream = TcpStream::connect_addr(server.address()).await.unwrap();
         write(&mut stream, GET).await;
@@ -171,9 +174,9 @@
         drop(stream);
         pause(50).await;
 
-        assert_eq!(dropped.get(), !lasting);
+        assert_eq!(dropped.get(), !detached);
         pause(200).await;
-        assert_eq!(ended.get(), lasting);
+        assert_eq!(ended.get(), detached);
         assert_eq!(server.requests(), 0);
     });
 }
@@ -182,9 +185,9 @@
 /// The request gets its whole reply, with the advice to leave the connection;
 /// the idle connection is closed; later connections are refused.
 #[test]
-fn a_graceful_close_cuts_nothing_in_flight() {
+fn a_graceful_close_waits_for_requests_in_flight() {
     run(async {
-        let (server, _) = serve(small(), |_| slowly(600, "whole"));
+        let (server, _) = serve(small(), |_| reply_after(600, "whole"));
         let mut idle = TcpStream::connect_addr(server.address()).await.unwrap();
         let mut busy = TcpStream::connect_addr(server.address()).await.unwrap();
         write(&mut busy, GET).await;
@@ -206,9 +209,9 @@
 /// A caller sends its next request just as the node closes: the bytes crossed
 /// the shutdown on their way. It is answered, not reset.
 #[test]
-fn a_request_that_crosses_the_close_is_answered() {
+fn a_request_sent_during_the_close_is_answered() {
     run(async {
-        let (server, _) = serve(small(), |_| slowly(1, "late but whole"));
+        let (server, _) = serve(small(), |_| reply_after(1, "late but whole"));
         let mut stream = TcpStream::connect_addr(server.address()).await.unwrap();
         pause(20).await;
         let closer = server.clone();
@@ -227,7 +230,7 @@
 /// not listen sends again on the same connection, and is served: closed at once,
 /// its next request would look to it as if it had been cut.
 #[test]
-fn a_client_that_is_asked_to_leave_may_send_once_more() {
+fn a_draining_server_answers_on_kept_connections() {
     run(async {
         let (server, _) = serve(small(), echo);
         let mut stream = TcpStream::connect_addr(server.address()).await.unwrap();
@@ -243,9 +246,9 @@
 }
 
 #[test]
-fn a_close_gives_up_at_its_deadline() {
+fn a_close_stops_waiting_at_its_deadline() {
     run(async {
-        let (server, _) = serve(small(), |_| slowly(5_000, "too late"));
+        let (server, _) = serve(small(), |_| reply_after(5_000, "too late"));
         let mut stream = TcpStream::connect_addr(server.address()).await.unwrap();
         write(&mut stream, GET).await;
         pause(50).await;
@@ -256,7 +259,7 @@
 
 /// A client sends bodies only when told to go on, as curl does with large ones.
 #[test]
-fn a_client_that_waits_to_be_asked_is_asked() {
+fn expect_continue_is_answered() {
     run(async {
         let (server, _) = serve(small(), echo);
         let mut stream = TcpStream::connect_addr(server.address()).await.unwrap();
@@ -275,9 +278,9 @@
 /// new caller is served all the same: the connection that was idle for longest
 /// makes room.
 #[test]
-fn idle_callers_lock_nobody_out() {
+fn idle_connections_are_closed_for_new_callers() {
     run(async {
-        let options = ServerOptions { connections: 3, ..ServerOptions::default() };
+        let options = ServerOptions { max_connections: 3, ..ServerOptions::default() };
         let (server, _) = serve(options, echo);
         let mut idle = Vec::new();
         for _ in 0..3 {
@@ -297,7 +300,7 @@
 /// one of them may end the node, since the next caller would be sent to another
 /// node and bring the same request there.
 #[test]
-fn garbage_does_not_end_the_server() {
+fn malformed_requests_do_not_stop_the_server() {
     run(async {
         let (server, _) = serve(small(), echo);
         let mut random = fastrand::Rng::with_seed(11);
@@ -309,7 +312,7 @@
         ];
 
         for _ in 0..1_500 {
-            let bytes = garbage(&mut random, &seeds);
+            let bytes = mutated(&mut random, &seeds);
             let mut stream = TcpStream::connect_addr(server.address()).await.unwrap();
             let _ = monoio::io::AsyncWriteRentExt::write_all(&mut stream, bytes).await;
             pause(0).await;
--- a/crates/kumquatnotch-net/tests/silence.rs
+++ b/crates/kumquatnotch-net/tests/silence.rs
@@ -113,7 +113,7 @@
 /// A straggler whose status lies that it runs nothing. The connection is
 /// challenged and answers: it is kept, and one search is the cost.
 #[test]
-fn a_straggler_that_calls_itself_idle_is_cleared() {
+fn a_straggler_that_reports_idle_keeps_its_connection() {
     run(async {
         let fleet = fleet(7.0);
         let (links, spec) = (links(), spec(fleet.address("t0").unwrap()));
@@ -134,7 +134,7 @@
 /// could never be sent again. The connection has to answer a check first, and
 /// does not; the booking runs once, over a new connection.
 #[test]
-fn a_booking_never_goes_out_on_a_silent_connection() {
+fn a_booking_is_not_sent_on_a_silent_connection() {
     run(async {
         let fleet = fleet(5.0);
         let (links, spec) = (links(), spec(fleet.address("t0").unwrap()));
@@ -153,7 +153,7 @@
 /// The connection for probes has gone silent. A probe finds the target alive
 /// all the same, within the time that a probe may take.
 #[test]
-fn a_silent_connection_does_not_make_its_target_look_dead() {
+fn probes_are_retried_on_a_new_connection() {
     run(async {
         let fleet = fleet(5.0);
         let (links, spec) = (links(), spec(fleet.address("t0").unwrap()));
@@ -169,7 +169,7 @@
 /// Nothing answers at all, on any connection. That is a dead target, not a
 /// silent connection.
 #[test]
-fn a_mute_target_is_not_a_silent_connection() {
+fn an_unresponsive_target_is_not_a_silent_connection() {
     run(async {
         let address =
             accept(|_, mut stream| async move { while !read(&mut stream).await.is_empty() {} });
@@ -183,7 +183,7 @@
 /// A caller gives up while a connection is still being checked for its booking.
 /// The booking must not go out after that: nobody waits for its outcome.
 #[test]
-fn a_booking_given_up_during_its_check_is_not_sent() {
+fn a_booking_abandoned_during_its_check_is_not_sent() {
     run(async {
         let bookings = Rc::new(Cell::new(0));
         let counted = bookings.clone();
--- a/crates/kumquatnotch-net/tests/target_links.rs
+++ b/crates/kumquatnotch-net/tests/target_links.rs
@@ -5,7 +5,7 @@
 use std::{cell::Cell, rc::Rc, time::Instant};
 
 use common::{
-    accept, after, booking, garbage, hit_body, links, links_with, name, pause, raw_reply, read,
+    accept, after, booking, hit_body, links, links_with, mutated, name, pause, raw_reply, read,
     run, search, serve, spec, write,
 };
 use futures_util::future::join_all;
@@ -40,7 +40,7 @@
         200, "{\"version\":2}", Error::protocol("asked for version 1, answered from 2")
     },
 )]
-fn replies_have_their_meaning(status: u16, body: &'static str, error: Error) {
+fn statuses_map_to_errors(status: u16, body: &'static str, error: Error) {
     run(async {
         let status = StatusCode::from_u16(status).unwrap();
         let answer = move |_| Work::ready(Reply::new(status, JSON, body));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_target_answers_and_tells_its_state() {
+fn a_target_answers_calls_and_probes() {
     run(async {
         let fleet = fleet(|_| {});
         let (links, spec) = (links(), spec(fleet.address("t0").unwrap()));
@@ -70,7 +70,7 @@
 /// Nothing listens there. The error is certain that nothing was sent, and it
 /// comes at once, so that the caller can turn to another replica.
 #[test]
-fn a_refused_connection_is_known_at_once() {
+fn a_refused_connection_fails_at_once() {
     run(async {
         let start = Instant::now();
         let spec = spec("127.0.0.1:9".parse().unwrap());
@@ -85,7 +85,7 @@
 /// The target closes the connection after it has read a booking. It may have
 /// run it, and the error must not say otherwise.
 #[test]
-fn a_connection_lost_after_sending_is_not_called_unsent() {
+fn a_connection_lost_after_sending_may_have_run() {
     run(async {
         let address = accept(|_, mut stream| async move {
             read(&mut stream).await;
@@ -101,7 +101,7 @@
 /// The target has closed an idle connection. The next request finds that out
 /// before anything is sent, and goes over a new connection.
 #[test]
-fn a_connection_closed_while_idle_costs_no_request() {
+fn a_connection_closed_while_idle_fails_no_request() {
     run(async {
         let address = accept(|_, mut stream| async move {
             read(&mut stream).await;
@@ -120,7 +120,7 @@
 /// A target answers the first request twice. The second copy must not be taken
 /// for the reply to the next request on that connection.
 #[test]
-fn a_doubled_reply_reaches_no_other_request() {
+fn a_duplicate_reply_reaches_no_other_request() {
     run(async {
         let address = accept(|number, mut stream| async move {
             read(&mut stream).await;
@@ -140,7 +140,7 @@
 /// A reply carries the number of another request: the two sides are out of
 /// step. The caller gets an error instead of someone else's answer.
 #[test]
-fn a_crossed_reply_is_refused() {
+fn a_reply_with_another_request_id_is_rejected() {
     run(async {
         let address = accept(|_, mut stream| async move {
             read(&mut stream).await;
@@ -207,10 +207,10 @@
 /// A burst of calls meets a target that takes 6 ms for each new connection. The
 /// calls share the few connections that the setting allows.
 #[parameterized(three = { 3 }, two = { 2 }, one = { 1 })]
-fn a_burst_stays_within_the_connections(connections: usize) {
+fn a_burst_stays_within_the_connection_limit(connections: usize) {
     run(async {
         let fleet = fleet(|plan| plan.target[0].service_ms = 2.0);
-        let options = TargetLinkOptions { connections, ..Default::default() };
+        let options = TargetLinkOptions { max_connections: connections, ..Default::default() };
         let (links, spec) = (links_with(options), spec(fleet.address("t0").unwrap()));
 
         let peak = Rc::new(Cell::new(0));
@@ -260,7 +260,7 @@
 /// A target answers with garbage. The call fails or is answered, and the node
 /// goes on.
 #[test]
-fn garbage_from_a_target_ends_no_node() {
+fn malformed_replies_do_not_stop_the_node() {
     run(async {
         let random = Rc::new(std::cell::RefCell::new(fastrand::Rng::with_seed(5)));
         let address = accept(move |_, mut stream| {
@@ -271,7 +271,7 @@
                 let chunked =
                     format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunks}");
                 let seeds = [raw_reply(&hit_body("a")), chunked];
-                let reply = garbage(&mut random.borrow_mut(), &seeds);
+                let reply = mutated(&mut random.borrow_mut(), &seeds);
                 let _ = monoio::io::AsyncWriteRentExt::write_all(&mut stream, reply).await;
             }
         });
--- a/crates/kumquatnotch-route/src/attempt.rs
+++ b/crates/kumquatnotch-route/src/attempt.rs
@@ -106,7 +106,7 @@
         None => Err(Error::ConnectionLost),
     };
     match reply {
-        Ok(OpaqueReply { reply, keep }) => {
+        Ok(OpaqueReply { reply, idle_limit: keep }) => {
             let (link, took) = flight.replied();
             if let (Some(link), Some(keep)) = (link, keep) {
                 replica.links.put(link, clock.now(), keep);
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -88,7 +88,7 @@
 /// Answers a node that follows this one.
 pub async fn tell(router: &Router, request: &Request) -> Result<Vec<u8>> {
     let journal = &router.journal;
-    let field = |name| request.field(name).and_then(|text| text.parse::<u64>().ok());
+    let field = |name| request.query_param(name).and_then(|text| text.parse::<u64>().ok());
     let after = field("after").unwrap_or_default();
     let wait = Duration::from_millis(field("wait_ms").unwrap_or_default()).min(FOLLOW_WAIT);
     if !journal.is_filled() {
@@ -165,7 +165,7 @@
     request.headers.insert(http::header::HOST, host);
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
-    if let Some(keep) = answer.keep {
+    if let Some(keep) = answer.idle_limit {
         peer.links.put(link, clock.now(), keep);
     }
     match answer.reply.status {
--- a/crates/kumquatnotch-route/src/in_flight.rs
+++ b/crates/kumquatnotch-route/src/in_flight.rs
@@ -60,7 +60,7 @@
         }
         let may_end = self.router.uses(Mechanism::KeptConnections)
             && self.call.is_settled.get()
-            && link.is_untouched();
+            && link.awaits_first_byte();
         if may_end && copies::is_soon_done(observed, self.usual, took, now) {
             let linger = Linger {
                 router: self.router.clone(),
@@ -95,7 +95,7 @@
         let now = clock.now();
         let replied = matches!(reply, Ok(Ok(_))).then_some(now);
         self.replica.observed.note_end(self.at, replied);
-        if let Ok(Ok(OpaqueReply { keep: Some(keep), .. })) = reply {
+        if let Ok(Ok(OpaqueReply { idle_limit: Some(keep), .. })) = reply {
             self.replica.links.put(link, now, keep);
         }
     }
--- a/crates/kumquatnotch-route/src/links.rs
+++ b/crates/kumquatnotch-route/src/links.rs
@@ -48,7 +48,7 @@
         let mut idle = self.idle.borrow_mut();
         while let Some(Idle { mut link, since, until }) = idle.pop() {
             let fresh = now < until && now.saturating_duration_since(since) <= most_idle;
-            if fresh && link.is_quiet() {
+            if fresh && link.is_reusable() {
                 return Some(link);
             }
         }
--- a/crates/kumquatnotch-route/src/probe.rs
+++ b/crates/kumquatnotch-route/src/probe.rs
@@ -84,7 +84,7 @@
     metrics::counter!("kumquatnotch_probes_total").increment(1);
     link.send(&request).await.ok()?;
     let answer = link.receive(&|_| true).await.ok()?;
-    if let Some(keep) = answer.keep {
+    if let Some(keep) = answer.idle_limit {
         replica.links.put(link, clock.now(), keep);
     }
     Some(answer.reply)
--- a/crates/kumquatnotch-route/src/relay.rs
+++ b/crates/kumquatnotch-route/src/relay.rs
@@ -129,7 +129,7 @@
     request.headers.insert(http::header::HOST, host);
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
-    if let Some(keep) = answer.keep {
+    if let Some(keep) = answer.idle_limit {
         peer.links.put(link, clock.now(), keep);
     }
     Ok(answer.reply.status == StatusCode::OK)
@@ -162,7 +162,7 @@
     let _ended = Ended { peer, at };
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
-    if let Some(keep) = answer.keep {
+    if let Some(keep) = answer.idle_limit {
         peer.links.put(link, clock.now(), keep.max(PEER_IDLE));
     }
     if answer.reply.status != StatusCode::OK {
--- a/crates/kumquatnotch-route/src/relay_front.rs
+++ b/crates/kumquatnotch-route/src/relay_front.rs
@@ -134,7 +134,7 @@
                 }
             }),
             RUNNING_PATH => {
-                let identity = request.field("request").unwrap_or_default();
+                let identity = request.query_param("request").unwrap_or_default();
                 let running = self.running.borrow();
                 let known = running.iter().any(|other| other.as_bytes() == identity.as_bytes());
                 let status = if known { StatusCode::OK } else { StatusCode::NOT_FOUND };
--- a/crates/kumquatnotch/src/node.rs
+++ b/crates/kumquatnotch/src/node.rs
@@ -112,7 +112,10 @@
 
         // The way out.
         TargetLinks::try_new(target_options(&settings), &registry)?;
-        PeerLinks::try_new(PeerLinkOptions { body: PEER_BODY, ..Default::default() }, &registry)?;
+        PeerLinks::try_new(
+            PeerLinkOptions { max_body: PEER_BODY, ..Default::default() },
+            &registry,
+        )?;
         registry.register(services::STORE, store);
 
         // The way in, which comes first because membership tells its addresses.
@@ -244,15 +247,15 @@
 }
 
 fn target_options(settings: &Settings) -> TargetLinkOptions {
-    TargetLinkOptions { connections: settings.limits.connections, ..Default::default() }
+    TargetLinkOptions { max_connections: settings.limits.connections, ..Default::default() }
 }
 
 fn entry_options(settings: &Settings) -> ServerOptions {
     ServerOptions {
         address: settings.listen.entry,
         name: "entry",
-        body: settings.limits.body as usize,
-        connections: settings.limits.callers,
+        max_body: settings.limits.body as usize,
+        max_connections: settings.limits.callers,
         ..Default::default()
     }
 }
@@ -261,9 +264,9 @@
     ServerOptions {
         address: settings.listen.peer,
         name: "peer",
-        body: PEER_BODY,
-        connections: PEER_CONNECTIONS,
-        interim: Some(INTERIM_PERIOD),
+        max_body: PEER_BODY,
+        max_connections: PEER_CONNECTIONS,
+        interim_period: Some(INTERIM_PERIOD),
         ..Default::default()
     }
 }
