--- a/crates/kumquatnotch-net/src/call_counts.rs
+++ b/crates/kumquatnotch-net/src/call_counts.rs
@@ -1,52 +1,52 @@
-//! Counts of the calls to a dependency, by kind and by how they ended.
+//! Counts of calls to a dependency, by kind and outcome.
 //!
-//! They are metrics, and a line of the log every few seconds for each kind that was
-//! called, from which it can be told later what the nodes asked of the dependency.
+//! The counts are exported as metrics. They are also logged every few seconds, one line per
+//! kind that was called, so that the load on the dependency can be reconstructed from the logs.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
 use kumquatnotch_core::{Clock, clock};
 
-/// How often the counts are written to the log.
+/// Interval between log reports.
 ///
-/// With seven kinds of calls this is less than a line a second for each node.
+/// With seven kinds of calls, each node logs less than one line per second.
 const LOG_PERIOD: Duration = Duration::from_secs(10);
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The dependency answered, whatever it said.
+    /// The dependency answered, whatever the answer.
     Answered,
-    /// It said that it does not take the call.
+    /// The dependency refused the call.
     Refused,
-    /// No answer came in time, or the connection ended.
+    /// No answer arrived in time, or the connection was closed.
     Unanswered,
 }
 
-/// The calls of one kind.
+/// Number of calls of one kind, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Those that were answered.
+    /// Answered calls.
     pub answered: u64,
-    /// Those that were refused.
+    /// Refused calls.
     pub refused: u64,
-    /// Those without an answer.
+    /// Calls without an answer.
     pub unanswered: u64,
 }
 
-/// Counts of the calls to a dependency.
+/// Counts the calls to a dependency.
 pub struct CallCounts {
     dependency: &'static str,
     counts: RefCell<BTreeMap<&'static str, Count>>,
 }
 
 impl CallCounts {
-    /// No calls yet to the dependency of this name.
+    /// Creates empty counts for the dependency with this name.
     pub fn new(dependency: &'static str) -> Rc<CallCounts> {
         Rc::new(CallCounts { dependency, counts: RefCell::default() })
     }
 
-    /// Counts a call.
+    /// Records a call.
     pub fn note(&self, kind: &'static str, outcome: Outcome) {
         let mut counts = self.counts.borrow_mut();
         let count = counts.entry(kind).or_default();
@@ -63,12 +63,12 @@
         .increment(1);
     }
 
-    /// The calls since the last time, by kind.
+    /// Returns the counts by kind since the last call of this method, and resets them.
     pub fn take(&self) -> BTreeMap<&'static str, Count> {
         std::mem::take(&mut *self.counts.borrow_mut())
     }
 
-    /// Writes the counts to the log, now and then, for good.
+    /// Logs the counts periodically; never returns.
     pub async fn report(self: Rc<CallCounts>, clock: Rc<dyn Clock>) {
         loop {
             clock::sleep(&*clock, LOG_PERIOD).await;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Writes the counts since the last time to the log.
+    /// Logs the counts since the last report, and resets them.
     pub fn write(&self) {
         for (kind, Count { answered, refused, unanswered }) in self.take() {
             tracing::info!(
--- a/crates/kumquatnotch-net/src/caller_client.rs
+++ b/crates/kumquatnotch-net/src/caller_client.rs
@@ -1,4 +1,4 @@
-//! A client of nodes, as callers and operators are.
+//! An HTTP client for the requests of callers and operators to a node.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,10 +10,10 @@
     pool::{Lane, Pool, PoolOptions},
 };
 
-/// How long a connection is kept without use.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The largest reply, in bytes.
+/// Maximum size of a reply body, in bytes.
 const MAX_REPLY_BODY: usize = 64 << 20;
 
 /// A client of one node.
@@ -22,7 +22,7 @@
 }
 
 impl CallerClient {
-    /// A client that opens at most `connections` connections.
+    /// Creates a client that opens at most `connections` connections.
     pub fn new(
         address: SocketAddr,
         connections: usize,
@@ -40,8 +40,8 @@
 
     /// Sends `request` and waits for its reply, for at most `time`.
     ///
-    /// Dropping the future closes the connection, by which the node knows that
-    /// its caller has gone away.
+    /// Dropping the future closes the connection, which tells the node that its caller has
+    /// disconnected.
     pub async fn call(&self, request: Request, time: Duration) -> Result<Reply> {
         let deadline = self.pool.clock.now() + time;
         self.pool.call(Lane::Work, &OutboundRequest::plain(request), deadline).await
--- a/crates/kumquatnotch-net/src/client_connection.rs
+++ b/crates/kumquatnotch-net/src/client_connection.rs
@@ -1,10 +1,10 @@
-//! One connection of a client: its task, and the jobs it is given.
+//! The task of one client connection, and the jobs that it runs.
 //!
-//! The task owns the connection. While idle it offers itself to its pool and
-//! watches for the end of the connection. A job whose caller went away is
-//! cancelled at the other side, and its reply is still read for a while: if it
-//! comes, the connection is in step and used again; if not, it is closed, never
-//! pooled half-read.
+//! The task owns the connection. While idle, it offers the connection to its pool and watches
+//! for its end. If the caller of a job goes away, the job is cancelled at the other side, and
+//! its reply is awaited for a limited time. If the reply arrives, the connection is in sync
+//! and is reused; otherwise it is closed, so that no connection with an outstanding reply
+//! returns to the pool.
 
 use std::{
     net::SocketAddr,
@@ -24,48 +24,48 @@
     silence::{self, CancelOutcome},
 };
 
-/// A request for one connection.
+/// A request to be sent on one connection.
 pub(crate) struct Job {
     /// The request.
     pub(crate) request: Request,
-    /// Its number.
+    /// The request id, unique within its pool.
     pub(crate) request_id: u64,
-    /// Where the reply goes; [`JobFault::NotSent`] tells that another connection can be tried.
+    /// Receives the reply; after [`JobFault::NotSent`] another connection can be tried.
     pub(crate) reply: oneshot::Sender<Result<Reply, JobFault>>,
-    /// Asks, when sent, whether the connection is silent.
+    /// Completes when the caller challenges the connection; see [`silence`].
     pub(crate) challenge: oneshot::Receiver<()>,
     /// Cancels the request at the other side, over another connection.
     pub(crate) cancel: Option<Cancel>,
-    /// A request to send before this one, to see whether the connection lives.
+    /// A request to send before this one, to check that the connection responds.
     pub(crate) check: Option<Request>,
-    /// The silence in which a node of the tier would have sent something.
+    /// Time without any response after which a connection to a node counts as lost.
     pub(crate) silence_timeout: Option<Duration>,
 }
 
-/// Cancels a request at the other side and tells what that proved.
+/// Cancels a request at the other side and returns the outcome of the cancellation.
 pub(crate) type Cancel = Rc<dyn Fn() -> LocalFuture<'static, CancelOutcome>>;
 
 /// Why a job failed.
 #[derive(Debug)]
 pub(crate) enum JobFault {
-    /// Nothing of the request was sent.
+    /// No part of the request was sent.
     NotSent,
-    /// It may have been delivered.
+    /// The request may have been delivered.
     Failed(Error),
 }
 
-/// What is known about a connection whose request was abandoned or questioned.
+/// Result of waiting for the reply to a request that was abandoned or challenged.
 enum Drained {
-    /// The reply came.
+    /// The reply arrived.
     Reply(Result<ExchangeResult>),
-    /// Nothing came in the time that a living connection would have needed.
+    /// No reply arrived in the time that a working connection needs.
     NoReply(CancelOutcome),
 }
 
-/// What a job leaves of its connection.
+/// What happens to a connection after a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disposition {
-    /// It can be used again.
+    /// It can be reused.
     Keep,
     /// It must be closed.
     Close,
@@ -73,7 +73,7 @@
     Lost,
 }
 
-/// Runs a connection to its end.
+/// Runs the jobs of a connection until it is closed.
 pub(crate) async fn run(
     mut stream: ClientStream,
     pool: Weak<Pool>,
@@ -94,13 +94,14 @@
         pool.note_success();
     }
     if let Some(pool) = pool.upgrade() {
-        // A target that takes connections only to drop them is as good as one
-        // that refuses them.
+        // A target that accepts connections but closes them before it serves a request is
+        // treated like one that refuses connections.
         pool.closed(lane, disposition == Disposition::Lost && !served);
     }
 }
 
-/// Offers the connection to its pool and waits for a job; `None` if it has ended.
+/// Offers the connection to its pool and waits for a job; returns `None` once the connection
+/// is closed or its idle timeout has passed.
 async fn next_job(stream: &mut ClientStream, pool: &Weak<Pool>, lane: Lane) -> Option<Job> {
     let (sender, receiver) = oneshot::channel();
     let mut idle = {
@@ -111,7 +112,7 @@
     };
     let mut receiver = receiver.fuse();
     let mut closed = pin!(stream.wait_closed().fuse());
-    // The end is looked at first: a job that is dropped here was not sent, and
+    // Checks for the end of the connection first: a job that is dropped here was not sent, and
     // its caller takes another connection.
     select_biased! {
         _ = closed => None,
@@ -136,14 +137,14 @@
         let _ = reply.send(Err(JobFault::NotSent));
         return Disposition::Close;
     }
-    // Whoever gave up during the check must not have the request run later.
+    // A caller that gave up during the check no longer waits, so the request must not run.
     if reply.is_canceled() {
         return Disposition::Keep;
     }
     let mut work = pin!(stream.exchange(request, request_id, silence_timeout, clock).fuse());
     let mut challenge = pin!(
         async {
-            // A sender that was dropped asks nothing.
+            // A dropped sender is not a challenge.
             if challenge.await.is_err() {
                 std::future::pending::<()>().await;
             }
@@ -156,7 +157,7 @@
         () = challenge => {}
     }
     let abandoned = reply.is_canceled();
-    // Without a way to cancel, closing the connection is what tells the other side.
+    // Without a way to cancel, closing the connection tells the other side to stop.
     let Some(cancel) = cancel else {
         let _ = reply.send(Err(JobFault::Failed(Error::TimedOut)));
         return Disposition::Close;
@@ -164,7 +165,7 @@
     let drain = pin!(async {
         let outcome = cancel().await;
         clock::sleep(clock, silence::SHORT_DRAIN_TIMEOUT).await;
-        // A new connection costs less than callers that wait behind this one.
+        // If callers wait for a connection, opening a new one is cheaper than draining this one.
         if !abandoned || !pool.has_waiters(lane) {
             clock::sleep(clock, silence::DRAIN_TIMEOUT - silence::SHORT_DRAIN_TIMEOUT).await;
         }
@@ -176,17 +177,17 @@
     };
     match drained {
         Drained::Reply(result) => finish(result, reply, address),
-        // Nobody suspected this connection; its target may be slow to cancel.
+        // The connection was not challenged; its target may just be slow to cancel.
         Drained::NoReply(_) if reply.is_canceled() => {
             metrics::counter!("kumquatnotch_undrained_connections_total").increment(1);
             Disposition::Close
         }
         Drained::NoReply(CancelOutcome::Answered) => {
-            silence::report(address, "a cancelled request was never answered");
+            silence::report(address, "no reply to a cancelled request");
             let _ = reply.send(Err(JobFault::Failed(Error::ConnectionSilent)));
             Disposition::Close
         }
-        // The whole target is quiet, which says nothing about this connection.
+        // The target does not respond at all, so this connection alone is not at fault.
         Drained::NoReply(CancelOutcome::Unanswered) => {
             let _ = reply.send(Err(JobFault::Failed(Error::TimedOut)));
             Disposition::Close
@@ -194,7 +195,7 @@
     }
 }
 
-/// Whether the other side answers on this connection at all.
+/// Checks whether the other side responds on this connection.
 async fn answers(
     stream: &mut ClientStream,
     check: Request,
@@ -209,13 +210,13 @@
         Ok(Ok(exchanged)) => exchanged.keep_alive,
         Ok(Err(_)) => false,
         Err(_) => {
-            silence::report(address, "it did not answer a check before its next use");
+            silence::report(address, "no reply to the liveness check before reuse");
             false
         }
     }
 }
 
-/// Hands a result to the caller.
+/// Passes a result to the caller.
 fn finish(
     result: Result<ExchangeResult>,
     reply: oneshot::Sender<Result<Reply, JobFault>>,
@@ -223,13 +224,13 @@
 ) -> Disposition {
     match result {
         Ok(exchanged) => {
-            // A caller that has gone away no longer wants it.
+            // Fails if the caller has gone away, which needs no handling.
             let _ = reply.send(Ok(exchanged.reply));
             if exchanged.keep_alive { Disposition::Keep } else { Disposition::Close }
         }
         Err(error) => {
             if error == Error::ConnectionSilent {
-                silence::report(address, "a working node would have sent something");
+                silence::report(address, "no interim response from the node");
             }
             let disposition =
                 if error == Error::ConnectionLost { Disposition::Lost } else { Disposition::Close };
--- a/crates/kumquatnotch-net/src/entry.rs
+++ b/crates/kumquatnotch-net/src/entry.rs
@@ -1,4 +1,4 @@
-//! The routes for callers and operators.
+//! HTTP routes for callers and operators.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -18,31 +18,31 @@
     server::{Handler, Work},
 };
 
-/// What a node shows its operators.
+/// The state of a node that is exposed to operators.
 pub trait Operator {
-    /// Whether it serves callers.
+    /// Whether the node serves callers.
     fn is_ready(&self) -> bool;
 
-    /// Its state as text.
+    /// Returns the state of the node as text.
     fn status(&self) -> String;
 
-    /// The configuration in force on each known node.
+    /// Returns the configuration in force on each known node.
     fn config(&self) -> LocalFuture<'_, ConfigReport>;
 
-    /// Its metrics in Prometheus' text form.
+    /// Returns the metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 }
 
 /// The name under which an `Rc<dyn Operator>` is registered.
 pub const OPERATOR: &str = "operator";
 
-/// When a caller that met the bound on searches may come back.
+/// Time after which a caller may retry when the limit on concurrent searches was reached.
 const OVERLOAD_RETRY: Duration = Duration::from_millis(100);
 
-/// The routes for callers and operators.
+/// Handles the routes for callers and operators.
 ///
-/// The services behind them are looked up with each request, as the listener is
-/// there before them: they need its address.
+/// Services are looked up per request: they need the address of the listener, so the listener
+/// starts before they are registered.
 pub struct EntryRoute {
     registry: Registry,
     max_searches: usize,
@@ -55,7 +55,8 @@
 }
 
 impl EntryRoute {
-    /// Routes to the services of `registry`, with at most `max_searches` searches at once.
+    /// Creates routes to the services of `registry`, with at most `max_searches` concurrent
+    /// searches.
     pub fn new(registry: Registry, max_searches: usize) -> EntryRoute {
         EntryRoute { registry, max_searches, searches: Cell::new(0) }
     }
@@ -69,8 +70,8 @@
     }
 
     async fn search(&self, request: Request) -> Reply {
-        // Only searches are refused here: whether a non-idempotent request has run
-        // is known to the front alone, and a refusal says "not run".
+        // Only searches are refused here. A refusal says "not run", and only the front knows
+        // whether a non-idempotent request has already run.
         if self.searches.get() >= self.max_searches {
             return Reply::error(&Error::overloaded(OVERLOAD_RETRY));
         }
@@ -117,7 +118,7 @@
     }
 }
 
-/// Counts a search for as long as it runs.
+/// Counts a search while it runs.
 struct SearchGuard<'a>(&'a Cell<usize>);
 
 impl<'a> SearchGuard<'a> {
--- a/crates/kumquatnotch-net/src/exchange.rs
+++ b/crates/kumquatnotch-net/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its reply on a connection of a client.
+//! One request and its reply on a client connection.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,40 +16,40 @@
     reader::{Peek, ReadFault, ResponseReader},
 };
 
-/// The two ends of a connection of a client.
+/// The read and write halves of a client connection.
 pub(crate) struct ClientStream {
     reader: ResponseReader,
     encoder: GenericEncoder<OwnedWriteHalf<TcpStream>>,
     address: SocketAddr,
 }
 
-/// A reply, and whether the connection can be used again.
+/// A reply, and whether the connection can be reused.
 pub(crate) struct ExchangeResult {
     pub(crate) reply: Reply,
     pub(crate) keep_alive: bool,
 }
 
 impl ClientStream {
-    /// Takes over a connection; replies may have bodies of up to `limit` bytes.
+    /// Wraps a connection; reply bodies may have up to `limit` bytes.
     pub(crate) fn new(stream: TcpStream, address: SocketAddr, limit: usize) -> ClientStream {
         let (read, write) = stream.into_split();
         let reader = ResponseReader::new(read, limit);
         ClientStream { reader, encoder: GenericEncoder::new(write), address }
     }
 
-    /// Completes when an idle connection has ended.
+    /// Completes when an idle connection must no longer be used.
     ///
-    /// Bytes that nobody asked for end it too: a late or doubled reply would be
-    /// taken for the reply to the next request.
+    /// That is when the other side closes it, or sends unsolicited bytes: a late or duplicate
+    /// reply would be taken for the reply to the next request.
     pub(crate) async fn wait_closed(&mut self) -> Peek {
         self.reader.peek().await
     }
 
     /// Sends `request` and reads its reply.
     ///
-    /// With `silence_timeout`, the other side is one of our nodes: it sends an interim
-    /// response now and then while it works, and a silence of that length means
-    /// that the connection is lost.
+    /// `silence_timeout` is set if the other side is a node of this tier. Nodes send interim
+    /// responses periodically while they process a request, so a connection without any
+    /// response for that time is lost.
     pub(crate) async fn exchange(
         &mut self,
         request: Request,
@@ -113,15 +113,15 @@
     match fault {
         ReadFault::Closed => Error::ConnectionLost,
         ReadFault::Malformed(detail) => Error::protocol(detail),
-        ReadFault::TooLong => Error::protocol("the reply is too long"),
+        ReadFault::TooLong => Error::protocol("reply exceeds the size limit"),
     }
 }
 
-/// Checks that a reply which carries a number carries that of its request.
+/// Checks that the request id of a reply, if present, is that of its request.
 fn check_request_id(reply: &Reply, request_id: u64) -> Result<()> {
     match reply.header::<u64>(REQUEST_ID_HEADER) {
         Some(other) if other != request_id => Err(Error::protocol(format!(
-            "a reply to request {other} came for request {request_id}"
+            "received the reply to request {other} instead of request {request_id}"
         ))),
         _ => Ok(()),
     }
--- a/crates/kumquatnotch-net/src/latency.rs
+++ b/crates/kumquatnotch-net/src/latency.rs
@@ -1,4 +1,4 @@
-//! How fast a target usually answers, by which a late reply is known.
+//! Estimates the usual latency of a target, to detect late replies.
 
 use std::{
     cell::{Cell, RefCell},
@@ -6,16 +6,16 @@
     time::{Duration, Instant},
 };
 
-/// The lateness assumed before anything was measured.
+/// Late threshold before the first reply.
 const INITIAL_LATE_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// The least lateness, below which nothing is suspected.
+/// Minimum late threshold; no faster reply is treated as late.
 const MIN_LATE_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// How many starts of answered requests are remembered.
+/// Number of answered requests whose start times are kept.
 const START_HISTORY: usize = 16;
 
-/// The pace of one target for one class.
+/// Moving averages of the latency of a target and of its deviation.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyEstimator {
     mean: Cell<Option<f64>>,
@@ -24,7 +24,7 @@
 }
 
 impl LatencyEstimator {
-    /// Notes a reply to a request that was sent at `start`.
+    /// Records a reply to a request that was sent at `start`.
     pub(crate) fn note(&self, start: Instant, now: Instant) {
         let took = now.saturating_duration_since(start).as_secs_f64();
         match self.mean.get() {
@@ -32,7 +32,7 @@
                 self.mean.set(Some(took));
                 self.deviation.set(took / 2.0);
             }
-            // The weights are those of the retransmission timer of TCP (RFC 6298).
+            // The weights are those of the TCP retransmission timer (RFC 6298).
             Some(mean) => {
                 self.deviation.set(0.75 * self.deviation.get() + 0.25 * (mean - took).abs());
                 self.mean.set(Some(0.875 * mean + 0.125 * took));
@@ -45,7 +45,7 @@
         starts.push_back(start);
     }
 
-    /// The time after which a reply is late.
+    /// Returns the latency above which a reply is late.
     pub(crate) fn late_threshold(&self) -> Duration {
         match self.mean.get() {
             None => INITIAL_LATE_THRESHOLD,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// How many of the last answered requests were sent after `start`.
+    /// Returns the number of recently answered requests that were sent after `start`.
     pub(crate) fn replies_after(&self, start: Instant) -> usize {
         self.starts.borrow().iter().filter(|other| **other > start).count()
     }
--- a/crates/kumquatnotch-net/src/lib.rs
+++ b/crates/kumquatnotch-net/src/lib.rs
@@ -1,11 +1,11 @@
-//! How bytes travel: HTTP/1.1 over monoio.
+//! HTTP/1.1 transport on top of monoio.
 //!
-//! The server side takes connections from callers, operators and peers, one
-//! task each, and hands whole requests to a [`server::Handler`]. The client side
-//! keeps bounded pools of connections, one task each, and offers the borders of
-//! the core crate over them: [`PeerLinks`] and [`TargetLinks`].
-//! Requests of others pass unchanged over an [`OpaqueLink`]. What is done about
-//! connections that go silent is told in [`silence`].
+//! The server side accepts connections from callers, operators and peers, runs one task per
+//! connection, and passes complete requests to a [`server::Handler`]. The client side keeps
+//! bounded connection pools, also with one task per connection. [`PeerLinks`] and
+//! [`TargetLinks`] implement the client traits of the core crate on top of these pools. An
+//! [`OpaqueLink`] forwards third-party requests unchanged. The [`silence`] module describes
+//! how connections that stop responding are detected.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatnotch-net/src/message.rs
+++ b/crates/kumquatnotch-net/src/message.rs
@@ -1,4 +1,4 @@
-//! Whole HTTP messages, as handlers and clients see them.
+//! HTTP messages with complete bodies, as used by handlers and clients.
 
 use std::str::FromStr;
 
@@ -7,21 +7,21 @@
 use kumquatnotch_core::{Error, Result};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// The header with the time left, in milliseconds.
+/// Header with the time left until the deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
 
-/// The header with the number of a request, which its reply repeats.
+/// Header with the id of a request, which the reply repeats.
 ///
-/// A reply with another number belongs to another request: the connection has
-/// got out of step and is closed instead of handing one caller's answer to the next.
+/// A reply with a different id belongs to another request. The connection is then out of sync
+/// and is closed, so that no caller receives the answer to another caller's request.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// The content type of JSON.
+/// Content type of JSON.
 pub const JSON: &str = "application/json";
-/// The content type of plain text.
+/// Content type of plain text.
 pub const TEXT: &str = "text/plain; charset=utf-8";
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The method.
@@ -34,12 +34,12 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Whether it is the first one on its connection.
+    /// Whether this is the first request on its connection.
     pub is_first: bool,
 }
 
 impl Request {
-    /// A request without body.
+    /// Creates a request without a body.
     pub fn new(method: Method, target: &str) -> Request {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         Request {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A `POST` of a body.
+    /// Creates a `POST` request.
     pub fn post(target: &str, content_type: &'static str, body: impl Into<Bytes>) -> Request {
         let mut request = Request::new(Method::POST, target);
         request.headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
@@ -60,39 +60,39 @@
         request
     }
 
-    /// A `GET`.
+    /// Creates a `GET` request.
     pub fn get(target: &str) -> Request {
         Request::new(Method::GET, target)
     }
 
-    /// With a header more.
+    /// Adds a header.
     pub fn with(mut self, name: &'static str, value: impl ToString) -> Request {
-        // Values here are numbers and digests, which are always legal.
+        // Values here are numbers and digests, which are always valid.
         if let Ok(value) = HeaderValue::from_str(&value.to_string()) {
             self.headers.insert(HeaderName::from_static(name), value);
         }
         self
     }
 
-    /// A field of the query, as it was written.
+    /// Returns a parameter of the query, without decoding.
     pub fn query_param(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
     }
 
-    /// The key that the caller presents.
+    /// Returns the bearer token, which is the key of the caller.
     pub fn bearer(&self) -> Option<&str> {
         let value = self.headers.get(header::AUTHORIZATION)?.to_str().ok()?;
         let (scheme, key) = value.split_once(' ')?;
         scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
     }
 
-    /// The body, read as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T> {
         serde_json::from_slice(&self.body).map_err(Error::bad_request)
     }
 
-    /// The path and the query together.
+    /// Returns the request target: the path and the query.
     pub fn target(&self) -> String {
         if self.query.is_empty() {
             return self.path.clone();
@@ -101,7 +101,7 @@
     }
 }
 
-/// A reply with its whole body.
+/// A reply with its complete body.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The status.
@@ -113,14 +113,14 @@
 }
 
 impl Reply {
-    /// A reply with a body.
+    /// Creates a reply with a body.
     pub fn new(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Reply {
         let mut headers = HeaderMap::new();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
         Reply { status, headers, body: body.into() }
     }
 
-    /// A reply in JSON.
+    /// Creates a JSON reply.
     pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Reply {
         match serde_json::to_vec(value) {
             Ok(body) => Reply::new(status, JSON, body),
@@ -128,12 +128,12 @@
         }
     }
 
-    /// A reply in plain text.
+    /// Creates a plain text reply.
     pub fn text(status: StatusCode, text: impl Into<String>) -> Reply {
         Reply::new(status, TEXT, text.into())
     }
 
-    /// The reply that tells of `error`.
+    /// Creates the reply that reports `error`.
     pub fn error(error: &Error) -> Reply {
         let status = StatusCode::from_u16(error.status()).unwrap_or(StatusCode::BAD_GATEWAY);
         let retry = error.retry_after();
@@ -153,12 +153,12 @@
         reply
     }
 
-    /// A header, read as `T`.
+    /// Returns a header, parsed as `T`.
     pub fn header<T: FromStr>(&self, name: &str) -> Option<T> {
         self.headers.get(name)?.to_str().ok()?.parse().ok()
     }
 
-    /// The body, read as JSON.
+    /// Parses the body as JSON.
     pub fn read_json<T: DeserializeOwned>(&self) -> Result<T> {
         serde_json::from_slice(&self.body).map_err(Error::protocol)
     }
--- a/crates/kumquatnotch-net/src/opaque_link.rs
+++ b/crates/kumquatnotch-net/src/opaque_link.rs
@@ -1,9 +1,8 @@
-//! A connection that carries requests of others unchanged, one at a time.
+//! A connection that forwards third-party requests unchanged, one at a time.
 //!
-//! The other connections of this crate speak the tier's own protocol and number
-//! their requests. Here the request is somebody else's: its head and body pass
-//! through as they came, and what tells a reply from that to another request is
-//! up to the user of the connection.
+//! The other connections of this crate use the protocol of this tier and add a request id to
+//! each request. Here the head and body of a request are passed through as received, and the
+//! user of the connection decides which reply belongs to which request.
 
 use std::{
     net::SocketAddr,
@@ -25,7 +24,7 @@
     socket,
 };
 
-/// The headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -38,28 +37,28 @@
     "upgrade",
 ];
 
-/// How many replies to earlier requests are passed over before the one awaited.
+/// Maximum number of replies read while waiting for the reply to a request.
 ///
-/// A faulty replica sends a reply twice; each extra one stands before the next.
+/// A faulty replica may send a reply twice; the duplicate arrives before the next reply.
 const MAX_REPLIES_READ: usize = 4;
 
-/// A reply, and whether its connection can be used again.
+/// A reply, and whether its connection can be reused.
 #[derive(Debug)]
 pub struct OpaqueReply {
-    /// The reply, without the headers of the connection.
+    /// The reply, without hop-by-hop headers.
     pub reply: Reply,
-    /// How long the connection may stay idle; `None` if it must be closed.
+    /// Maximum idle time of the connection; `None` if it must be closed.
     pub idle_limit: Option<Duration>,
 }
 
-/// A connection that carries requests of others unchanged.
+/// A connection that forwards third-party requests unchanged.
 pub struct OpaqueLink {
     reader: ResponseReader,
     encoder: GenericEncoder<OwnedWriteHalf<TcpStream>>,
 }
 
 impl OpaqueLink {
-    /// Opens a connection; replies may have bodies of up to `limit` bytes.
+    /// Opens a connection; reply bodies may have up to `limit` bytes.
     pub async fn connect(
         address: SocketAddr,
         limit: usize,
@@ -75,15 +74,15 @@
         Ok(OpaqueLink { reader, encoder: GenericEncoder::new(write) })
     }
 
-    /// Whether nothing has come while the connection was idle.
+    /// Whether an idle connection can be reused.
     ///
-    /// Its end, or bytes that nobody asked for, would otherwise be taken for the
-    /// reply to the next request.
+    /// It can't be if the other side has closed it, or has sent unsolicited bytes, which would
+    /// be taken for the reply to the next request.
     pub fn is_reusable(&mut self) -> bool {
         self.reader.peek().now_or_never().is_none()
     }
 
-    /// Whether nothing of a reply has come, so that [`receive`](OpaqueLink::receive) can
+    /// Whether no byte of the reply has arrived, so that [`receive`](OpaqueLink::receive) can
     /// be dropped and called again for the same request.
     pub fn awaits_first_byte(&self) -> bool {
         self.reader.awaits_first_byte()
@@ -91,7 +90,7 @@
 
     /// Sends a request.
     ///
-    /// On an error a part of it may have arrived.
+    /// On an error, part of the request may have been delivered.
     pub async fn send(&mut self, request: &Request) -> Result<()> {
         let uri: Uri = request.target().parse().map_err(Error::internal)?;
         let body = if request.body.is_empty() { None } else { Some(request.body.clone()) };
@@ -100,17 +99,16 @@
         *message.uri_mut() = uri;
         *message.headers_mut() = request.headers.clone();
         if request.method == Method::POST || request.method == Method::PUT {
-            // Without it, a body of no bytes would have no length at all.
+            // An empty body would otherwise be sent without a length.
             let length = HeaderValue::from(request.body.len());
             message.headers_mut().insert(header::CONTENT_LENGTH, length);
         }
         self.encoder.send_and_flush(message).await.map_err(|_| Error::ConnectionLost)
     }
 
-    /// Reads the reply that belongs to the request sent last.
+    /// Reads the reply to the last request, for which `is_match` returns true.
     ///
-    /// Replies to earlier requests, which the other side sent late or twice, are
-    /// passed over.
+    /// Late or duplicate replies to earlier requests are skipped.
     pub async fn receive(&mut self, is_match: &dyn Fn(&Reply) -> bool) -> Result<OpaqueReply> {
         for _ in 0..MAX_REPLIES_READ {
             let answer = self.receive_any().await?;
@@ -118,7 +116,7 @@
                 return Ok(answer);
             }
         }
-        Err(Error::protocol("only replies to other requests came"))
+        Err(Error::protocol("received only replies to other requests"))
     }
 
     async fn receive_any(&mut self) -> Result<OpaqueReply> {
@@ -144,7 +142,7 @@
     }
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes the hop-by-hop headers.
 pub fn remove_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -166,15 +164,16 @@
     status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED
 }
 
-/// The idle time of a connection that tells none.
+/// Maximum idle time if the other side does not advertise one.
 const DEFAULT_IDLE: Duration = Duration::from_secs(10);
 
-/// How long before its end a connection isn't used any more.
+/// Time before the end of the advertised idle time from which a connection is not reused.
 ///
-/// The other side closes it then, and a request that crosses the close is lost.
+/// The other side closes the connection at that end, and a request sent at the same moment is
+/// lost.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// How long a connection may stay idle by the headers of a reply.
+/// Returns the maximum idle time of a connection, according to the headers of a reply.
 fn idle_time(headers: &HeaderMap) -> Option<Duration> {
     let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
     if text(header::CONNECTION).is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
@@ -193,6 +192,6 @@
     match fault {
         ReadFault::Closed => Error::ConnectionLost,
         ReadFault::Malformed(detail) => Error::protocol(detail),
-        ReadFault::TooLong => Error::protocol("the reply is too long"),
+        ReadFault::TooLong => Error::protocol("reply exceeds the size limit"),
     }
 }
--- a/crates/kumquatnotch-net/src/outbound.rs
+++ b/crates/kumquatnotch-net/src/outbound.rs
@@ -1,4 +1,4 @@
-//! A request on its way over a pool of connections.
+//! Requests sent over a connection pool.
 
 use std::{
     rc::Rc,
@@ -15,29 +15,29 @@
     pool::{Lane, Pool},
 };
 
-/// How many connections are tried that turn out to have ended before anything was sent.
+/// Maximum number of connections tried while each turns out to be closed before anything is sent.
 const MAX_ATTEMPTS: usize = 8;
 
-/// How long the first try of an idempotent request may take at least.
+/// Minimum timeout of the first attempt of an idempotent request.
 const MIN_FIRST_ATTEMPT: Duration = Duration::from_millis(150);
 
-/// A request and how it is to be sent.
+/// A request, and how it is sent.
 pub(crate) struct OutboundRequest {
     /// The request.
     pub(crate) request: Request,
-    /// Whether it carries the time left.
+    /// Whether the time left is sent along with it, in [`DEADLINE_HEADER`].
     pub(crate) carry_deadline: bool,
-    /// Cancels it at the other side.
+    /// Cancels the request at the other side.
     pub(crate) cancel: Option<Cancel>,
-    /// A request that shows whether a connection lives, and the idle time from
-    /// which on it is sent first.
+    /// The minimum idle time of a connection for which it is checked first, and the request
+    /// sent to check it.
     pub(crate) check: Option<(Duration, Request)>,
-    /// The silence after which a connection to a node is lost.
+    /// Time without any response after which a connection to a node counts as lost.
     pub(crate) silence_timeout: Option<Duration>,
 }
 
 impl OutboundRequest {
-    /// A request without any of the rest.
+    /// Creates a request without any of the options.
     pub(crate) fn plain(request: Request) -> OutboundRequest {
         OutboundRequest {
             request,
@@ -49,19 +49,19 @@
     }
 }
 
-/// A request that was handed to a connection.
+/// A request that was passed to a connection.
 ///
-/// Dropping it abandons the request: it is cancelled if `cancel` is set, and
-/// else its connection is closed.
+/// Dropping it abandons the request. The request is then cancelled if
+/// [`OutboundRequest::cancel`] is set; otherwise its connection is closed.
 pub(crate) struct PendingRequest {
     reply: oneshot::Receiver<Result<Reply, JobFault>>,
     challenge: Option<oneshot::Sender<()>>,
-    /// When it was handed over.
+    /// Time at which the request was passed to the connection.
     pub(crate) start: Instant,
 }
 
 impl PendingRequest {
-    /// Waits for the reply until `until`.
+    /// Waits for the reply; returns `None` if there is none by `until`.
     pub(crate) async fn wait(
         &mut self,
         clock: &dyn Clock,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Asks for a proof that the connection lives, at the cost of the request.
+    /// Challenges the connection: cancels the request and waits for any reply to it.
     pub(crate) fn challenge(&mut self) {
         if let Some(challenge) = self.challenge.take() {
             let _ = challenge.send(());
@@ -83,7 +83,7 @@
 }
 
 impl Pool {
-    /// Hands a request to a connection; nothing was sent if this fails.
+    /// Passes a request to a connection. On an error, nothing was sent.
     pub(crate) async fn start(
         self: &Rc<Pool>,
         lane: Lane,
@@ -140,12 +140,12 @@
         Err(Error::ConnectFailed)
     }
 
-    /// Sends a request that may run twice: if the first try brings nothing, it
-    /// is sent again on a new connection.
+    /// Sends an idempotent request, and sends it again on a new connection if the first attempt
+    /// gets no reply.
     ///
-    /// Otherwise one silent connection would make a living target or node look
-    /// dead to whoever probes it. The first try lasts longer where replies are
-    /// usually slow, since a second try costs the other side a connection.
+    /// Without the retry, one silent connection would make a healthy target or node look dead
+    /// to its prober. The timeout of the first attempt grows with the usual latency, since a
+    /// retry makes the other side accept another connection.
     pub(crate) async fn call_with_retry(
         self: &Rc<Pool>,
         lane: Lane,
@@ -161,7 +161,7 @@
                 metrics::counter!("kumquatnotch_control_retries_total").increment(1);
                 self.call(lane, outbound, deadline).await
             }
-            // The whole time was not used yet, and nothing was sent.
+            // Nothing was sent, and there is time left until the deadline.
             Err(Error::ExpiredInQueue) => self.call(lane, outbound, deadline).await,
             other => other,
         };
--- a/crates/kumquatnotch-net/src/peer_links.rs
+++ b/crates/kumquatnotch-net/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! The connections to other nodes.
+//! Connections to other nodes.
 
 use std::{
     cell::RefCell,
@@ -25,19 +25,19 @@
     silence,
 };
 
-/// How many addresses are kept before unused ones are looked for.
+/// Minimum number of pools before those without connections are removed.
 const SWEEP_THRESHOLD: usize = 64;
 
 /// Options of [`PeerLinks`].
 #[derive(Clone, Debug)]
 pub struct PeerLinkOptions {
-    /// The most connections for sub-requests to one node.
+    /// Maximum number of connections for sub-requests to one node.
     pub max_work: usize,
-    /// The most connections for control messages to one node.
+    /// Maximum number of connections for control messages to one node.
     pub max_control: usize,
-    /// The largest reply, in bytes.
+    /// Maximum size of a reply body, in bytes.
     pub max_body: usize,
-    /// How long a connection is kept without use.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// The connections to other nodes, by address.
+/// Connections to other nodes, by address.
 pub struct PeerLinks {
     options: PeerLinkOptions,
     clock: Rc<dyn Clock>,
@@ -61,7 +61,8 @@
 }
 
 impl PeerLinks {
-    /// Links that use the clock and generator of the registry; registers itself.
+    /// Creates links that use the clock and the random generator of `registry`, and registers
+    /// them there.
     pub fn try_new(options: PeerLinkOptions, registry: &Registry) -> Result<Rc<PeerLinks>> {
         let clock = registry.find::<Rc<dyn Clock>>(services::CLOCK)?;
         let random = registry.find::<Random>(services::RANDOM)?;
@@ -75,7 +76,7 @@
         if let Some(pool) = pools.get(&address) {
             return pool.clone();
         }
-        // Addresses of nodes that are gone would add up over a year of restarts.
+        // Otherwise, the pools of nodes that are gone would accumulate over a year of restarts.
         if pools.len() >= SWEEP_THRESHOLD && pools.len().is_power_of_two() {
             pools.retain(|_, pool| pool.open_count() > 0);
         }
@@ -96,13 +97,13 @@
     ) -> LocalFuture<'a, Result<PeerReply>> {
         Box::pin(async move {
             let pool = self.pool(address);
-            // Headers that say nothing new to a node are left out: the control
-            // budget counts them with each membership message.
+            // Omits headers that a node does not need: they would count towards the control
+            // budget with each membership message.
             let mut request = Request::new(Method::POST, PEER_PATH);
             request.body = codec::encode(message)?.into();
             let outbound = OutboundRequest {
                 request,
-                // Messages that need it carry the time left themselves.
+                // Messages that need a deadline contain it.
                 carry_deadline: false,
                 cancel: None,
                 check: check_for(message),
@@ -124,18 +125,18 @@
     }
 }
 
-/// How a message is sent.
+/// Delivery rules of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageKind {
-    /// It is answered at once and may be sent twice.
+    /// Answered immediately; may be sent twice.
     Control,
-    /// It takes time and may be sent twice, which its sender decides.
+    /// Takes time; may be sent twice, at the discretion of the sender.
     Search,
-    /// It takes time and must not be sent twice.
+    /// Takes time; must not be sent twice.
     Exclusive,
 }
 
-/// How `message` is sent.
+/// Returns the delivery rules of `message`.
 pub(crate) fn kind_of(message: &PeerMessage) -> MessageKind {
     match message {
         PeerMessage::Ping(_)
@@ -150,7 +151,8 @@
     }
 }
 
-/// How a connection is checked before `message` is sent on it.
+/// Returns the request that checks a connection before `message` is sent on it, and the
+/// minimum idle time for the check.
 fn check_for(message: &PeerMessage) -> Option<(Duration, Request)> {
     let age = match kind_of(message) {
         MessageKind::Control => return None,
--- a/crates/kumquatnotch-net/src/peer_route.rs
+++ b/crates/kumquatnotch-net/src/peer_route.rs
@@ -1,4 +1,4 @@
-//! The route for messages of other nodes.
+//! HTTP route for messages from other nodes.
 
 use std::rc::Rc;
 
@@ -15,16 +15,16 @@
     server::{Handler, Work},
 };
 
-/// The path of the route.
+/// Path of the route.
 pub const PEER_PATH: &str = "/peer";
 
-/// Hands each message to the service that it names.
+/// Dispatches each message to the service that it names.
 pub struct PeerRoute {
     registry: Registry,
 }
 
 impl PeerRoute {
-    /// A route to the services of `registry`.
+    /// Creates a route to the services of `registry`.
     pub fn new(registry: Registry) -> PeerRoute {
         PeerRoute { registry }
     }
@@ -64,8 +64,8 @@
             Ok(message) => message,
             Err(error) => return Work::ready(Reply::error(&Error::bad_request(error))),
         };
-        // A search ends with its asker; what must run at most once goes on, so
-        // that its outcome can be asked for again.
+        // A search is dropped when its sender disconnects. A request that must run at most once
+        // continues, so that its outcome can be requested again.
         match kind_of(&message) {
             MessageKind::Exclusive => Work::detached(self.answer(message)),
             MessageKind::Control | MessageKind::Search => Work::new(self.answer(message)),
--- a/crates/kumquatnotch-net/src/pool.rs
+++ b/crates/kumquatnotch-net/src/pool.rs
@@ -1,10 +1,10 @@
-//! The connections to one address.
+//! A pool of connections to one address.
 //!
-//! Their number is bounded, and new ones are opened one at a time with backoff
-//! and jitter: each costs a target milliseconds of work, and after a restart of
-//! many nodes a storm of connections would keep the targets from answering at
-//! all. There are two lanes, so that probes and cancellations get through while
-//! work occupies its connections.
+//! The number of connections is bounded, and they are opened one at a time with backoff and
+//! jitter. Each new connection takes a target milliseconds of work, so a connection storm
+//! after a restart of many nodes would leave the targets unable to answer any request. The
+//! pool has two lanes, so that probes and cancellations are not blocked while all connections
+//! for other requests are in use.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,22 +23,22 @@
     socket,
 };
 
-/// How long opening a connection may take.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pause after the first failure to open a connection, before jitter.
+/// Backoff after the first failure to open a connection, before jitter.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The longest pause after failures, before jitter.
+/// Maximum backoff after failures, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Below which the first number of a request is drawn, so that pools differ.
+/// Upper bound of the random initial request id, which makes the ids of pools differ.
 const INITIAL_ID_RANGE: usize = 10_000;
 
-/// What a connection is used for.
+/// Purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lane {
-    /// Probes, cancellations and messages that must not wait behind work.
+    /// Probes, cancellations and messages that must not wait behind other requests.
     Control,
     /// Everything else.
     Work,
@@ -46,32 +46,32 @@
 
 const LANES: [Lane; 2] = [Lane::Control, Lane::Work];
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolOptions {
-    /// The most connections for control.
+    /// Maximum number of connections in the control lane.
     pub(crate) max_control: usize,
-    /// The most connections for work.
+    /// Maximum number of connections in the work lane.
     pub(crate) max_work: usize,
-    /// How long a connection is kept without use.
+    /// Time after which an idle connection is closed.
     pub(crate) idle_timeout: Duration,
-    /// The largest body of a reply, in bytes.
+    /// Maximum size of a reply body, in bytes.
     pub(crate) max_body: usize,
 }
 
-/// The connections to one address.
+/// A pool of connections to one address.
 pub(crate) struct Pool {
     pub(crate) address: SocketAddr,
     pub(crate) options: PoolOptions,
     pub(crate) clock: Rc<dyn Clock>,
-    /// How fast requests that may run twice are answered.
+    /// Latency of the requests sent with [`Pool::call_with_retry`].
     pub(crate) latency: LatencyEstimator,
     random: Random,
     last_id: Cell<u64>,
     lanes: [RefCell<LaneState>; 2],
     opening: Cell<bool>,
     failures: Cell<u32>,
-    /// Whether the last of them was a refusal by the VM at the address.
+    /// Whether the last failure was a refusal by the VM at the address.
     refused: Cell<bool>,
     backoff_end: Cell<Instant>,
     closed: Cell<bool>,
@@ -82,13 +82,13 @@
     idle: Vec<(JobSender, Instant)>,
     waiters: VecDeque<oneshot::Sender<Result<Lease>>>,
     open: usize,
-    /// Whether one of them was opened, so that waiting means waiting for its work.
+    /// Whether a connection was established, so that a timeout means time spent in the queue.
     connected: bool,
 }
 
 type JobSender = oneshot::Sender<Job>;
 
-/// A connection that was handed out and waits for a job.
+/// A connection that is reserved for a job.
 pub(crate) struct Lease {
     slot: Option<JobSender>,
     since: Instant,
@@ -97,12 +97,12 @@
 }
 
 impl Lease {
-    /// How long the connection was idle.
+    /// Returns how long the connection was idle.
     pub(crate) fn idle_for(&self) -> Duration {
         self.pool.clock.now().saturating_duration_since(self.since)
     }
 
-    /// Gives it the job; false if the connection has ended and nothing was sent.
+    /// Runs a job; returns false if the connection is closed and nothing was sent.
     pub(crate) fn run(mut self, job: Job) -> bool {
         self.slot.take().is_some_and(|slot| slot.send(job).is_ok())
     }
@@ -110,7 +110,7 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        // The caller went away between the offer and its job.
+        // The caller went away before it passed a job; the next waiter gets the connection.
         if let Some(slot) = self.slot.take() {
             self.pool.hand_out(self.lane, slot, self.since);
         }
@@ -141,9 +141,9 @@
         })
     }
 
-    /// A number for a request, unlike the others of this pool.
+    /// Returns a request id that is unique within this pool.
     ///
-    /// Small ones are shorter on the wire, which membership messages feel.
+    /// Ids are kept small, as they add to the size of each membership message on the wire.
     pub(crate) fn next_request_id(&self) -> u64 {
         let request_id = self.last_id.get() + 1;
         self.last_id.set(request_id);
@@ -157,14 +157,15 @@
         }
         let receiver = {
             let mut state = self.lane(lane).borrow_mut();
-            // The one used last is taken first, so that surplus ones grow idle and close.
+            // Takes the most recently used connection, so that surplus ones reach their idle
+            // timeout.
             while let Some((slot, since)) = state.idle.pop() {
                 if !slot.is_canceled() {
                     return Ok(Lease { slot: Some(slot), since, pool: self.clone(), lane });
                 }
             }
-            // While opening pauses, an address without connections fails at once,
-            // so that the caller can turn to another replica.
+            // During the backoff, an address without connections fails immediately, so that
+            // the caller can try another replica.
             if state.open == 0 && self.is_backing_off() {
                 return Err(self.last_failure());
             }
@@ -181,13 +182,13 @@
         }
     }
 
-    /// Takes a connection that has become idle.
+    /// Accepts a connection that has become idle.
     pub(crate) fn offer(self: &Rc<Pool>, lane: Lane, slot: JobSender) {
         self.hand_out(lane, slot, self.clock.now());
     }
 
     fn hand_out(self: &Rc<Pool>, lane: Lane, slot: JobSender, since: Instant) {
-        // Dropping the slot ends the connection.
+        // Dropping the slot closes the connection.
         if self.closed.get() {
             return;
         }
@@ -207,13 +208,13 @@
         }
     }
 
-    /// Notes that a request was served.
+    /// Records that a request was served, which resets the backoff.
     pub(crate) fn note_success(&self) {
         self.failures.set(0);
     }
 
-    /// Notes that a connection has ended; `dropped` if the other side closed it
-    /// before it ever served a request.
+    /// Records that a connection is closed; `dropped` is true if the other side closed it
+    /// before it served a request.
     pub(crate) fn closed(self: &Rc<Pool>, lane: Lane, dropped: bool) {
         if dropped {
             self.note_failure(false);
@@ -228,7 +229,7 @@
         self.open_more();
     }
 
-    /// Whether someone waits for a connection.
+    /// Whether a caller waits for a connection.
     pub(crate) fn has_waiters(&self, lane: Lane) -> bool {
         self.lane(lane).borrow().waiters.iter().any(|waiter| !waiter.is_canceled())
     }
@@ -239,7 +240,7 @@
         drop(idle);
     }
 
-    /// Closes idle connections now, and the others when their requests end.
+    /// Closes idle connections immediately, and the others when their requests end.
     pub(crate) fn close(&self) {
         self.closed.set(true);
         for lane in LANES {
@@ -249,7 +250,7 @@
         }
     }
 
-    /// How many connections are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub(crate) fn open_count(&self) -> usize {
         LANES.iter().map(|lane| self.lane(*lane).borrow().open).sum()
     }
@@ -268,12 +269,12 @@
         }
     }
 
-    /// Whether no connection may be opened now, and callers are told so.
+    /// Whether the backoff is in effect, so that no connection may be opened.
     fn is_backing_off(&self) -> bool {
         self.clock.now() < self.backoff_end.get()
     }
 
-    /// Starts to open connections if someone waits for one and the bounds allow it.
+    /// Starts opening connections if a caller waits for one and the limits allow it.
     fn open_more(self: &Rc<Pool>) {
         if self.opening.get() || self.is_backing_off() || self.lane_to_open().is_none() {
             return;
@@ -282,7 +283,7 @@
         monoio::spawn(open_connections(self.clone()));
     }
 
-    /// The lane in which a connection is wanted and allowed.
+    /// Returns a lane in which callers wait and another connection is allowed.
     fn lane_to_open(&self) -> Option<Lane> {
         if self.closed.get() {
             return None;
@@ -294,7 +295,7 @@
         })
     }
 
-    /// Why the last connection could not be opened.
+    /// Returns the error of the last failure to open a connection.
     fn last_failure(&self) -> Error {
         if self.refused.get() { Error::ConnectRefused } else { Error::ConnectFailed }
     }
@@ -307,7 +308,7 @@
         self.backoff_end.set(self.clock.now() + self.random.jitter(pause));
     }
 
-    /// Fails those who wait in a lane that has no connection and may open none now.
+    /// Fails the waiters of lanes without connections while the backoff is in effect.
     fn fail_waiters(&self) {
         if !self.is_backing_off() {
             return;
@@ -324,7 +325,7 @@
     }
 }
 
-/// Opens connections, one after the other, while they are wanted.
+/// Opens connections one at a time while callers wait for them.
 async fn open_connections(pool: Rc<Pool>) {
     while let Some(lane) = pool.lane_to_open() {
         let pause = pool.backoff_end.get().saturating_duration_since(pool.clock.now());
@@ -341,7 +342,7 @@
                 let stream = ClientStream::new(stream, pool.address, pool.options.max_body);
                 let link = client_connection::run(stream, Rc::downgrade(&pool), lane, pool.address);
                 monoio::spawn(link);
-                // The new link offers itself before the next one is opened.
+                // Lets the new connection offer itself before the next one is opened.
                 clock::yield_now().await;
             }
             failed => {
--- a/crates/kumquatnotch-net/src/reader.rs
+++ b/crates/kumquatnotch-net/src/reader.rs
@@ -1,8 +1,8 @@
-//! Reading HTTP/1.1 messages from a connection, with bounds.
+//! Size-limited reading of HTTP/1.1 messages from a connection.
 //!
-//! The library's decoders wait for the end of a head or chunk however long it
-//! grows. Here each message has a budget of bytes, and a read beyond it fails,
-//! so that no sender can make a process keep more than that.
+//! The decoders of `monoio-http` buffer a head or chunk until its end, without a size limit.
+//! This module gives each message a byte budget and fails reads beyond it, so that a sender
+//! can't make the process buffer more than that.
 
 use std::{cell::Cell, io, rc::Rc};
 
@@ -25,10 +25,10 @@
     },
 };
 
-/// The longest head of a message, in bytes.
+/// Maximum size of the head of a message, in bytes.
 const HEAD_LIMIT: usize = 32 << 10;
 
-/// What a body may cost beyond its own length, for the framing of chunks.
+/// Bytes allowed in addition to the length of a body, for chunk framing.
 const FRAMING_ALLOWANCE: usize = 64 << 10;
 
 /// Reads requests.
@@ -43,20 +43,20 @@
 /// Why a message could not be read.
 #[derive(Debug)]
 pub(crate) enum ReadFault {
-    /// The connection was closed or broke.
+    /// The connection was closed or lost.
     Closed,
-    /// The message is not HTTP/1.1 as the library knows it.
+    /// The message is not valid HTTP/1.1.
     Malformed(String),
-    /// The message is longer than the reader takes.
+    /// The message exceeds the size limit.
     TooLong,
 }
 
-/// What is to be read next.
+/// Result of waiting for the next byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Peek {
-    /// Bytes are there.
+    /// Data is available.
     Data,
-    /// The other side has closed the connection, or it broke.
+    /// The connection was closed by the other side or lost.
     Closed,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl<D: Default> MessageReader<D> {
-    /// A reader that takes bodies of up to `limit` bytes.
+    /// Creates a reader that accepts bodies of up to `limit` bytes.
     pub(crate) fn new(half: OwnedReadHalf<TcpStream>, limit: usize) -> MessageReader<D> {
         let budget = Rc::new(Cell::new(HEAD_LIMIT));
         let input = Bounded { half, budget: budget.clone() };
@@ -79,8 +79,8 @@
 impl<D> MessageReader<D> {
     /// Waits for the first byte of a message, or the end of the connection.
     ///
-    /// Dropping this future loses nothing: with the epoll driver a read that
-    /// has not completed has not taken any bytes, and it starts with an empty buffer.
+    /// Dropping this future loses no data: with the epoll driver, a read that has not completed
+    /// has not consumed any bytes, and it starts with an empty buffer.
     pub(crate) async fn peek(&mut self) -> Peek {
         self.budget.set(HEAD_LIMIT);
         match self.framed.peek_data().await {
@@ -89,14 +89,14 @@
         }
     }
 
-    /// Whether no byte of the message has come whose head is being read.
+    /// Whether no byte of the current message has arrived.
     ///
-    /// As long as this is so, reading its head can be dropped and begun anew.
+    /// If so, the future that reads its head can be dropped and the read started again.
     pub(crate) fn awaits_first_byte(&self) -> bool {
         self.budget.get() == HEAD_LIMIT
     }
 
-    /// Reads a head and what is needed to read its body.
+    /// Reads a head, and returns it with the decoder for its body.
     pub(crate) async fn head<H>(&mut self) -> Result<(H, BodyDecoder), ReadFault>
     where
         FramedRead<Bounded, D>: Stream<Item = Result<(H, BodyDecoder), HttpError>>,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Reads the body that belongs to a head.
+    /// Reads the body that follows a head.
     pub(crate) async fn body(
         &mut self,
         headers: &HeaderMap,
@@ -146,10 +146,9 @@
         }
     }
 
-    /// Reads a body that has no length and ends with its connection.
+    /// Reads a body without a length, which ends where the connection is closed.
     ///
-    /// A connection that was reset has not ended: what came before is a part of
-    /// the body, which must not pass for the whole.
+    /// Fails if the connection is reset: the bytes received until then are an incomplete body.
     pub(crate) async fn body_to_end(&mut self) -> Result<Bytes, ReadFault> {
         self.budget.set(self.limit + FRAMING_ALLOWANCE);
         let mut body = BytesMut::new();
@@ -166,10 +165,10 @@
         }
     }
 
-    /// Reads and drops what still comes, up to one body.
+    /// Reads and discards incoming data, up to the maximum body size.
     ///
-    /// Closing a connection with unread bytes resets it, and the reset can
-    /// overtake the reply that tells the client what was wrong.
+    /// Closing a connection with unread data resets it, and the reset can make the client lose
+    /// the reply with the error.
     pub(crate) async fn discard(&mut self) {
         let mut budget = self.limit;
         while self.peek().await == Peek::Data {
@@ -196,26 +195,26 @@
     }
 }
 
-/// The length that a head gives for its body.
+/// Returns the body length from the `Content-Length` header.
 fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Refuses heads that could be read in two ways.
+/// Rejects heads with ambiguous framing, which allow request smuggling.
 ///
-/// With two lengths, or a length and chunks, this process and another one on
-/// the way could disagree where the message ends, and the rest of one caller's
-/// message would be taken for another's request.
+/// With two lengths, or a length and chunks, this process and an intermediary could disagree
+/// about where the message ends. The rest of one caller's message would then be taken for the
+/// request of another caller.
 fn check_framing(headers: &HeaderMap) -> Result<(), ReadFault> {
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
     if lengths > 1 || (lengths == 1 && chunked) {
-        return Err(ReadFault::Malformed("the length of the body is ambiguous".to_owned()));
+        return Err(ReadFault::Malformed("ambiguous body length".to_owned()));
     }
     Ok(())
 }
 
-/// Input that fails once a budget of bytes is used up.
+/// Input that fails once its byte budget is used up.
 pub(crate) struct Bounded {
     half: OwnedReadHalf<TcpStream>,
     budget: Rc<Cell<usize>>,
--- a/crates/kumquatnotch-net/src/server.rs
+++ b/crates/kumquatnotch-net/src/server.rs
@@ -1,9 +1,9 @@
-//! The server: an accept loop, and one task for each connection.
+//! The server: an accept loop, and one task per connection.
 //!
-//! A graceful shutdown has two steps. [`Server::drain`] asks clients with each
-//! reply to leave their connection. [`Server::close`] closes idle connections
-//! after a short time in which requests that crossed the shutdown are still
-//! answered, then stops listening and waits for requests in flight.
+//! A graceful shutdown has two steps. [`Server::drain`] asks clients with each reply to close
+//! their connection. [`Server::close`] waits a short time, in which requests that were sent
+//! before the client saw the shutdown are still answered, closes idle connections, stops
+//! listening, and waits for requests in flight.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,53 +26,53 @@
     server_connection, socket,
 };
 
-/// The time for requests that were sent before their client saw the shutdown.
+/// Time for which new requests are still answered after the start of the shutdown.
 ///
-/// It is longer than any way, for clients that do not look whether a connection
-/// they kept was closed: within it they get a refusal that says "not run".
+/// Some clients reuse a connection without checking whether it was closed. This time exceeds
+/// the one-way latency to any client, so that their requests get a refusal that says "not run".
 const LINGER_TIME: Duration = Duration::from_secs(1);
 
-/// How often the end of the last request is looked for.
+/// Interval between checks whether all connections are closed.
 const CLOSE_POLL_PERIOD: Duration = Duration::from_millis(5);
 
-/// How long accepting pauses when no more connections can be taken.
+/// Pause of the accept loop when no more connections can be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What answers requests.
+/// Handles requests.
 pub trait Handler {
-    /// Starts the work on `request`.
+    /// Starts to process `request`.
     fn start(&self, request: Request) -> Work<'_>;
 
-    /// Hears how far away a client is: the way there and back.
+    /// Records the round trip to a client.
     ///
-    /// It is the time from its last reply until it has closed its end, for clients that
-    /// ask in their request to close the connection.
+    /// For clients that ask in their request to close the connection, this is the time from
+    /// the reply until the client has closed its end.
     fn record_round_trip(&self, _trip: Duration) {}
 }
 
-/// The work on one request.
+/// The processing of one request.
 pub struct Work<'a> {
     /// Completes with the reply.
     pub reply: LocalFuture<'a, Reply>,
-    /// Whether it goes on when its client goes away.
+    /// Whether the work continues after its client disconnects.
     ///
-    /// A search is dropped then; a non-idempotent request must run to its end,
-    /// or its outcome would be lost for the client that asks again.
+    /// A search is dropped on disconnection. A non-idempotent request must run to completion,
+    /// since the client may ask for its outcome again.
     pub detached: bool,
 }
 
 impl<'a> Work<'a> {
-    /// Work that ends when its client goes away.
+    /// Creates work that is dropped when its client disconnects.
     pub fn new(reply: impl Future<Output = Reply> + 'a) -> Work<'a> {
         Work { reply: Box::pin(reply), detached: false }
     }
 
-    /// Work that goes on to its end.
+    /// Creates work that runs to completion even if its client disconnects.
     pub fn detached(reply: impl Future<Output = Reply> + 'a) -> Work<'a> {
         Work { reply: Box::pin(reply), detached: true }
     }
 
-    /// A reply that is at hand.
+    /// Creates work that replies immediately.
     pub fn ready(reply: Reply) -> Work<'a> {
         Work::new(std::future::ready(reply))
     }
@@ -81,19 +81,19 @@
 /// Options of a [`Server`].
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// Where it listens; port 0 lets the system choose.
+    /// Address to listen on; port 0 lets the system choose.
     pub address: SocketAddr,
-    /// What it is called in logs and metrics.
+    /// Name of the server in logs and metrics.
     pub name: &'static str,
-    /// The largest body it takes, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// The most connections open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// How long a connection may wait for its next request.
+    /// Maximum time for which a connection waits for its next request.
     pub idle_timeout: Duration,
-    /// How long a request may take to arrive once it has begun, and a reply to leave.
+    /// Maximum time for receiving a request after its first byte, and for sending a reply.
     pub transfer_timeout: Duration,
-    /// How often a client is told that its request still runs; never if absent.
+    /// Interval of interim responses while a request runs; `None` if none are sent.
     pub interim_period: Option<Duration>,
 }
 
@@ -111,20 +111,20 @@
     }
 }
 
-/// What the connections of a server share.
+/// State shared by the connections of a server.
 pub(crate) struct Context {
     pub(crate) options: ServerOptions,
     pub(crate) clock: Rc<dyn Clock>,
     pub(crate) handler: Rc<dyn Handler>,
     pub(crate) draining: Cell<bool>,
     pub(crate) closing: Shared<oneshot::Receiver<()>>,
-    /// Connections that wait for a request, the longest idle first.
+    /// Connections that wait for a request, longest idle first.
     pub(crate) idle: RefCell<VecDeque<oneshot::Sender<()>>>,
     pub(crate) open: Cell<usize>,
     pub(crate) in_flight: Cell<usize>,
 }
 
-/// A server.
+/// An HTTP server.
 #[derive(Clone)]
 pub struct Server {
     shared: Rc<Context>,
@@ -133,7 +133,7 @@
 }
 
 impl Server {
-    /// Listens, and starts to accept connections.
+    /// Starts to listen and to accept connections.
     pub fn try_new(
         options: ServerOptions,
         clock: Rc<dyn Clock>,
@@ -143,7 +143,7 @@
         let listener = socket::listen(options.address)
             .and_then(|listener| Ok((listener.local_addr()?, listener)));
         let (address, listener) = listener.map_err(|error| Error::BadSettings {
-            detail: format!("can't listen at {}: {error}", options.address),
+            detail: format!("failed to listen on {}: {error}", options.address),
         })?;
         let (closer, closing) = oneshot::channel();
         let shared = Rc::new(Context {
@@ -161,28 +161,28 @@
         Ok(Server { shared, address, closer: Rc::new(RefCell::new(Some(closer))) })
     }
 
-    /// Where it listens.
+    /// Returns the address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.shared.open.get()
     }
 
-    /// How many requests are in work.
+    /// Returns the number of requests in flight.
     pub fn requests(&self) -> usize {
         self.shared.in_flight.get()
     }
 
-    /// Asks clients with each reply from now on to leave their connection.
+    /// Asks clients with each reply from now on to close their connection.
     pub fn drain(&self) {
         self.shared.draining.set(true);
     }
 
-    /// Closes idle connections, stops listening, and waits until requests in
-    /// flight have ended; false if some had not by `deadline`.
+    /// Closes idle connections, stops listening, and waits for requests in flight; returns
+    /// false if some have not completed by `deadline`.
     pub async fn close(&self, deadline: Instant) -> bool {
         self.drain();
         if let Some(closer) = self.closer.borrow_mut().take() {
@@ -200,11 +200,12 @@
 }
 
 impl Context {
-    /// Notes a connection that waits for a request; completes if it must make room.
+    /// Registers an idle connection; the receiver completes if the connection must be closed
+    /// in favour of a new one.
     pub(crate) fn register_idle(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let mut idle = self.idle.borrow_mut();
-        // Those that got their request are left behind; they are dropped now and then.
+        // Connections that have received a request remain in the queue; removes them lazily.
         if idle.len() > 2 * self.open.get() {
             idle.retain(|sender| !sender.is_canceled());
         }
@@ -212,10 +213,10 @@
         receiver
     }
 
-    /// Closes the connection that was idle for longest.
+    /// Closes the connection that has been idle longest.
     ///
-    /// Otherwise callers that keep connections without using them would lock out
-    /// others for as long as idle connections are kept.
+    /// Otherwise, callers that hold connections without using them would lock out others for
+    /// the whole idle timeout.
     fn close_longest_idle(&self) {
         while let Some(sender) = self.idle.borrow_mut().pop_front() {
             if sender.send(()).is_ok() {
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Completes when connections that have been idle since the shutdown must close.
+    /// Completes when the linger time after the start of the shutdown has elapsed.
     pub(crate) async fn linger_elapsed(&self) {
         let _ = self.closing.clone().await;
         clock::sleep(&*self.clock, LINGER_TIME).await;
@@ -232,13 +233,13 @@
 }
 
 async fn accept(listener: TcpListener, shared: Rc<Context>) {
-    // Until the linger time ends, new connections are taken too: their requests
-    // get a refusal that says "not run", where a reset connection says nothing.
+    // New connections are accepted until the linger time has elapsed: their requests get a
+    // refusal that says "not run", which a connection reset would not tell.
     let end = shared.linger_elapsed();
     let mut end = std::pin::pin!(end);
     loop {
         if shared.open.get() >= shared.options.max_connections {
-            // The rest waits in the backlog of the kernel.
+            // Further connections wait in the backlog of the kernel.
             shared.close_longest_idle();
             let pause = clock::sleep(&*shared.clock, ACCEPT_PAUSE);
             if let Either::Left(_) = select(end.as_mut(), pause).await {
@@ -252,8 +253,11 @@
                 monoio::spawn(server_connection::serve(stream, shared.clone()));
             }
             Either::Left((Err(error), _)) => {
-                // Out of descriptors: those in use come back when requests end.
-                tracing::warn!("net: {} can't accept: {error}", shared.options.name);
+                // Out of file descriptors: some become free when requests end.
+                tracing::warn!(
+                    "net: {} failed to accept a connection: {error}",
+                    shared.options.name
+                );
                 clock::sleep(&*shared.clock, ACCEPT_PAUSE).await;
             }
             Either::Right(_) => return,
--- a/crates/kumquatnotch-net/src/server_connection.rs
+++ b/crates/kumquatnotch-net/src/server_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client, from its first byte to its end.
+//! The server side of one client connection.
 
 use std::{cell::Cell, pin::pin, rc::Rc, time::Duration};
 
@@ -20,15 +20,15 @@
     server::{Context, Work},
 };
 
-/// How long the rest of a refused request is read.
+/// Maximum time for which the rest of a refused request is read and discarded.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a client that asked to close its connection may take to do so.
+/// Maximum time for a client that asked to close its connection to close its end.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 type Encoder = GenericEncoder<OwnedWriteHalf<TcpStream>>;
 
-/// Counts a connection or request for as long as it lives.
+/// Counts a connection or request until it is dropped.
 struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 pub(crate) async fn serve(stream: TcpStream, context: Rc<Context>) {
     let _open = CountGuard::new(&context.open);
     let (read, write) = stream.into_split();
@@ -63,19 +63,20 @@
     }
 }
 
-/// What comes after a request on its connection.
+/// What happens to a connection after a request.
 enum Next {
-    /// Another request.
+    /// It waits for the next request.
     Request,
-    /// Its client asked to close it, and has the reply.
+    /// The client asked to close it and has been sent the reply.
     AwaitClose,
-    /// Nothing: it broke, or the request could not be read.
+    /// It ends: it broke, or the request could not be read.
     End,
 }
 
-/// Closes this end, and waits until a client that asked for it has closed its own.
+/// Closes this end of a connection, and waits until the client has closed its end.
 ///
-/// The client does so when it has the reply, which tells how far away it is.
+/// The client asked to close the connection and does so when it has received the reply, so
+/// the time until then is the round trip to the client.
 async fn await_close(reader: &mut RequestReader, encoder: &mut Encoder, context: &Context) {
     let clock = &*context.clock;
     let start = clock.now();
@@ -86,7 +87,7 @@
     }
 }
 
-/// Waits for a request to begin; false if the connection is to be closed.
+/// Waits for the first byte of a request; returns false if the connection is to be closed.
 async fn await_request(reader: &mut RequestReader, context: &Context) -> bool {
     let mut idle = clock::sleep(&*context.clock, context.options.idle_timeout).fuse();
     let mut linger_elapsed = pin!(context.linger_elapsed().fuse());
@@ -133,8 +134,8 @@
     let Some(reply) = run(work, reader, encoder, context).await else {
         return Next::End;
     };
-    // A client that is asked to leave its connection but sends once more is served:
-    // closing at once would look to it like a request that was cut.
+    // A client that was told to close the connection but sends another request is served:
+    // if the connection were closed at once, the request would look lost in transit.
     let keep_open = keep_alive && !context.draining.get();
     match send(encoder, reply, request_id, keep_open, context).await {
         true if keep_alive => Next::Request,
@@ -143,7 +144,7 @@
     }
 }
 
-/// Refuses a request that could not be read, and ends the connection.
+/// Refuses a request that could not be read, and closes the connection.
 async fn refuse(
     reader: &mut RequestReader,
     encoder: &mut Encoder,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Reads a request, and whether its client keeps the connection.
+/// Reads a request; also returns whether the client keeps the connection alive.
 async fn read_request(
     reader: &mut RequestReader,
     encoder: &mut Encoder,
@@ -165,7 +166,7 @@
     let (head, decoder): (Parts, _) = reader.head().await?;
     if expects_continue(&head) {
         let interim = Response::builder().status(StatusCode::CONTINUE).body(HttpBody::Ready(None));
-        // The builder was given nothing that could be illegal.
+        // The builder has only valid input, so it does not fail.
         if let Ok(interim) = interim {
             encoder.send_and_flush(interim).await.map_err(|_| ReadFault::Closed)?;
         }
@@ -195,7 +196,8 @@
     }
 }
 
-/// Runs work to its reply; `None` if the client went away and the work was dropped.
+/// Runs `work` until its reply; returns `None` if the client disconnected and the work was
+/// dropped.
 async fn run(
     work: Work<'_>,
     reader: &mut RequestReader,
@@ -225,7 +227,7 @@
                 return Some(reply.await);
             }
             () = tick => {
-                // The client takes the silence of this connection for its loss.
+                // Without interim responses the client takes the connection for lost.
                 if !send_interim(encoder).await && !detached {
                     return None;
                 }
@@ -236,7 +238,7 @@
 
 /// Completes when the client has closed its end.
 ///
-/// A client that sends its next request early can't be watched any more.
+/// Once a client has sent its next request early, its disconnection can't be detected any more.
 async fn client_gone(reader: &mut RequestReader) {
     if reader.peek().await == Peek::Data {
         std::future::pending::<()>().await;
@@ -251,7 +253,9 @@
     }
 }
 
-/// Sends a reply, which may ask the client to leave; false if the connection broke.
+/// Sends a reply; returns false if the connection broke.
+///
+/// Unless `keep_open` is set, the reply asks the client to close the connection.
 async fn send(
     encoder: &mut Encoder,
     reply: Reply,
--- a/crates/kumquatnotch-net/src/socket.rs
+++ b/crates/kumquatnotch-net/src/socket.rs
@@ -1,10 +1,8 @@
-//! Sockets with the options that the tier needs.
+//! TCP sockets with the options that the tier needs.
 //!
-//! `TCP_USER_TIMEOUT` and keepalive are the first evidence of a silent
-//! connection: the kernel of a living machine acknowledges bytes however slow
-//! its process is, so bytes that stay unacknowledged mean that the path is dead
-//! and never that the target is slow. The kernel finds this without any work of
-//! the target's process.
+//! `TCP_USER_TIMEOUT` and keepalive detect dead paths at no cost for the target process. The
+//! kernel of a running machine acknowledges data however slow its processes are, so data that
+//! stays unacknowledged means that the path is dead, never that the target is slow.
 
 use std::{
     io,
@@ -19,23 +17,22 @@
     net::{AddressFamily, SocketFlags, SocketType, ipproto, sockopt},
 };
 
-/// How long bytes that this side sent on its own connections may stay unacknowledged.
+/// `TCP_USER_TIMEOUT` of outgoing connections.
 ///
-/// Round trips are at most 40 ms between regions and the least retransmission
-/// timer is 200 ms, so a living path loses two segments before this passes.
+/// Round trips between regions take at most 40 ms, and the minimum retransmission timeout is
+/// 200 ms, so a working path would have to lose two segments before this time has passed.
 const CLIENT_USER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The same for accepted connections.
+/// `TCP_USER_TIMEOUT` of accepted connections.
 ///
-/// It is longer because the kernel also counts the time in which the other
-/// side's window is closed: a caller that reads a long answer slowly must not
-/// be cut off.
+/// It is longer because the kernel includes the time for which the receive window of the other
+/// side is closed: a caller that reads a long answer slowly must not be disconnected.
 const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The silence after which the kernel asks the other one, and between its tries.
+/// Idle time before the first keepalive probe, and interval between probes.
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// How many connections may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
 /// Opens a connection to `address`.
@@ -66,11 +63,11 @@
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = StdListener::bind(address)?;
     listener.set_nonblocking(true)?;
-    // Accepted connections inherit the options.
+    // Accepted connections inherit these options.
     set_options(&listener, SERVER_USER_TIMEOUT)?;
     sockopt::set_tcp_nodelay(&listener, true)?;
-    // The standard library's backlog of 128 is too short for the reconnects
-    // after a restart of many nodes.
+    // The backlog of 128 set by the standard library is too short for the reconnects after a
+    // restart of many nodes.
     rustix::net::listen(&listener, BACKLOG)?;
     TcpListener::from_std(listener)
 }
--- a/crates/kumquatnotch-net/src/target_links.rs
+++ b/crates/kumquatnotch-net/src/target_links.rs
@@ -1,4 +1,4 @@
-//! The connections to targets.
+//! Connections to targets.
 
 use std::{
     cell::{Cell, RefCell},
@@ -30,36 +30,36 @@
     target_reply,
 };
 
-/// How long a cancellation may take.
+/// Timeout of a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a look at the load of a target may take.
+/// Timeout of a probe of the load of a target.
 const LOAD_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a look counts as new.
+/// Maximum age at which a probed load is reused.
 const LOAD_MAX_AGE: Duration = Duration::from_millis(40);
 
-/// The least and the longest pause between two looks.
+/// Minimum and maximum pause between two load probes.
 const LOAD_PROBE_PAUSES: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(400));
 
-/// How long a target's connections are left alone after one was cleared.
+/// Time without challenges after a challenged connection of a target has answered.
 const CHALLENGE_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// How many requests of a call may turn out unsent, each on an ended connection.
+/// Maximum number of attempts of a call while each meets a closed connection and is not sent.
 const MAX_ATTEMPTS: usize = 4;
 
 /// Options of [`TargetLinks`].
 #[derive(Clone, Debug)]
 pub struct TargetLinkOptions {
-    /// The most connections open to one target, one of them for control.
+    /// Maximum number of connections to one target, one of them for the control lane.
     ///
-    /// With a single one nothing can be asked while a request is out: a silent
-    /// connection is then found by the kernel or at the request's deadline only.
+    /// With a single connection, no probe can be sent while a request is in flight: a silent
+    /// connection is then only detected by the kernel or at the deadline of the request.
     pub max_connections: usize,
-    /// The largest body of a reply, in bytes.
+    /// Maximum size of a reply body, in bytes.
     pub max_body: usize,
-    /// How long a connection is kept without use.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -85,13 +85,13 @@
         }
     }
 
-    /// The lane of probes and cancellations; a single connection is shared.
+    /// Returns the lane of probes and cancellations; a single connection is shared with calls.
     fn control_lane(&self) -> Lane {
         if self.max_connections > 1 { Lane::Control } else { Lane::Work }
     }
 }
 
-/// The connections to targets, by name.
+/// Connections to targets, by name.
 pub struct TargetLinks {
     options: TargetLinkOptions,
     clock: Rc<dyn Clock>,
@@ -99,21 +99,21 @@
     targets: RefCell<HashMap<TargetName, Rc<TargetLink>>>,
 }
 
-/// What is kept for one target.
+/// State of one target.
 struct TargetLink {
     pool: Rc<Pool>,
     latencies: [LatencyEstimator; 3],
     last_load: Cell<Option<(Instant, u32)>>,
     probing: Cell<bool>,
-    /// Until when connections are not challenged, because one was cleared.
+    /// End of the time without challenges, set when a challenged connection has answered.
     cooldown_end: Cell<Option<Instant>>,
 }
 
 impl TargetLink {
-    /// Notes that a challenged connection has answered.
+    /// Suspends challenges after a challenged connection has answered.
     ///
-    /// The status of such a target is worth nothing. Without the pause, each
-    /// search on a straggler that calls itself idle would be cancelled.
+    /// The status of such a target is unreliable. Without the cooldown, each search on a
+    /// straggler that reports itself idle would be cancelled.
     fn start_cooldown(&self, now: Instant) {
         self.cooldown_end.set(Some(now + CHALLENGE_COOLDOWN));
     }
@@ -128,7 +128,8 @@
 }
 
 impl TargetLinks {
-    /// Links that use the clock and generator of the registry; registers itself.
+    /// Creates links that use the clock and the random generator of `registry`, and registers
+    /// them there.
     pub fn try_new(options: TargetLinkOptions, registry: &Registry) -> Result<Rc<TargetLinks>> {
         if options.max_connections == 0 {
             return Err(Error::BadSettings { detail: "connections: must be above 0".to_owned() });
@@ -140,7 +141,7 @@
         Ok(links)
     }
 
-    /// How many connections are open to a target.
+    /// Returns the number of open connections to a target.
     pub fn open_count(&self, name: &TargetName) -> usize {
         self.targets.borrow().get(name).map_or(0, |link| link.pool.open_count())
     }
@@ -193,7 +194,7 @@
         let request = Request::post("/v1/run", JSON, body);
         let status = Request::get("/v1/status");
         if call.exclusive {
-            // It is never cancelled: a reply that tells its outcome may be on the way.
+            // Exclusive requests are never cancelled: a reply with the outcome may be on the way.
             let check = Some((silence::EXCLUSIVE_CHECK_IDLE, status));
             return Ok(OutboundRequest {
                 request,
@@ -208,7 +209,7 @@
         Ok(OutboundRequest { request, carry_deadline: true, cancel, check, silence_timeout: None })
     }
 
-    /// Waits for the reply, and challenges the connection if it seems silent.
+    /// Waits for the reply, and challenges the connection if it appears to be silent.
     async fn await_reply(
         &self,
         link: &TargetLink,
@@ -265,7 +266,7 @@
         }
     }
 
-    /// The load that the target tells on another connection; `None` if it tells nothing.
+    /// Returns the load that the target reports on another connection; `None` if unknown.
     async fn probe_load(&self, link: &TargetLink) -> Option<u32> {
         let now = self.clock.now();
         if let Some((at, load)) = link.last_load.get()
@@ -273,7 +274,7 @@
         {
             return Some(load);
         }
-        // Many requests can be late together; one of them asks.
+        // Many requests can be late at the same time; only one of them sends a probe.
         if link.probing.replace(true) {
             return None;
         }
@@ -294,7 +295,7 @@
     }
 }
 
-/// Lets the next request look when this look has ended or was dropped.
+/// Allows the next load probe once this one has ended or was dropped.
 struct ProbeGuard<'a>(&'a Cell<bool>);
 
 impl Drop for ProbeGuard<'_> {
@@ -303,7 +304,7 @@
     }
 }
 
-/// Cancels request `id` over the control lane.
+/// Creates the function that cancels request `id` over `lane`.
 fn canceller(pool: Rc<Pool>, lane: Lane, id: u64) -> Cancel {
     Rc::new(move || {
         let pool = pool.clone();
--- a/crates/kumquatnotch-net/src/target_reply.rs
+++ b/crates/kumquatnotch-net/src/target_reply.rs
@@ -1,4 +1,4 @@
-//! What the replies of targets mean.
+//! Interpretation of the replies of targets.
 
 use kumquatnotch_core::{
     Error, Result,
@@ -9,7 +9,7 @@
 
 use crate::message::Reply;
 
-/// When to come back after a refusal that doesn't say it, in milliseconds.
+/// Retry delay after a refusal that does not specify one, in milliseconds.
 const DEFAULT_RETRY_MS: u64 = 50;
 
 #[derive(Deserialize)]
@@ -32,7 +32,7 @@
     detail: String,
 }
 
-/// Reads the reply to a call.
+/// Converts the reply to a call to a result.
 pub(crate) fn read_reply(call: &TargetCall, reply: &Reply) -> Result<TargetReply> {
     match reply.status.as_u16() {
         200 => read_answer(call, reply),
@@ -62,7 +62,7 @@
 fn read_answer(call: &TargetCall, reply: &Reply) -> Result<TargetReply> {
     let answer: TargetReply = reply.read_json()?;
     match call.version {
-        // Hits of another snapshot must not get into the answer.
+        // Hits of another snapshot must not be mixed into the answer.
         Some(version) if answer.version != version => Err(wrong_version(version, answer.version)),
         _ => Ok(answer),
     }
@@ -72,7 +72,8 @@
     Error::protocol(format!("asked for version {asked}, answered from {given}"))
 }
 
-/// The error for a request that ended early: `not_run` only on the target's word.
+/// Returns the error for a request that ended early: `not_run` only if the target confirms that
+/// it has not run.
 fn ended(reply: &Reply, not_run: Error) -> Error {
     match reply.read_json() {
         Ok(Ended { ran: false }) => not_run,
