--- a/crates/kumquatnotch-net/tests/common/mod.rs
+++ b/crates/kumquatnotch-net/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the tests of this crate.
+//! Fixtures for the tests of this crate.
 
 #![allow(dead_code)]
 
@@ -30,7 +30,7 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Runs a test on the driver of the daemons, for at most half a minute.
+/// Runs a test on the runtime driver of the daemons, with a timeout of 30 s.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     standins::block_on(async {
         let limit = Duration::from_secs(30);
@@ -50,7 +50,7 @@
 }
 
 pub fn links_with(options: TargetLinkOptions) -> Rc<TargetLinks> {
-    TargetLinks::try_new(options, &registry()).expect("the options are fine")
+    TargetLinks::try_new(options, &registry()).expect("the options are valid")
 }
 
 pub fn spec(address: SocketAddr) -> TargetSpec {
@@ -67,7 +67,7 @@
     TargetName::from("t0")
 }
 
-/// A search at version 1 of shard s0.
+/// A search in version 1 of shard s0.
 pub fn search(id: u64) -> TargetCall {
     TargetCall {
         id,
@@ -95,11 +95,11 @@
 
 type Answer = Box<dyn Fn(Request) -> Work<'static>>;
 
-/// A handler made of a closure, which notes what it was asked.
+/// A handler that calls a closure and records the paths of requests.
 pub struct Scripted {
     answer: Answer,
     pub asked: RefCell<Vec<String>>,
-    /// How far away clients were found to be.
+    /// Recorded round trips to clients.
     pub round_trips: RefCell<Vec<Duration>>,
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// A server that answers as `answer` says.
+/// Starts a server that answers requests with `answer`.
 pub fn serve(
     options: ServerOptions,
     answer: impl Fn(Request) -> Work<'static> + 'static,
@@ -125,7 +125,7 @@
     (server.expect("a free port is found"), handler)
 }
 
-/// Work that answers with a text after some time.
+/// Creates work that replies with `text` after a delay.
 pub fn reply_after(millis: u64, text: &str) -> Work<'static> {
     let reply = Reply::text(http::StatusCode::OK, text);
     Work::new(async move {
@@ -134,7 +134,7 @@
     })
 }
 
-/// Accepts connections and gives each to `talk`, numbered from zero.
+/// Accepts connections and passes each to `talk`, numbered from zero.
 pub fn accept<F>(talk: impl Fn(usize, TcpStream) -> F + 'static) -> SocketAddr
 where
     F: Future<Output = ()> + 'static,
@@ -151,7 +151,7 @@
     address
 }
 
-/// Reads what has come; empty at the end of the connection.
+/// Reads available data; returns an empty string at the end of the connection.
 pub async fn read(stream: &mut TcpStream) -> String {
     let (count, buffer) = stream.read(vec![0; 64 << 10]).await;
     let count = count.unwrap_or(0);
@@ -177,17 +177,17 @@
     }
 }
 
-/// A reply with a body, as a raw message.
+/// Formats a reply with a body as a raw message.
 pub fn raw_reply(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
-/// The body of a target's reply to a search.
+/// Formats the body of a target's reply to a search.
 pub fn hit_body(key: &str) -> String {
     format!("{{\"hits\":[{{\"key\":\"{key}\",\"score\":1.0}}],\"version\":1,\"load\":0}}")
 }
 
-/// One of `seeds` with some bytes changed, left out or doubled.
+/// Returns one of `seeds` with one to three bytes changed, removed or duplicated.
 pub fn mutated(random: &mut fastrand::Rng, seeds: &[String]) -> Vec<u8> {
     let mut bytes = random.choice(seeds).expect("there are seeds").clone().into_bytes();
     for _ in 0..random.usize(1..4) {
--- a/crates/kumquatnotch-net/tests/peer_links.rs
+++ b/crates/kumquatnotch-net/tests/peer_links.rs
@@ -1,4 +1,4 @@
-//! The links between nodes.
+//! Tests of the links between nodes.
 
 mod common;
 
@@ -29,7 +29,7 @@
 };
 use yare::parameterized;
 
-/// Answers after some time, and counts what it began and ended.
+/// A handler that answers after a delay and counts the messages begun and ended.
 struct Worker {
     delay: Duration,
     begun: Cell<usize>,
@@ -76,7 +76,7 @@
 }
 
 fn links() -> Rc<PeerLinks> {
-    PeerLinks::try_new(PeerLinkOptions::default(), &registry()).expect("the options are fine")
+    PeerLinks::try_new(PeerLinkOptions::default(), &registry()).expect("the options are valid")
 }
 
 fn group() -> PeerMessage {
@@ -128,7 +128,7 @@
     });
 }
 
-/// A service fails, or isn't there. The node answers with the numbered error.
+/// A service fails or is not registered. The node answers with the error and its code.
 #[test]
 fn errors_keep_their_codes() {
     run(async {
@@ -151,8 +151,8 @@
     });
 }
 
-/// A holder works longer on a group than the silence that means a lost
-/// connection. It says now and then that it works, and its answer is waited for.
+/// A node processes an exclusive request for longer than the silence timeout. Its interim
+/// responses show that the connection works, so the sender waits for the reply.
 #[test]
 fn interim_responses_prevent_the_silence_timeout() {
     run(async {
@@ -164,8 +164,8 @@
     });
 }
 
-/// The root drops a group's request, since a hedge has won. The holder hears of
-/// it by the end of the connection and stops. An exclusive request goes on.
+/// The sender drops a message, as the root does when a hedge has won. The holder sees the end
+/// of the connection and stops a search, but completes an exclusive request.
 #[parameterized(
     for_search = { group(), 0 },
     for_exclusive = { exclusive(), 1 },
@@ -184,8 +184,8 @@
     });
 }
 
-/// A relay between nodes whose first `silent` connections lose everything after
-/// they were used once.
+/// Starts a proxy between nodes whose first `silent` connections lose all data after the first
+/// request and reply.
 fn lossy_proxy(upstream: SocketAddr, silent: usize) -> SocketAddr {
     accept(move |number, mut stream| async move {
         use monoio::{io::AsyncWriteRentExt, net::TcpStream};
@@ -214,9 +214,9 @@
     buffer
 }
 
-/// The connection for control messages to a living node has gone silent. The
-/// message is sent again on a new one within the time of a probe; otherwise the
-/// node would be suspected, though only the connection is at fault.
+/// The control connection to a healthy node has gone silent. The message is sent again on a new
+/// connection within the time of a probe. Otherwise the node would be suspected, although only
+/// the connection is at fault.
 #[test]
 fn control_messages_are_retried_on_a_new_connection() {
     run(async {
@@ -231,9 +231,8 @@
     });
 }
 
-/// A group's request goes out on a connection that has gone silent: no word that
-/// the holder works comes back. The root learns that the connection is at fault
-/// after 0.4 s and can send the request again.
+/// A group request is sent on a connection that has gone silent, so no interim response
+/// arrives. The root gets `ConnectionSilent` after 0.4 s and can send the request again.
 #[test]
 fn a_search_on_a_silent_connection_fails_early() {
     run(async {
@@ -253,9 +252,8 @@
     });
 }
 
-/// An exclusive request is to go over a connection that has gone silent while
-/// idle. The connection does not answer the check, and the request goes over a
-/// new one, once.
+/// A connection has gone silent while idle. It does not answer the check before an exclusive
+/// request, so the request is sent once, over a new connection.
 #[test]
 fn an_exclusive_request_is_not_sent_on_a_silent_connection() {
     run(async {
@@ -272,8 +270,8 @@
     });
 }
 
-/// The other side closes the connection when it has read an exclusive request.
-/// It is not sent again: the node may have begun it.
+/// The other side closes the connection after reading an exclusive request. The request is not
+/// sent again, since the node may have begun it.
 #[test]
 fn an_exclusive_request_is_sent_once() {
     run(async {
--- a/crates/kumquatnotch-net/tests/server.rs
+++ b/crates/kumquatnotch-net/tests/server.rs
@@ -1,4 +1,4 @@
-//! The server against callers that are broken, greedy, impatient, or late.
+//! Tests of the server with malformed requests, idle connections, disconnections and shutdown.
 
 mod common;
 
@@ -27,8 +27,8 @@
 
 const GET: &str = "GET /x HTTP/1.1\r\nhost: x\r\n\r\n";
 
-/// What a broken or too large request gets: a truthful refusal with its number,
-/// and the end of the connection, whose further bytes can't be trusted.
+/// A malformed or too large request gets a refusal with the right error code. The connection is
+/// closed, since the further bytes on it can't be trusted.
 #[parameterized(
     no_http = { "SEARCH rooms\r\n\r\n", "400", "1001" },
     bad_length = { "POST /x HTTP/1.1\r\ncontent-length: 1x\r\n\r\n", "400", "1001" },
@@ -62,7 +62,7 @@
     });
 }
 
-/// A caller sends a head that never ends. The node must not keep it all.
+/// A caller sends an endless head. The node must not buffer all of it.
 #[test]
 fn an_endless_head_is_refused() {
     run(async {
@@ -94,8 +94,8 @@
     });
 }
 
-/// A client asks to close its connection, and does so as soon as it has the reply, which
-/// tells how far away it is. One that keeps its connection tells nothing.
+/// A client asks to close its connection and does so as soon as it has the reply, so the server
+/// records the round trip. None is recorded for a client that keeps its connection.
 #[test]
 fn the_round_trip_is_recorded_when_a_client_closes() {
     run(async {
@@ -122,7 +122,7 @@
     });
 }
 
-/// A client asks to close its connection, and never does. It is let go after a second.
+/// A client asks to close its connection but never does. The server closes it after 1 s.
 #[test]
 fn a_client_that_does_not_close_is_disconnected() {
     run(async {
@@ -157,9 +157,9 @@
     if detached { Work::detached(reply) } else { Work::new(reply) }
 }
 
-/// A caller hangs up while its request runs. A search is dropped at once, so
-/// that it costs the targets no more. A booking goes on: its caller will come
-/// back with the ticket and ask for the outcome.
+/// A caller disconnects while its request runs. A search is dropped immediately, to take load
+/// off the targets. A booking continues, since the caller will ask for the outcome with its
+/// ticket.
 #[parameterized(search = { false }, booking = { true })]
 fn a_disconnect_ends_searches_only(detached: bool) {
     run(async {
@@ -181,9 +181,9 @@
     });
 }
 
-/// A node is told to stop while a request runs and another connection is idle.
-/// The request gets its whole reply, with the advice to leave the connection;
-/// the idle connection is closed; later connections are refused.
+/// A node shuts down while a request runs and another connection is idle. The request gets its
+/// complete reply with `connection: close`, the idle connection is closed, and later
+/// connections are refused.
 #[test]
 fn a_graceful_close_waits_for_requests_in_flight() {
     run(async {
@@ -206,8 +206,8 @@
     });
 }
 
-/// A caller sends its next request just as the node closes: the bytes crossed
-/// the shutdown on their way. It is answered, not reset.
+/// A caller sends its next request just after the shutdown has begun. The request is answered
+/// instead of reset.
 #[test]
 fn a_request_sent_during_the_close_is_answered() {
     run(async {
@@ -226,9 +226,9 @@
     });
 }
 
-/// A node that drains asks its clients with each reply to leave. One that does
-/// not listen sends again on the same connection, and is served: closed at once,
-/// its next request would look to it as if it had been cut.
+/// A draining node asks clients with each reply to close the connection. A client that sends
+/// another request on it is served. If the connection were closed at once, the request would
+/// look lost in transit to the client.
 #[test]
 fn a_draining_server_answers_on_kept_connections() {
     run(async {
@@ -257,7 +257,7 @@
     });
 }
 
-/// A client sends bodies only when told to go on, as curl does with large ones.
+/// A client sends the body only after a `100 Continue`, as curl does with large ones.
 #[test]
 fn expect_continue_is_answered() {
     run(async {
@@ -274,9 +274,8 @@
     });
 }
 
-/// Callers keep all the connections that a node takes, and use none of them. A
-/// new caller is served all the same: the connection that was idle for longest
-/// makes room.
+/// Callers hold all the connections that a node accepts, without using them. A new caller is
+/// still served, since the connection that has been idle longest is closed.
 #[test]
 fn idle_connections_are_closed_for_new_callers() {
     run(async {
@@ -296,9 +295,8 @@
     });
 }
 
-/// Callers send garbage: requests with bytes changed, left out or doubled. Not
-/// one of them may end the node, since the next caller would be sent to another
-/// node and bring the same request there.
+/// Callers send requests with bytes changed, removed or duplicated. None of them may crash the
+/// node: the caller would then send the same request to the next node.
 #[test]
 fn malformed_requests_do_not_stop_the_server() {
     run(async {
--- a/crates/kumquatnotch-net/tests/silence.rs
+++ b/crates/kumquatnotch-net/tests/silence.rs
@@ -1,5 +1,4 @@
-//! Connections that go silent for good while new ones work, and targets that
-//! are only slow.
+//! Tests of the detection of silent connections, as opposed to targets that are only slow.
 
 mod common;
 
@@ -24,7 +23,7 @@
     fleet.apply(&FaultChange { silence: true, ..Default::default() });
 }
 
-/// Lets the links learn the pace of the target.
+/// Sends searches until the links have estimated the latency of the target.
 async fn warm_up(links: &Rc<TargetLinks>, spec: &TargetSpec) {
     for id in 0..20 {
         let reply = links.call(&name(), spec, &search(id), after(2_000)).await;
@@ -32,10 +31,9 @@
     }
 }
 
-/// A search goes out on a connection that has gone silent. The target answers
-/// status requests and says that it runs nothing, and a cancelled request is
-/// never answered on the old connection. The caller hears well before its
-/// deadline that the connection is at fault; the target is asked again at once.
+/// A search is sent on a connection that has gone silent. The target reports itself idle on
+/// another connection, and the cancelled request is never answered on the silent one. The
+/// caller gets `ConnectionSilent` well before its deadline, and the next call succeeds.
 #[test]
 fn a_search_on_a_silent_connection_fails_early() {
     run(async {
@@ -56,8 +54,9 @@
     });
 }
 
-/// The same while other searches keep the target busy: it never calls itself
-/// idle. Requests sent later are answered first, which a straggler doesn't do.
+/// A connection goes silent while other searches keep the target busy, so that it never reports
+/// itself idle. The connection is detected because later requests are answered first, which
+/// does not happen with a straggler.
 #[test]
 fn a_silent_connection_is_found_under_load() {
     run(async {
@@ -87,9 +86,8 @@
     });
 }
 
-/// A target becomes a hundred times slower from one moment to the next. It
-/// answers status requests and tells its load. Its replies are late, but no
-/// connection is taken for silent and no search is lost.
+/// A target suddenly becomes 100 times slower, but answers status requests with its load. Its
+/// replies are late, but no connection is treated as silent and no search is lost.
 #[test]
 fn a_straggler_is_not_taken_for_silent() {
     run(async {
@@ -110,8 +108,8 @@
     });
 }
 
-/// A straggler whose status lies that it runs nothing. The connection is
-/// challenged and answers: it is kept, and one search is the cost.
+/// A straggler wrongly reports itself idle. The connection is challenged and answers, so it is
+/// kept. One search is lost.
 #[test]
 fn a_straggler_that_reports_idle_keeps_its_connection() {
     run(async {
@@ -130,9 +128,9 @@
     });
 }
 
-/// A connection goes silent while idle, and the next request is a booking, which
-/// could never be sent again. The connection has to answer a check first, and
-/// does not; the booking runs once, over a new connection.
+/// A connection goes silent while idle, and the next request is a booking, which can't be
+/// retried. The connection does not answer the check before use, so the booking runs once, over
+/// a new connection.
 #[test]
 fn a_booking_is_not_sent_on_a_silent_connection() {
     run(async {
@@ -150,8 +148,8 @@
     });
 }
 
-/// The connection for probes has gone silent. A probe finds the target alive
-/// all the same, within the time that a probe may take.
+/// The connection for probes has gone silent. A probe still succeeds within its timeout, over a
+/// new connection.
 #[test]
 fn probes_are_retried_on_a_new_connection() {
     run(async {
@@ -166,8 +164,8 @@
     });
 }
 
-/// Nothing answers at all, on any connection. That is a dead target, not a
-/// silent connection.
+/// A target answers on no connection. The call times out, and the connection is not reported as
+/// silent.
 #[test]
 fn an_unresponsive_target_is_not_a_silent_connection() {
     run(async {
@@ -180,8 +178,8 @@
     });
 }
 
-/// A caller gives up while a connection is still being checked for its booking.
-/// The booking must not go out after that: nobody waits for its outcome.
+/// A caller gives up while the connection for its booking is still being checked. The booking
+/// must not be sent after that, since no caller waits for its outcome.
 #[test]
 fn a_booking_abandoned_during_its_check_is_not_sent() {
     run(async {
--- a/crates/kumquatnotch-net/tests/target_links.rs
+++ b/crates/kumquatnotch-net/tests/target_links.rs
@@ -1,4 +1,4 @@
-//! The links to targets: what their replies mean, and what they cost a target.
+//! Tests of the links to targets: handling of replies, and limits on connections.
 
 mod common;
 
@@ -67,8 +67,8 @@
     });
 }
 
-/// Nothing listens there. The error is certain that nothing was sent, and it
-/// comes at once, so that the caller can turn to another replica.
+/// No process listens at the address. The error states that nothing was sent, and is returned
+/// immediately, so that the caller can try another replica.
 #[test]
 fn a_refused_connection_fails_at_once() {
     run(async {
@@ -82,8 +82,8 @@
     });
 }
 
-/// The target closes the connection after it has read a booking. It may have
-/// run it, and the error must not say otherwise.
+/// The target closes the connection after reading a booking. It may have run the booking, so
+/// the error must not say that it has not run.
 #[test]
 fn a_connection_lost_after_sending_may_have_run() {
     run(async {
@@ -98,8 +98,8 @@
     });
 }
 
-/// The target has closed an idle connection. The next request finds that out
-/// before anything is sent, and goes over a new connection.
+/// The target has closed an idle connection. This is detected before the next request is sent,
+/// and the request is sent over a new connection.
 #[test]
 fn a_connection_closed_while_idle_fails_no_request() {
     run(async {
@@ -117,8 +117,8 @@
     });
 }
 
-/// A target answers the first request twice. The second copy must not be taken
-/// for the reply to the next request on that connection.
+/// A target sends a reply twice. The duplicate must not be taken for the reply to the next
+/// request on that connection.
 #[test]
 fn a_duplicate_reply_reaches_no_other_request() {
     run(async {
@@ -137,8 +137,8 @@
     });
 }
 
-/// A reply carries the number of another request: the two sides are out of
-/// step. The caller gets an error instead of someone else's answer.
+/// A reply has the id of another request, so the connection is out of sync. The caller gets an
+/// error instead of the answer to another request.
 #[test]
 fn a_reply_with_another_request_id_is_rejected() {
     run(async {
@@ -155,9 +155,8 @@
     });
 }
 
-/// A hedge has won, and the slower call is dropped. The target is told and
-/// stops; its reply is read, so that the connection stays in step; no new
-/// connection is needed for the next call.
+/// The slower call is dropped because a hedge has won. The target is told to cancel it, and its
+/// reply is read, so that the connection stays in sync and is reused by the next call.
 #[test]
 fn a_dropped_call_is_cancelled_and_its_connection_kept() {
     run(async {
@@ -179,8 +178,8 @@
     });
 }
 
-/// A late reply: the call has ended at its deadline, and its reply comes while
-/// the connection is drained. The next call must get its own.
+/// A call ends at its deadline, and its reply arrives while the connection is drained. The next
+/// call must get its own reply.
 #[test]
 fn a_late_reply_reaches_no_other_request() {
     run(async {
@@ -204,8 +203,8 @@
     });
 }
 
-/// A burst of calls meets a target that takes 6 ms for each new connection. The
-/// calls share the few connections that the setting allows.
+/// A burst of calls is sent to a target that takes 6 ms for each new connection. The calls
+/// share the connections that the limit allows.
 #[parameterized(three = { 3 }, two = { 2 }, one = { 1 })]
 fn a_burst_stays_within_the_connection_limit(connections: usize) {
     run(async {
@@ -231,8 +230,8 @@
     });
 }
 
-/// A target refuses every connection. Callers that keep coming cause few tries:
-/// opening pauses for longer and longer.
+/// A target closes every connection without serving a request. Repeated calls open few
+/// connections, since the backoff between them grows.
 #[test]
 fn failures_to_connect_back_off() {
     run(async {
@@ -257,8 +256,8 @@
     });
 }
 
-/// A target answers with garbage. The call fails or is answered, and the node
-/// goes on.
+/// A target sends malformed replies. Each call fails or is answered, and the node continues to
+/// run.
 #[test]
 fn malformed_replies_do_not_stop_the_node() {
     run(async {
