--- a/crates/kumquatnotch-net/src/outbound.rs
+++ b/crates/kumquatnotch-net/src/outbound.rs
@@ -15,7 +15,7 @@
     pool::{Lane, Pool},
 };
 
-/// Maximum number of connections tried while each turns out to be closed before anything is sent.
+/// Maximum number of attempts that find their connection closed before anything is sent.
 const MAX_ATTEMPTS: usize = 8;
 
 /// Minimum timeout of the first attempt of an idempotent request.
--- a/crates/kumquatnotch-net/src/server.rs
+++ b/crates/kumquatnotch-net/src/server.rs
@@ -47,7 +47,7 @@
     ///
     /// For clients that ask in their request to close the connection, this is the time from
     /// the reply until the client has closed its end.
-    fn record_round_trip(&self, _trip: Duration) {}
+    fn record_round_trip(&self, _round_trip: Duration) {}
 }
 
 /// The processing of one request.
--- a/crates/kumquatnotch-net/src/target_links.rs
+++ b/crates/kumquatnotch-net/src/target_links.rs
@@ -46,7 +46,7 @@
 /// Time without challenges after a challenged connection of a target has answered.
 const CHALLENGE_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// Maximum number of attempts of a call while each meets a closed connection and is not sent.
+/// Maximum number of attempts of a call that find their connection closed before it is sent.
 const MAX_ATTEMPTS: usize = 4;
 
 /// Options of [`TargetLinks`].
--- a/crates/kumquatnotch-net/tests/common/mod.rs
+++ b/crates/kumquatnotch-net/tests/common/mod.rs
@@ -109,8 +109,8 @@
         (self.answer)(request)
     }
 
-    fn record_round_trip(&self, trip: Duration) {
-        self.round_trips.borrow_mut().push(trip);
+    fn record_round_trip(&self, round_trip: Duration) {
+        self.round_trips.borrow_mut().push(round_trip);
     }
 }
 
