--- a/crates/kumquatnotch-net/src/caller_client.rs
+++ b/crates/kumquatnotch-net/src/caller_client.rs
@@ -1,20 +1,20 @@
-//! A client of nodes, as callers and operators are.
+//! An HTTP client for the requests of callers and operators to a node.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use kumquatnotch_core::{Clock, Result, random::Random};
 
 use crate::{
-    flight::Plan,
     message::{Reply, Request},
+    outbound::OutboundRequest,
     pool::{Lane, Pool, PoolOptions},
 };
 
-/// How long a connection is kept without use.
-const IDLE: Duration = Duration::from_secs(30);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The largest reply, in bytes.
-const BODY: usize = 64 << 20;
+/// Maximum size of a reply body, in bytes.
+const MAX_REPLY_BODY: usize = 64 << 20;
 
 /// A client of one node.
 pub struct CallerClient {
@@ -22,23 +22,28 @@
 }
 
 impl CallerClient {
-    /// A client that opens at most `connections` connections.
+    /// Creates a client that opens at most `connections` connections.
     pub fn new(
         address: SocketAddr,
         connections: usize,
         clock: Rc<dyn Clock>,
         random: Random,
     ) -> CallerClient {
-        let options = PoolOptions { control: 0, work: connections, idle: IDLE, body: BODY };
+        let options = PoolOptions {
+            max_control: 0,
+            max_work: connections,
+            idle_timeout: IDLE_TIMEOUT,
+            max_body: MAX_REPLY_BODY,
+        };
         CallerClient { pool: Pool::new(address, options, clock, random) }
     }
 
     /// Sends `request` and waits for its reply, for at most `time`.
     ///
-    /// Dropping the future closes the connection, by which the node knows that
-    /// its caller has gone away.
+    /// Dropping the future closes the connection, which tells the node that its caller has
+    /// disconnected.
     pub async fn call(&self, request: Request, time: Duration) -> Result<Reply> {
         let deadline = self.pool.clock.now() + time;
-        self.pool.call(Lane::Work, &Plan::plain(request), deadline).await
+        self.pool.call(Lane::Work, &OutboundRequest::plain(request), deadline).await
     }
 }
--- a/crates/kumquatnotch-net/src/peer_links.rs
+++ b/crates/kumquatnotch-net/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! The connections to other nodes.
+//! Connections to other nodes.
 
 use std::{
     cell::RefCell,
@@ -18,36 +18,41 @@
 };
 
 use crate::{
-    flight::Plan,
     message::Request,
+    outbound::OutboundRequest,
     peer_route::PEER_PATH,
     pool::{Lane, Pool, PoolOptions},
     silence,
 };
 
-/// How many addresses are kept before unused ones are looked for.
-const SWEEP_SIZE: usize = 64;
+/// Minimum number of pools before those without connections are removed.
+const SWEEP_THRESHOLD: usize = 64;
 
 /// Options of [`PeerLinks`].
 #[derive(Clone, Debug)]
 pub struct PeerLinkOptions {
-    /// The most connections for sub-requests to one node.
-    pub work: usize,
-    /// The most connections for control messages to one node.
-    pub control: usize,
-    /// The largest reply, in bytes.
-    pub body: usize,
-    /// How long a connection is kept without use.
-    pub idle: Duration,
+    /// Maximum number of connections for sub-requests to one node.
+    pub max_work: usize,
+    /// Maximum number of connections for control messages to one node.
+    pub max_control: usize,
+    /// Maximum size of a reply body, in bytes.
+    pub max_body: usize,
+    /// Time after which an idle connection is closed.
+    pub idle_timeout: Duration,
 }
 
 impl Default for PeerLinkOptions {
     fn default() -> PeerLinkOptions {
-        PeerLinkOptions { work: 64, control: 2, body: 16 << 20, idle: Duration::from_secs(30) }
+        PeerLinkOptions {
+            max_work: 64,
+            max_control: 2,
+            max_body: 16 << 20,
+            idle_timeout: Duration::from_secs(30),
+        }
     }
 }
 
-/// The connections to other nodes, by address.
+/// Connections to other nodes, by address.
 pub struct PeerLinks {
     options: PeerLinkOptions,
     clock: Rc<dyn Clock>,
@@ -56,7 +61,8 @@
 }
 
 impl PeerLinks {
-    /// Links that use the clock and generator of the registry; registers itself.
+    /// Creates links that use the clock and the random generator of `registry`, and registers
+    /// them there.
     pub fn try_new(options: PeerLinkOptions, registry: &Registry) -> Result<Rc<PeerLinks>> {
         let clock = registry.find::<Rc<dyn Clock>>(services::CLOCK)?;
         let random = registry.find::<Random>(services::RANDOM)?;
@@ -70,12 +76,12 @@
         if let Some(pool) = pools.get(&address) {
             return pool.clone();
         }
-        // Addresses of nodes that are gone would add up over a year of restarts.
-        if pools.len() >= SWEEP_SIZE && pools.len().is_power_of_two() {
+        // Otherwise, the pools of nodes that are gone would accumulate over a year of restarts.
+        if pools.len() >= SWEEP_THRESHOLD && pools.len().is_power_of_two() {
             pools.retain(|_, pool| pool.open_count() > 0);
         }
-        let PeerLinkOptions { work, control, body, idle } = self.options;
-        let options = PoolOptions { control, work, idle, body };
+        let PeerLinkOptions { max_work, max_control, max_body, idle_timeout } = self.options;
+        let options = PoolOptions { max_control, max_work, idle_timeout, max_body };
         let pool = Pool::new(address, options, self.clock.clone(), self.random.clone());
         pools.insert(address, pool.clone());
         pool
@@ -91,21 +97,25 @@
     ) -> LocalFuture<'a, Result<PeerReply>> {
         Box::pin(async move {
             let pool = self.pool(address);
-            // Headers that say nothing new to a node are left out: the control
-            // budget counts them with each membership message.
+            // Omits headers that a node does not need: they would count towards the control
+            // budget with each membership message.
             let mut request = Request::new(Method::POST, PEER_PATH);
             request.body = codec::encode(message)?.into();
-            let plan = Plan {
+            let outbound = OutboundRequest {
                 request,
-                // Messages that need it carry the time left themselves.
-                timed: false,
+                // Messages that need a deadline contain it.
+                carry_deadline: false,
                 cancel: None,
-                check: check_of(message),
-                mute: Some(silence::MUTE_TIME),
+                check: check_for(message),
+                silence_timeout: Some(silence::SILENCE_TIMEOUT),
             };
             let reply = match kind_of(message) {
-                Kind::Control => pool.call_again(Lane::Control, &plan, deadline).await?,
-                Kind::Search | Kind::Exclusive => pool.call(Lane::Work, &plan, deadline).await?,
+                MessageKind::Control => {
+                    pool.call_with_retry(Lane::Control, &outbound, deadline).await?
+                }
+                MessageKind::Search | MessageKind::Exclusive => {
+                    pool.call(Lane::Work, &outbound, deadline).await?
+                }
             };
             match reply.status.as_u16() {
                 200 => codec::decode(&reply.body),
@@ -115,19 +125,19 @@
     }
 }
 
-/// How a message is sent.
+/// Delivery rules of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
-    /// It is answered at once and may be sent twice.
+pub(crate) enum MessageKind {
+    /// Answered immediately; may be sent twice.
     Control,
-    /// It takes time and may be sent twice, which its sender decides.
+    /// Takes time; may be sent twice, at the discretion of the sender.
     Search,
-    /// It takes time and must not be sent twice.
+    /// Takes time; must not be sent twice.
     Exclusive,
 }
 
-/// How `message` is sent.
-pub(crate) fn kind_of(message: &PeerMessage) -> Kind {
+/// Returns the delivery rules of `message`.
+pub(crate) fn kind_of(message: &PeerMessage) -> MessageKind {
     match message {
         PeerMessage::Ping(_)
         | PeerMessage::PingFor(_)
@@ -135,18 +145,19 @@
         | PeerMessage::Exchange(_)
         | PeerMessage::Fetch(_)
         | PeerMessage::ConfigState
-        | PeerMessage::Versions(_) => Kind::Control,
-        PeerMessage::Group(_) => Kind::Search,
-        PeerMessage::Relay(_) | PeerMessage::Exclusive(_) => Kind::Exclusive,
+        | PeerMessage::Versions(_) => MessageKind::Control,
+        PeerMessage::Group(_) => MessageKind::Search,
+        PeerMessage::Relay(_) | PeerMessage::Exclusive(_) => MessageKind::Exclusive,
     }
 }
 
-/// How a connection is checked before `message` is sent on it.
-fn check_of(message: &PeerMessage) -> Option<(Duration, Request)> {
+/// Returns the request that checks a connection before `message` is sent on it, and the
+/// minimum idle time for the check.
+fn check_for(message: &PeerMessage) -> Option<(Duration, Request)> {
     let age = match kind_of(message) {
-        Kind::Control => return None,
-        Kind::Search => silence::CHECK_SEARCH,
-        Kind::Exclusive => silence::CHECK_EXCLUSIVE,
+        MessageKind::Control => return None,
+        MessageKind::Search => silence::SEARCH_CHECK_IDLE,
+        MessageKind::Exclusive => silence::EXCLUSIVE_CHECK_IDLE,
     };
     Some((age, Request::get("/healthz")))
 }
--- a/crates/kumquatnotch-net/src/pool.rs
+++ b/crates/kumquatnotch-net/src/pool.rs
@@ -1,10 +1,10 @@
-//! The connections to one address.
+//! A pool of connections to one address.
 //!
-//! Their number is bounded, and new ones are opened one at a time with backoff
-//! and jitter: each costs a target milliseconds of work, and after a restart of
-//! many nodes a storm of connections would keep the targets from answering at
-//! all. There are two lanes, so that probes and cancellations get through while
-//! work occupies its connections.
+//! The number of connections is bounded, and they are opened one at a time with backoff and
+//! jitter. Each new connection takes a target milliseconds of work, so a connection storm
+//! after a restart of many nodes would leave the targets unable to answer any request. The
+//! pool has two lanes, so that probes and cancellations are not blocked while all connections
+//! for other requests are in use.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,24 +18,27 @@
 use futures_channel::oneshot;
 use kumquatnotch_core::{Clock, Error, Result, clock, random::Random};
 
-use crate::{exchange::Ends, link, link::Job, pace::Pace, socket};
+use crate::{
+    client_connection, client_connection::Job, exchange::ClientStream, latency::LatencyEstimator,
+    socket,
+};
 
-/// How long opening a connection may take.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pause after the first failure to open a connection, before jitter.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+/// Backoff after the first failure to open a connection, before jitter.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The longest pause after failures, before jitter.
-const LAST_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum backoff after failures, before jitter.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Below which the first number of a request is drawn, so that pools differ.
-const FIRST_NUMBER: usize = 10_000;
+/// Upper bound of the random initial request id, which makes the ids of pools differ.
+const INITIAL_ID_RANGE: usize = 10_000;
 
-/// What a connection is used for.
+/// Purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lane {
-    /// Probes, cancellations and messages that must not wait behind work.
+    /// Probes, cancellations and messages that must not wait behind other requests.
     Control,
     /// Everything else.
     Work,
@@ -43,63 +46,63 @@
 
 const LANES: [Lane; 2] = [Lane::Control, Lane::Work];
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolOptions {
-    /// The most connections for control.
-    pub(crate) control: usize,
-    /// The most connections for work.
-    pub(crate) work: usize,
-    /// How long a connection is kept without use.
-    pub(crate) idle: Duration,
-    /// The largest body of a reply, in bytes.
-    pub(crate) body: usize,
+    /// Maximum number of connections in the control lane.
+    pub(crate) max_control: usize,
+    /// Maximum number of connections in the work lane.
+    pub(crate) max_work: usize,
+    /// Time after which an idle connection is closed.
+    pub(crate) idle_timeout: Duration,
+    /// Maximum size of a reply body, in bytes.
+    pub(crate) max_body: usize,
 }
 
-/// The connections to one address.
+/// A pool of connections to one address.
 pub(crate) struct Pool {
     pub(crate) address: SocketAddr,
     pub(crate) options: PoolOptions,
     pub(crate) clock: Rc<dyn Clock>,
-    /// How fast requests that may run twice are answered.
-    pub(crate) pace: Pace,
+    /// Latency of the requests sent with [`Pool::call_with_retry`].
+    pub(crate) latency: LatencyEstimator,
     random: Random,
-    numbers: Cell<u64>,
+    last_id: Cell<u64>,
     lanes: [RefCell<LaneState>; 2],
     opening: Cell<bool>,
     failures: Cell<u32>,
-    /// Whether the last of them was a refusal by the VM at the address.
+    /// Whether the last failure was a refusal by the VM at the address.
     refused: Cell<bool>,
-    pause_end: Cell<Instant>,
+    backoff_end: Cell<Instant>,
     closed: Cell<bool>,
 }
 
 #[derive(Default)]
 struct LaneState {
-    idle: Vec<(JobSlot, Instant)>,
+    idle: Vec<(JobSender, Instant)>,
     waiters: VecDeque<oneshot::Sender<Result<Lease>>>,
     open: usize,
-    /// Whether one of them was opened, so that waiting means waiting for its work.
-    served: bool,
+    /// Whether a connection was established, so that a timeout means time spent in the queue.
+    connected: bool,
 }
 
-type JobSlot = oneshot::Sender<Job>;
+type JobSender = oneshot::Sender<Job>;
 
-/// A connection that was handed out and waits for a job.
+/// A connection that is reserved for a job.
 pub(crate) struct Lease {
-    slot: Option<JobSlot>,
+    slot: Option<JobSender>,
     since: Instant,
     pool: Rc<Pool>,
     lane: Lane,
 }
 
 impl Lease {
-    /// How long the connection was idle.
+    /// Returns how long the connection was idle.
     pub(crate) fn idle_for(&self) -> Duration {
         self.pool.clock.now().saturating_duration_since(self.since)
     }
 
-    /// Gives it the job; false if the connection has ended and nothing was sent.
+    /// Runs a job; returns false if the connection is closed and nothing was sent.
     pub(crate) fn run(mut self, job: Job) -> bool {
         self.slot.take().is_some_and(|slot| slot.send(job).is_ok())
     }
@@ -107,7 +110,7 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        // The caller went away between the offer and its job.
+        // The caller went away before it passed a job; the next waiter gets the connection.
         if let Some(slot) = self.slot.take() {
             self.pool.hand_out(self.lane, slot, self.since);
         }
@@ -121,30 +124,30 @@
         clock: Rc<dyn Clock>,
         random: Random,
     ) -> Rc<Pool> {
-        let pause_end = Cell::new(clock.now());
+        let backoff_end = Cell::new(clock.now());
         Rc::new(Pool {
             address,
             options,
             clock,
-            pace: Pace::default(),
-            numbers: Cell::new(random.below(FIRST_NUMBER) as u64),
+            latency: LatencyEstimator::default(),
+            last_id: Cell::new(random.below(INITIAL_ID_RANGE) as u64),
             random,
             lanes: Default::default(),
             opening: Cell::new(false),
             failures: Cell::new(0),
             refused: Cell::new(false),
-            pause_end,
+            backoff_end,
             closed: Cell::new(false),
         })
     }
 
-    /// A number for a request, unlike the others of this pool.
+    /// Returns a request id that is unique within this pool.
     ///
-    /// Small ones are shorter on the wire, which membership messages feel.
-    pub(crate) fn number(&self) -> u64 {
-        let number = self.numbers.get() + 1;
-        self.numbers.set(number);
-        number
+    /// Ids are kept small, as they add to the size of each membership message on the wire.
+    pub(crate) fn next_request_id(&self) -> u64 {
+        let request_id = self.last_id.get() + 1;
+        self.last_id.set(request_id);
+        request_id
     }
 
     /// Waits for a connection until `deadline`.
@@ -154,15 +157,16 @@
         }
         let receiver = {
             let mut state = self.lane(lane).borrow_mut();
-            // The one used last is taken first, so that surplus ones grow idle and close.
+            // Takes the most recently used connection, so that surplus ones reach their idle
+            // timeout.
             while let Some((slot, since)) = state.idle.pop() {
                 if !slot.is_canceled() {
                     return Ok(Lease { slot: Some(slot), since, pool: self.clone(), lane });
                 }
             }
-            // While opening pauses, an address without connections fails at once,
-            // so that the caller can turn to another replica.
-            if state.open == 0 && self.is_refusing() {
+            // During the backoff, an address without connections fails immediately, so that
+            // the caller can try another replica.
+            if state.open == 0 && self.is_backing_off() {
                 return Err(self.last_failure());
             }
             let (sender, receiver) = oneshot::channel();
@@ -173,18 +177,18 @@
         match clock::timeout_at(&*self.clock, deadline, receiver).await {
             Ok(Ok(lease)) => lease,
             Ok(Err(_)) => Err(Error::ConnectFailed),
-            Err(_) if self.lane(lane).borrow().served => Err(Error::ExpiredInQueue),
+            Err(_) if self.lane(lane).borrow().connected => Err(Error::ExpiredInQueue),
             Err(_) => Err(Error::ConnectFailed),
         }
     }
 
-    /// Takes a connection that has become idle.
-    pub(crate) fn offer(self: &Rc<Pool>, lane: Lane, slot: JobSlot) {
+    /// Accepts a connection that has become idle.
+    pub(crate) fn offer(self: &Rc<Pool>, lane: Lane, slot: JobSender) {
         self.hand_out(lane, slot, self.clock.now());
     }
 
-    fn hand_out(self: &Rc<Pool>, lane: Lane, slot: JobSlot, since: Instant) {
-        // Dropping the slot ends the connection.
+    fn hand_out(self: &Rc<Pool>, lane: Lane, slot: JobSender, since: Instant) {
+        // Dropping the slot closes the connection.
         if self.closed.get() {
             return;
         }
@@ -204,13 +208,13 @@
         }
     }
 
-    /// Notes that a request was served.
+    /// Records that a request was served, which resets the backoff.
     pub(crate) fn note_success(&self) {
         self.failures.set(0);
     }
 
-    /// Notes that a connection has ended; `dropped` if the other side closed it
-    /// before it ever served a request.
+    /// Records that a connection is closed; `dropped` is true if the other side closed it
+    /// before it served a request.
     pub(crate) fn closed(self: &Rc<Pool>, lane: Lane, dropped: bool) {
         if dropped {
             self.note_failure(false);
@@ -218,15 +222,15 @@
         {
             let mut state = self.lane(lane).borrow_mut();
             state.open -= 1;
-            state.served &= state.open > 0;
+            state.connected &= state.open > 0;
             state.idle.retain(|(slot, _)| !slot.is_canceled());
         }
         self.fail_waiters();
         self.open_more();
     }
 
-    /// Whether someone waits for a connection.
-    pub(crate) fn is_wanted(&self, lane: Lane) -> bool {
+    /// Whether a caller waits for a connection.
+    pub(crate) fn has_waiters(&self, lane: Lane) -> bool {
         self.lane(lane).borrow().waiters.iter().any(|waiter| !waiter.is_canceled())
     }
 
@@ -236,7 +240,7 @@
         drop(idle);
     }
 
-    /// Closes idle connections now, and the others when their requests end.
+    /// Closes idle connections immediately, and the others when their requests end.
     pub(crate) fn close(&self) {
         self.closed.set(true);
         for lane in LANES {
@@ -246,7 +250,7 @@
         }
     }
 
-    /// How many connections are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub(crate) fn open_count(&self) -> usize {
         LANES.iter().map(|lane| self.lane(*lane).borrow().open).sum()
     }
@@ -260,26 +264,26 @@
 
     fn limit(&self, lane: Lane) -> usize {
         match lane {
-            Lane::Control => self.options.control,
-            Lane::Work => self.options.work,
+            Lane::Control => self.options.max_control,
+            Lane::Work => self.options.max_work,
         }
     }
 
-    /// Whether no connection may be opened now, and callers are told so.
-    fn is_refusing(&self) -> bool {
-        self.clock.now() < self.pause_end.get()
+    /// Whether the backoff is in effect, so that no connection may be opened.
+    fn is_backing_off(&self) -> bool {
+        self.clock.now() < self.backoff_end.get()
     }
 
-    /// Starts to open connections if someone waits for one and the bounds allow it.
+    /// Starts opening connections if a caller waits for one and the limits allow it.
     fn open_more(self: &Rc<Pool>) {
-        if self.opening.get() || self.is_refusing() || self.lane_to_open().is_none() {
+        if self.opening.get() || self.is_backing_off() || self.lane_to_open().is_none() {
             return;
         }
         self.opening.set(true);
-        monoio::spawn(open_links(self.clone()));
+        monoio::spawn(open_connections(self.clone()));
     }
 
-    /// The lane in which a connection is wanted and allowed.
+    /// Returns a lane in which callers wait and another connection is allowed.
     fn lane_to_open(&self) -> Option<Lane> {
         if self.closed.get() {
             return None;
@@ -291,7 +295,7 @@
         })
     }
 
-    /// Why the last connection could not be opened.
+    /// Returns the error of the last failure to open a connection.
     fn last_failure(&self) -> Error {
         if self.refused.get() { Error::ConnectRefused } else { Error::ConnectFailed }
     }
@@ -299,14 +303,14 @@
     fn note_failure(&self, refused: bool) {
         self.refused.set(refused);
         let failures = self.failures.get();
-        let pause = FIRST_BACKOFF.saturating_mul(1 << failures.min(10)).min(LAST_BACKOFF);
+        let pause = INITIAL_BACKOFF.saturating_mul(1 << failures.min(10)).min(MAX_BACKOFF);
         self.failures.set(failures.saturating_add(1));
-        self.pause_end.set(self.clock.now() + self.random.jitter(pause));
+        self.backoff_end.set(self.clock.now() + self.random.jitter(pause));
     }
 
-    /// Fails those who wait in a lane that has no connection and may open none now.
+    /// Fails the waiters of lanes without connections while the backoff is in effect.
     fn fail_waiters(&self) {
-        if !self.is_refusing() {
+        if !self.is_backing_off() {
             return;
         }
         for lane in LANES {
@@ -321,10 +325,10 @@
     }
 }
 
-/// Opens connections, one after the other, while they are wanted.
-async fn open_links(pool: Rc<Pool>) {
+/// Opens connections one at a time while callers wait for them.
+async fn open_connections(pool: Rc<Pool>) {
     while let Some(lane) = pool.lane_to_open() {
-        let pause = pool.pause_end.get().saturating_duration_since(pool.clock.now());
+        let pause = pool.backoff_end.get().saturating_duration_since(pool.clock.now());
         if !pause.is_zero() {
             clock::sleep(&*pool.clock, pause).await;
         }
@@ -334,11 +338,11 @@
         metrics::counter!("kumquatnotch_connections_opened_total").increment(1);
         match opened {
             Ok(Ok(stream)) => {
-                pool.lane(lane).borrow_mut().served = true;
-                let ends = Ends::new(stream, pool.address, pool.options.body);
-                let link = link::run(ends, Rc::downgrade(&pool), lane, pool.address);
+                pool.lane(lane).borrow_mut().connected = true;
+                let stream = ClientStream::new(stream, pool.address, pool.options.max_body);
+                let link = client_connection::run(stream, Rc::downgrade(&pool), lane, pool.address);
                 monoio::spawn(link);
-                // The new link offers itself before the next one is opened.
+                // Lets the new connection offer itself before the next one is opened.
                 clock::yield_now().await;
             }
             failed => {
--- a/crates/kumquatnotch-net/src/reader.rs
+++ b/crates/kumquatnotch-net/src/reader.rs
@@ -1,8 +1,8 @@
-//! Reading HTTP/1.1 messages from a connection, with bounds.
+//! Size-limited reading of HTTP/1.1 messages from a connection.
 //!
-//! The library's decoders wait for the end of a head or chunk however long it
-//! grows. Here each message has a budget of bytes, and a read beyond it fails,
-//! so that no sender can make a process keep more than that.
+//! The decoders of `monoio-http` buffer a head or chunk until its end, without a size limit.
+//! This module gives each message a byte budget and fails reads beyond it, so that a sender
+//! can't make the process buffer more than that.
 
 use std::{cell::Cell, io, rc::Rc};
 
@@ -25,11 +25,11 @@
     },
 };
 
-/// The longest head of a message, in bytes.
+/// Maximum size of the head of a message, in bytes.
 const HEAD_LIMIT: usize = 32 << 10;
 
-/// What a body may cost beyond its own length, for the framing of chunks.
-const BODY_SLACK: usize = 64 << 10;
+/// Bytes allowed in addition to the length of a body, for chunk framing.
+const FRAMING_ALLOWANCE: usize = 64 << 10;
 
 /// Reads requests.
 pub(crate) type RequestReader =
@@ -43,65 +43,65 @@
 /// Why a message could not be read.
 #[derive(Debug)]
 pub(crate) enum ReadFault {
-    /// The connection was closed or broke.
+    /// The connection was closed or lost.
     Closed,
-    /// The message is not HTTP/1.1 as the library knows it.
-    Broken(String),
-    /// The message is longer than the reader takes.
+    /// The message is not valid HTTP/1.1.
+    Malformed(String),
+    /// The message exceeds the size limit.
     TooLong,
 }
 
-/// What is to be read next.
+/// Result of waiting for the next byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Peek {
-    /// Bytes are there.
+    /// Data is available.
     Data,
-    /// The other side has closed the connection, or it broke.
+    /// The connection was closed by the other side or lost.
     Closed,
 }
 
 /// Reads messages from one connection.
 pub(crate) struct MessageReader<D> {
     framed: FramedRead<Bounded, D>,
-    left: Rc<Cell<usize>>,
+    budget: Rc<Cell<usize>>,
     limit: usize,
 }
 
 impl<D: Default> MessageReader<D> {
-    /// A reader that takes bodies of up to `limit` bytes.
+    /// Creates a reader that accepts bodies of up to `limit` bytes.
     pub(crate) fn new(half: OwnedReadHalf<TcpStream>, limit: usize) -> MessageReader<D> {
-        let left = Rc::new(Cell::new(HEAD_LIMIT));
-        let input = Bounded { half, left: left.clone() };
-        MessageReader { framed: FramedRead::new(input, D::default()), left, limit }
+        let budget = Rc::new(Cell::new(HEAD_LIMIT));
+        let input = Bounded { half, budget: budget.clone() };
+        MessageReader { framed: FramedRead::new(input, D::default()), budget, limit }
     }
 }
 
 impl<D> MessageReader<D> {
     /// Waits for the first byte of a message, or the end of the connection.
     ///
-    /// Dropping this future loses nothing: with the epoll driver a read that
-    /// has not completed has not taken any bytes, and it starts with an empty buffer.
+    /// Dropping this future loses no data: with the epoll driver, a read that has not completed
+    /// has not consumed any bytes, and it starts with an empty buffer.
     pub(crate) async fn peek(&mut self) -> Peek {
-        self.left.set(HEAD_LIMIT);
+        self.budget.set(HEAD_LIMIT);
         match self.framed.peek_data().await {
             Ok(data) if !data.is_empty() => Peek::Data,
             _ => Peek::Closed,
         }
     }
 
-    /// Whether no byte of the message has come whose head is being read.
+    /// Whether no byte of the current message has arrived.
     ///
-    /// As long as this is so, reading its head can be dropped and begun anew.
-    pub(crate) fn is_untouched(&self) -> bool {
-        self.left.get() == HEAD_LIMIT
+    /// If so, the future that reads its head can be dropped and the read started again.
+    pub(crate) fn awaits_first_byte(&self) -> bool {
+        self.budget.get() == HEAD_LIMIT
     }
 
-    /// Reads a head and what is needed to read its body.
+    /// Reads a head, and returns it with the decoder for its body.
     pub(crate) async fn head<H>(&mut self) -> Result<(H, BodyDecoder), ReadFault>
     where
         FramedRead<Bounded, D>: Stream<Item = Result<(H, BodyDecoder), HttpError>>,
     {
-        self.left.set(HEAD_LIMIT);
+        self.budget.set(HEAD_LIMIT);
         match self.framed.next().await {
             Some(Ok(head)) => Ok(head),
             Some(Err(error)) => Err(self.fault(error)),
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Reads the body that belongs to a head.
+    /// Reads the body that follows a head.
     pub(crate) async fn body(
         &mut self,
         headers: &HeaderMap,
@@ -119,7 +119,7 @@
         if content_length(headers).is_some_and(|length| length > self.limit as u64) {
             return Err(ReadFault::TooLong);
         }
-        self.left.set(self.limit + BODY_SLACK);
+        self.budget.set(self.limit + FRAMING_ALLOWANCE);
         match decoder {
             PayloadDecoder::None => Ok(Bytes::new()),
             PayloadDecoder::Fixed(mut decoder) => match self.framed.next_with(&mut decoder).await {
@@ -146,18 +146,17 @@
         }
     }
 
-    /// Reads a body that has no length and ends with its connection.
+    /// Reads a body without a length, which ends where the connection is closed.
     ///
-    /// A connection that was reset has not ended: what came before is a part of
-    /// the body, which must not pass for the whole.
-    pub(crate) async fn rest(&mut self) -> Result<Bytes, ReadFault> {
-        self.left.set(self.limit + BODY_SLACK);
+    /// Fails if the connection is reset: the bytes received until then are an incomplete body.
+    pub(crate) async fn body_to_end(&mut self) -> Result<Bytes, ReadFault> {
+        self.budget.set(self.limit + FRAMING_ALLOWANCE);
         let mut body = BytesMut::new();
         loop {
             match self.framed.peek_data().await {
                 Ok([]) => return Ok(body.freeze()),
                 Ok(_) => body.unsplit(self.framed.read_buffer_mut().split()),
-                Err(_) if self.left.get() == 0 => return Err(ReadFault::TooLong),
+                Err(_) if self.budget.get() == 0 => return Err(ReadFault::TooLong),
                 Err(_) => return Err(ReadFault::Closed),
             }
             if body.len() > self.limit {
@@ -166,24 +165,24 @@
         }
     }
 
-    /// Reads and drops what still comes, up to one body.
+    /// Reads and discards incoming data, up to the maximum body size.
     ///
-    /// Closing a connection with unread bytes resets it, and the reset can
-    /// overtake the reply that tells the client what was wrong.
+    /// Closing a connection with unread data resets it, and the reset can make the client lose
+    /// the reply with the error.
     pub(crate) async fn discard(&mut self) {
-        let mut left = self.limit;
+        let mut budget = self.limit;
         while self.peek().await == Peek::Data {
             let count = self.framed.read_buffer().len();
             self.framed.read_buffer_mut().clear();
-            if count > left {
+            if count > budget {
                 return;
             }
-            left -= count;
+            budget -= count;
         }
     }
 
     fn fault(&self, error: HttpError) -> ReadFault {
-        if self.left.get() == 0 {
+        if self.budget.get() == 0 {
             return ReadFault::TooLong;
         }
         match error {
@@ -191,47 +190,47 @@
                 ReadFault::Closed
             }
             HttpError::H1DecodeError(DecodeError::UnexpectedEof) => ReadFault::Closed,
-            error => ReadFault::Broken(error.to_string()),
+            error => ReadFault::Malformed(error.to_string()),
         }
     }
 }
 
-/// The length that a head gives for its body.
+/// Returns the body length from the `Content-Length` header.
 fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Refuses heads that could be read in two ways.
+/// Rejects heads with ambiguous framing, which allow request smuggling.
 ///
-/// With two lengths, or a length and chunks, this process and another one on
-/// the way could disagree where the message ends, and the rest of one caller's
-/// message would be taken for another's request.
+/// With two lengths, or a length and chunks, this process and an intermediary could disagree
+/// about where the message ends. The rest of one caller's message would then be taken for the
+/// request of another caller.
 fn check_framing(headers: &HeaderMap) -> Result<(), ReadFault> {
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
     if lengths > 1 || (lengths == 1 && chunked) {
-        return Err(ReadFault::Broken("the length of the body is ambiguous".to_owned()));
+        return Err(ReadFault::Malformed("ambiguous body length".to_owned()));
     }
     Ok(())
 }
 
-/// Input that fails once a budget of bytes is used up.
+/// Input that fails once its byte budget is used up.
 pub(crate) struct Bounded {
     half: OwnedReadHalf<TcpStream>,
-    left: Rc<Cell<usize>>,
+    budget: Rc<Cell<usize>>,
 }
 
 impl Bounded {
     fn spend(&self, result: io::Result<usize>) -> io::Result<usize> {
         let count = result?;
-        self.left.set(self.left.get().saturating_sub(count));
+        self.budget.set(self.budget.get().saturating_sub(count));
         Ok(count)
     }
 }
 
 impl AsyncReadRent for Bounded {
     async fn read<T: IoBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if self.left.get() == 0 {
+        if self.budget.get() == 0 {
             return (Err(io::ErrorKind::InvalidData.into()), buf);
         }
         let (result, buf) = self.half.read(buf).await;
@@ -239,7 +238,7 @@
     }
 
     async fn readv<T: IoVecBufMut>(&mut self, buf: T) -> BufResult<usize, T> {
-        if self.left.get() == 0 {
+        if self.budget.get() == 0 {
             return (Err(io::ErrorKind::InvalidData.into()), buf);
         }
         let (result, buf) = self.half.readv(buf).await;
--- a/crates/kumquatnotch-net/src/socket.rs
+++ b/crates/kumquatnotch-net/src/socket.rs
@@ -1,10 +1,8 @@
-//! Sockets with the options that the tier needs.
+//! TCP sockets with the options that the tier needs.
 //!
-//! `TCP_USER_TIMEOUT` and keepalive are the first evidence of a silent
-//! connection: the kernel of a living machine acknowledges bytes however slow
-//! its process is, so bytes that stay unacknowledged mean that the path is dead
-//! and never that the target is slow. The kernel finds this without any work of
-//! the target's process.
+//! `TCP_USER_TIMEOUT` and keepalive detect dead paths at no cost for the target process. The
+//! kernel of a running machine acknowledges data however slow its processes are, so data that
+//! stays unacknowledged means that the path is dead, never that the target is slow.
 
 use std::{
     io,
@@ -19,23 +17,22 @@
     net::{AddressFamily, SocketFlags, SocketType, ipproto, sockopt},
 };
 
-/// How long bytes that this side sent on its own connections may stay unacknowledged.
+/// `TCP_USER_TIMEOUT` of outgoing connections.
 ///
-/// Round trips are at most 40 ms between regions and the least retransmission
-/// timer is 200 ms, so a living path loses two segments before this passes.
-const CLIENT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Round trips between regions take at most 40 ms, and the minimum retransmission timeout is
+/// 200 ms, so a working path would have to lose two segments before this time has passed.
+const CLIENT_USER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The same for accepted connections.
+/// `TCP_USER_TIMEOUT` of accepted connections.
 ///
-/// It is longer because the kernel also counts the time in which the other
-/// side's window is closed: a caller that reads a long answer slowly must not
-/// be cut off.
-const SERVER_TIMEOUT: Duration = Duration::from_secs(10);
+/// It is longer because the kernel includes the time for which the receive window of the other
+/// side is closed: a caller that reads a long answer slowly must not be disconnected.
+const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The silence after which the kernel asks the other one, and between its tries.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// Idle time before the first keepalive probe, and interval between probes.
+const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// How many connections may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
 /// Opens a connection to `address`.
@@ -46,17 +43,17 @@
     };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
-    set_options(&socket, CLIENT_TIMEOUT)?;
+    set_options(&socket, CLIENT_USER_TIMEOUT)?;
     sockopt::set_tcp_nodelay(&socket, true)?;
     match rustix::net::connect(&socket, &address) {
         Ok(()) | Err(Errno::INPROGRESS) => {}
         Err(error) => return Err(error.into()),
     }
     let socket = StdStream::from(socket);
-    let twin = socket.try_clone()?;
+    let duplicate = socket.try_clone()?;
     let stream = TcpStream::from_std(socket)?;
     stream.writable(false).await?;
-    match twin.take_error()? {
+    match duplicate.take_error()? {
         Some(error) => Err(error),
         None => Ok(stream),
     }
@@ -66,11 +63,11 @@
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = StdListener::bind(address)?;
     listener.set_nonblocking(true)?;
-    // Accepted connections inherit the options.
-    set_options(&listener, SERVER_TIMEOUT)?;
+    // Accepted connections inherit these options.
+    set_options(&listener, SERVER_USER_TIMEOUT)?;
     sockopt::set_tcp_nodelay(&listener, true)?;
-    // The standard library's backlog of 128 is too short for the reconnects
-    // after a restart of many nodes.
+    // The backlog of 128 set by the standard library is too short for the reconnects after a
+    // restart of many nodes.
     rustix::net::listen(&listener, BACKLOG)?;
     TcpListener::from_std(listener)
 }
@@ -78,7 +75,7 @@
 fn set_options(socket: impl AsFd, timeout: Duration) -> io::Result<()> {
     sockopt::set_tcp_user_timeout(&socket, timeout.as_millis() as u32)?;
     sockopt::set_socket_keepalive(&socket, true)?;
-    sockopt::set_tcp_keepidle(&socket, KEEPALIVE)?;
-    sockopt::set_tcp_keepintvl(&socket, KEEPALIVE)?;
+    sockopt::set_tcp_keepidle(&socket, KEEPALIVE_PERIOD)?;
+    sockopt::set_tcp_keepintvl(&socket, KEEPALIVE_PERIOD)?;
     Ok(())
 }
--- a/crates/kumquatnotch-net/tests/common/mod.rs
+++ b/crates/kumquatnotch-net/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the tests of this crate.
+//! Fixtures for the tests of this crate.
 
 #![allow(dead_code)]
 
@@ -30,7 +30,7 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Runs a test on the driver of the daemons, for at most half a minute.
+/// Runs a test on the runtime driver of the daemons, with a timeout of 30 s.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     standins::block_on(async {
         let limit = Duration::from_secs(30);
@@ -50,7 +50,7 @@
 }
 
 pub fn links_with(options: TargetLinkOptions) -> Rc<TargetLinks> {
-    TargetLinks::try_new(options, &registry()).expect("the options are fine")
+    TargetLinks::try_new(options, &registry()).expect("the options are valid")
 }
 
 pub fn spec(address: SocketAddr) -> TargetSpec {
@@ -67,7 +67,7 @@
     TargetName::from("t0")
 }
 
-/// A search at version 1 of shard s0.
+/// A search in version 1 of shard s0.
 pub fn search(id: u64) -> TargetCall {
     TargetCall {
         id,
@@ -95,12 +95,12 @@
 
 type Answer = Box<dyn Fn(Request) -> Work<'static>>;
 
-/// A handler made of a closure, which notes what it was asked.
+/// A handler that calls a closure and records the paths of requests.
 pub struct Scripted {
     answer: Answer,
     pub asked: RefCell<Vec<String>>,
-    /// How far away clients were found to be.
-    pub trips: RefCell<Vec<Duration>>,
+    /// Recorded round trips to clients.
+    pub round_trips: RefCell<Vec<Duration>>,
 }
 
 impl Handler for Scripted {
@@ -109,24 +109,24 @@
         (self.answer)(request)
     }
 
-    fn note_trip(&self, trip: Duration) {
-        self.trips.borrow_mut().push(trip);
+    fn record_round_trip(&self, round_trip: Duration) {
+        self.round_trips.borrow_mut().push(round_trip);
     }
 }
 
-/// A server that answers as `answer` says.
+/// Starts a server that answers requests with `answer`.
 pub fn serve(
     options: ServerOptions,
     answer: impl Fn(Request) -> Work<'static> + 'static,
 ) -> (Server, Rc<Scripted>) {
-    let (asked, trips) = (RefCell::default(), RefCell::default());
-    let handler = Rc::new(Scripted { answer: Box::new(answer), asked, trips });
+    let (asked, round_trips) = (RefCell::default(), RefCell::default());
+    let handler = Rc::new(Scripted { answer: Box::new(answer), asked, round_trips });
     let server = Server::try_new(options, Rc::new(RuntimeClock), handler.clone());
     (server.expect("a free port is found"), handler)
 }
 
-/// Work that answers with a text after some time.
-pub fn slowly(millis: u64, text: &str) -> Work<'static> {
+/// Creates work that replies with `text` after a delay.
+pub fn reply_after(millis: u64, text: &str) -> Work<'static> {
     let reply = Reply::text(http::StatusCode::OK, text);
     Work::new(async move {
         pause(millis).await;
@@ -134,7 +134,7 @@
     })
 }
 
-/// Accepts connections and gives each to `talk`, numbered from zero.
+/// Accepts connections and passes each to `talk`, numbered from zero.
 pub fn accept<F>(talk: impl Fn(usize, TcpStream) -> F + 'static) -> SocketAddr
 where
     F: Future<Output = ()> + 'static,
@@ -151,7 +151,7 @@
     address
 }
 
-/// Reads what has come; empty at the end of the connection.
+/// Reads available data; returns an empty string at the end of the connection.
 pub async fn read(stream: &mut TcpStream) -> String {
     let (count, buffer) = stream.read(vec![0; 64 << 10]).await;
     let count = count.unwrap_or(0);
@@ -177,18 +177,18 @@
     }
 }
 
-/// A reply with a body, as a raw message.
+/// Formats a reply with a body as a raw message.
 pub fn raw_reply(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
-/// The body of a target's reply to a search.
+/// Formats the body of a target's reply to a search.
 pub fn hit_body(key: &str) -> String {
     format!("{{\"hits\":[{{\"key\":\"{key}\",\"score\":1.0}}],\"version\":1,\"load\":0}}")
 }
 
-/// One of `seeds` with some bytes changed, left out or doubled.
-pub fn garbage(random: &mut fastrand::Rng, seeds: &[String]) -> Vec<u8> {
+/// Returns one of `seeds` with one to three bytes changed, removed or duplicated.
+pub fn mutated(random: &mut fastrand::Rng, seeds: &[String]) -> Vec<u8> {
     let mut bytes = random.choice(seeds).expect("there are seeds").clone().into_bytes();
     for _ in 0..random.usize(1..4) {
         let at = random.usize(..bytes.len());
--- a/crates/kumquatnotch-net/tests/peer_links.rs
+++ b/crates/kumquatnotch-net/tests/peer_links.rs
@@ -1,4 +1,4 @@
-//! The links between nodes.
+//! Tests of the links between nodes.
 
 mod common;
 
@@ -29,7 +29,7 @@
 };
 use yare::parameterized;
 
-/// Answers after some time, and counts what it began and ended.
+/// A handler that answers after a delay and counts the messages begun and ended.
 struct Worker {
     delay: Duration,
     begun: Cell<usize>,
@@ -66,14 +66,17 @@
     for service in [CONFIG_SERVICE, HOLDER_SERVICE, TICKET_SERVICE] {
         registry.register::<Rc<dyn PeerHandler>>(service, worker.clone());
     }
-    let options =
-        ServerOptions { name: "peer", interim: Some(INTERIM_PERIOD), ..ServerOptions::default() };
+    let options = ServerOptions {
+        name: "peer",
+        interim_period: Some(INTERIM_PERIOD),
+        ..ServerOptions::default()
+    };
     let route = Rc::new(PeerRoute::new(registry));
     (Server::try_new(options, Rc::new(RuntimeClock), route).expect("a free port"), worker)
 }
 
 fn links() -> Rc<PeerLinks> {
-    PeerLinks::try_new(PeerLinkOptions::default(), &registry()).expect("the options are fine")
+    PeerLinks::try_new(PeerLinkOptions::default(), &registry()).expect("the options are valid")
 }
 
 fn group() -> PeerMessage {
@@ -125,9 +128,9 @@
     });
 }
 
-/// A service fails, or isn't there. The node answers with the numbered error.
+/// A service fails or is not registered. The node answers with the error and its code.
 #[test]
-fn errors_travel_with_their_numbers() {
+fn errors_keep_their_codes() {
     run(async {
         let (server, _) = node(0);
         let links = links();
@@ -148,10 +151,10 @@
     });
 }
 
-/// A holder works longer on a group than the silence that means a lost
-/// connection. It says now and then that it works, and its answer is waited for.
+/// A node processes an exclusive request for longer than the silence timeout. Its interim
+/// responses show that the connection works, so the sender waits for the reply.
 #[test]
-fn long_work_is_not_taken_for_silence() {
+fn interim_responses_prevent_the_silence_timeout() {
     run(async {
         let (server, _) = node(900);
 
@@ -161,14 +164,14 @@
     });
 }
 
-/// The root drops a group's request, since a hedge has won. The holder hears of
-/// it by the end of the connection and stops. An exclusive request goes on.
+/// The sender drops a message, as the root does when a hedge has won. The holder sees the end
+/// of the connection and stops a search, but completes an exclusive request.
 #[parameterized(
     for_search = { group(), 0 },
     for_exclusive = { exclusive(), 1 },
     for_relay = { relay(), 1 },
 )]
-fn a_dropped_message_ends_searches_only(message: PeerMessage, ended: usize) {
+fn dropping_a_send_ends_searches_only(message: PeerMessage, ended: usize) {
     run(async {
         let (server, worker) = node(200);
         let links = links();
@@ -181,9 +184,9 @@
     });
 }
 
-/// A relay between nodes whose first `silent` connections lose everything after
-/// they were used once.
-fn lossy(upstream: SocketAddr, silent: usize) -> SocketAddr {
+/// Starts a proxy between nodes whose first `silent` connections lose all data after the first
+/// request and reply.
+fn lossy_proxy(upstream: SocketAddr, silent: usize) -> SocketAddr {
     accept(move |number, mut stream| async move {
         use monoio::{io::AsyncWriteRentExt, net::TcpStream};
         let mut other = TcpStream::connect_addr(upstream).await.expect("the node listens");
@@ -211,14 +214,14 @@
     buffer
 }
 
-/// The connection for control messages to a living node has gone silent. The
-/// message is sent again on a new one within the time of a probe; otherwise the
-/// node would be suspected, though only the connection is at fault.
+/// The control connection to a healthy node has gone silent. The message is sent again on a new
+/// connection within the time of a probe. Otherwise the node would be suspected, although only
+/// the connection is at fault.
 #[test]
-fn a_silent_connection_does_not_make_its_node_look_dead() {
+fn control_messages_are_retried_on_a_new_connection() {
     run(async {
         let (server, _) = node(0);
-        let address = lossy(server.address(), 1);
+        let address = lossy_proxy(server.address(), 1);
         let links = links();
         links.send(address, &PeerMessage::ConfigState, after(500)).await.unwrap();
 
@@ -228,14 +231,13 @@
     });
 }
 
-/// A group's request goes out on a connection that has gone silent: no word that
-/// the holder works comes back. The root learns that the connection is at fault
-/// after 0.4 s and can send the request again.
+/// A group request is sent on a connection that has gone silent, so no interim response
+/// arrives. The root gets `ConnectionSilent` after 0.4 s and can send the request again.
 #[test]
 fn a_search_on_a_silent_connection_fails_early() {
     run(async {
         let (server, _) = node(0);
-        let address = lossy(server.address(), 1);
+        let address = lossy_proxy(server.address(), 1);
         let links = links();
         links.send(address, &group(), after(500)).await.unwrap();
         let start = Instant::now();
@@ -250,14 +252,13 @@
     });
 }
 
-/// An exclusive request is to go over a connection that has gone silent while
-/// idle. The connection does not answer the check, and the request goes over a
-/// new one, once.
+/// A connection has gone silent while idle. It does not answer the check before an exclusive
+/// request, so the request is sent once, over a new connection.
 #[test]
-fn an_exclusive_request_never_goes_out_on_a_silent_connection() {
+fn an_exclusive_request_is_not_sent_on_a_silent_connection() {
     run(async {
         let (server, worker) = node(0);
-        let address = lossy(server.address(), 1);
+        let address = lossy_proxy(server.address(), 1);
         let links = links();
         links.send(address, &group(), after(500)).await.unwrap();
         pause(50).await;
@@ -269,8 +270,8 @@
     });
 }
 
-/// The other side closes the connection when it has read an exclusive request.
-/// It is not sent again: the node may have begun it.
+/// The other side closes the connection after reading an exclusive request. The request is not
+/// sent again, since the node may have begun it.
 #[test]
 fn an_exclusive_request_is_sent_once() {
     run(async {
@@ -292,7 +293,7 @@
 }
 
 #[test]
-fn a_node_that_is_not_there_is_known_at_once() {
+fn a_refused_connection_fails_at_once() {
     run(async {
         let address = "127.0.0.1:9".parse().unwrap();
 
--- a/crates/kumquatnotch-net/tests/target_links.rs
+++ b/crates/kumquatnotch-net/tests/target_links.rs
@@ -1,11 +1,11 @@
-//! The links to targets: what their replies mean, and what they cost a target.
+//! Tests of the links to targets: handling of replies, and limits on connections.
 
 mod common;
 
 use std::{cell::Cell, rc::Rc, time::Instant};
 
 use common::{
-    accept, after, booking, garbage, hit_body, links, links_with, name, pause, raw_reply, read,
+    accept, after, booking, hit_body, links, links_with, mutated, name, pause, raw_reply, read,
     run, search, serve, spec, write,
 };
 use futures_util::future::join_all;
@@ -40,7 +40,7 @@
         200, "{\"version\":2}", Error::protocol("asked for version 1, answered from 2")
     },
 )]
-fn replies_have_their_meaning(status: u16, body: &'static str, error: Error) {
+fn statuses_map_to_errors(status: u16, body: &'static str, error: Error) {
     run(async {
         let status = StatusCode::from_u16(status).unwrap();
         let answer = move |_| Work::ready(Reply::new(status, JSON, body));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_target_answers_and_tells_its_state() {
+fn a_target_answers_calls_and_probes() {
     run(async {
         let fleet = fleet(|_| {});
         let (links, spec) = (links(), spec(fleet.address("t0").unwrap()));
@@ -67,10 +67,10 @@
     });
 }
 
-/// Nothing listens there. The error is certain that nothing was sent, and it
-/// comes at once, so that the caller can turn to another replica.
+/// No process listens at the address. The error states that nothing was sent, and is returned
+/// immediately, so that the caller can try another replica.
 #[test]
-fn a_refused_connection_is_known_at_once() {
+fn a_refused_connection_fails_at_once() {
     run(async {
         let start = Instant::now();
         let spec = spec("127.0.0.1:9".parse().unwrap());
@@ -82,10 +82,10 @@
     });
 }
 
-/// The target closes the connection after it has read a booking. It may have
-/// run it, and the error must not say otherwise.
+/// The target closes the connection after reading a booking. It may have run the booking, so
+/// the error must not say that it has not run.
 #[test]
-fn a_connection_lost_after_sending_is_not_called_unsent() {
+fn a_connection_lost_after_sending_may_have_run() {
     run(async {
         let address = accept(|_, mut stream| async move {
             read(&mut stream).await;
@@ -98,10 +98,10 @@
     });
 }
 
-/// The target has closed an idle connection. The next request finds that out
-/// before anything is sent, and goes over a new connection.
+/// The target has closed an idle connection. This is detected before the next request is sent,
+/// and the request is sent over a new connection.
 #[test]
-fn a_connection_closed_while_idle_costs_no_request() {
+fn a_connection_closed_while_idle_fails_no_request() {
     run(async {
         let address = accept(|_, mut stream| async move {
             read(&mut stream).await;
@@ -117,10 +117,10 @@
     });
 }
 
-/// A target answers the first request twice. The second copy must not be taken
-/// for the reply to the next request on that connection.
+/// A target sends a reply twice. The duplicate must not be taken for the reply to the next
+/// request on that connection.
 #[test]
-fn a_doubled_reply_reaches_no_other_request() {
+fn a_duplicate_reply_reaches_no_other_request() {
     run(async {
         let address = accept(|number, mut stream| async move {
             read(&mut stream).await;
@@ -137,10 +137,10 @@
     });
 }
 
-/// A reply carries the number of another request: the two sides are out of
-/// step. The caller gets an error instead of someone else's answer.
+/// A reply has the id of another request, so the connection is out of sync. The caller gets an
+/// error instead of the answer to another request.
 #[test]
-fn a_crossed_reply_is_refused() {
+fn a_reply_with_another_request_id_is_rejected() {
     run(async {
         let address = accept(|_, mut stream| async move {
             read(&mut stream).await;
@@ -155,9 +155,8 @@
     });
 }
 
-/// A hedge has won, and the slower call is dropped. The target is told and
-/// stops; its reply is read, so that the connection stays in step; no new
-/// connection is needed for the next call.
+/// The slower call is dropped because a hedge has won. The target is told to cancel it, and its
+/// reply is read, so that the connection stays in sync and is reused by the next call.
 #[test]
 fn a_dropped_call_is_cancelled_and_its_connection_kept() {
     run(async {
@@ -179,8 +178,8 @@
     });
 }
 
-/// A late reply: the call has ended at its deadline, and its reply comes while
-/// the connection is drained. The next call must get its own.
+/// A call ends at its deadline, and its reply arrives while the connection is drained. The next
+/// call must get its own reply.
 #[test]
 fn a_late_reply_reaches_no_other_request() {
     run(async {
@@ -204,13 +203,13 @@
     });
 }
 
-/// A burst of calls meets a target that takes 6 ms for each new connection. The
-/// calls share the few connections that the setting allows.
+/// A burst of calls is sent to a target that takes 6 ms for each new connection. The calls
+/// share the connections that the limit allows.
 #[parameterized(three = { 3 }, two = { 2 }, one = { 1 })]
-fn a_burst_stays_within_the_connections(connections: usize) {
+fn a_burst_stays_within_the_connection_limit(connections: usize) {
     run(async {
         let fleet = fleet(|plan| plan.target[0].service_ms = 2.0);
-        let options = TargetLinkOptions { connections, ..Default::default() };
+        let options = TargetLinkOptions { max_connections: connections, ..Default::default() };
         let (links, spec) = (links_with(options), spec(fleet.address("t0").unwrap()));
 
         let peak = Rc::new(Cell::new(0));
@@ -231,8 +230,8 @@
     });
 }
 
-/// A target refuses every connection. Callers that keep coming cause few tries:
-/// opening pauses for longer and longer.
+/// A target closes every connection without serving a request. Repeated calls open few
+/// connections, since the backoff between them grows.
 #[test]
 fn failures_to_connect_back_off() {
     run(async {
@@ -257,10 +256,10 @@
     });
 }
 
-/// A target answers with garbage. The call fails or is answered, and the node
-/// goes on.
+/// A target sends malformed replies. Each call fails or is answered, and the node continues to
+/// run.
 #[test]
-fn garbage_from_a_target_ends_no_node() {
+fn malformed_replies_do_not_stop_the_node() {
     run(async {
         let random = Rc::new(std::cell::RefCell::new(fastrand::Rng::with_seed(5)));
         let address = accept(move |_, mut stream| {
@@ -271,7 +270,7 @@
                 let chunked =
                     format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunks}");
                 let seeds = [raw_reply(&hit_body("a")), chunked];
-                let reply = garbage(&mut random.borrow_mut(), &seeds);
+                let reply = mutated(&mut random.borrow_mut(), &seeds);
                 let _ = monoio::io::AsyncWriteRentExt::write_all(&mut stream, reply).await;
             }
         });
--- a/crates/kumquatnotch/src/node.rs
+++ b/crates/kumquatnotch/src/node.rs
@@ -113,7 +113,7 @@
         // Outbound connections and the store.
         TargetLinks::try_new(target_options(&settings), &registry)?;
         PeerLinks::try_new(
-            PeerLinkOptions { body: PEER_BODY_LIMIT, ..Default::default() },
+            PeerLinkOptions { max_body: PEER_BODY_LIMIT, ..Default::default() },
             &registry,
         )?;
         registry.register(services::STORE, store);
@@ -252,15 +252,15 @@
 }
 
 fn target_options(settings: &Settings) -> TargetLinkOptions {
-    TargetLinkOptions { connections: settings.limits.connections, ..Default::default() }
+    TargetLinkOptions { max_connections: settings.limits.connections, ..Default::default() }
 }
 
 fn entry_options(settings: &Settings) -> ServerOptions {
     ServerOptions {
         address: settings.listen.entry,
         name: "entry",
-        body: settings.limits.body as usize,
-        connections: settings.limits.callers,
+        max_body: settings.limits.body as usize,
+        max_connections: settings.limits.callers,
         ..Default::default()
     }
 }
@@ -269,9 +269,9 @@
     ServerOptions {
         address: settings.listen.peer,
         name: "peer",
-        body: PEER_BODY_LIMIT,
-        connections: PEER_CONNECTION_LIMIT,
-        interim: Some(INTERIM_PERIOD),
+        max_body: PEER_BODY_LIMIT,
+        max_connections: PEER_CONNECTION_LIMIT,
+        interim_period: Some(INTERIM_PERIOD),
         ..Default::default()
     }
 }
