--- a/crates/kumquatnotch-route/src/admission.rs
+++ b/crates/kumquatnotch-route/src/admission.rs
@@ -14,25 +14,25 @@
 };
 
 use crate::{
-    gate::{Gate, Permit},
     gather::Search,
     replica,
     router::Router,
+    semaphore::{Permit, PrioritySemaphore},
 };
 
 /// By how much more room there must be for a search whose caller comes again.
 ///
 /// Its answer is worth less than one that is in time.
-const RETURNING_TIMES: f64 = 2.0;
+const LATE_RETRY_FACTOR: f64 = 2.0;
 
 /// The part of its time that such a search waits for room at most.
-const ROOM_PART: f64 = 0.4;
+const MAX_WAIT_SHARE: f64 = 0.4;
 
 /// How often it looks for room, before jitter.
-const ROOM_PERIOD: Duration = Duration::from_millis(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 /// When refused callers come again where this isn't worked out.
-const FIXED_RETRY: Duration = Duration::from_millis(300);
+const FIXED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Waits until replicas have room; `None` if there is none.
 ///
@@ -41,24 +41,24 @@
 /// that come for the first time are refused: it would only make more of them late.
 ///
 /// After an outage such callers come all at once. If all that wait were let in as soon
-/// as there is room, there would be none for those that come first; so `gate` lets in
+/// as there is room, there would be none for those that come first; so `semaphore` lets in
 /// a few at a time, each for as long as its permit is held.
-pub async fn await_room(
+pub async fn wait_for_capacity(
     router: &Router,
-    gate: &Rc<Gate>,
+    semaphore: &Rc<PrioritySemaphore>,
     search: &mut Search<'_>,
 ) -> Option<Permit> {
     let clock = &*router.clock;
     let start = clock.now();
     let wait = search.due.saturating_duration_since(start);
     let time = search.deadline.saturating_duration_since(start);
-    let until = start + time.mul_f64(ROOM_PART);
+    let until = start + time.mul_f64(MAX_WAIT_SHARE);
     let mut permit = None;
     if !router.strains.is_refusing(&search.route.name, start) {
-        let acquire = gate.acquire(search.route.priority);
+        let acquire = semaphore.acquire(search.route.priority);
         permit = clock::timeout_at(clock, until, acquire).await.ok();
     }
-    let has_room = permit.is_some() && finds_room(router, search, wait, until).await;
+    let has_room = permit.is_some() && poll_capacity(router, search, wait, until).await;
     tracing::info!(
         request = search.identity.to_str().unwrap_or_default(),
         ms = clock.now().saturating_duration_since(start).as_millis() as u64,
@@ -71,7 +71,7 @@
 /// Looks for room now and then; false if there is none by `until`.
 ///
 /// The search has `wait` for its answer from when there is.
-async fn finds_room(
+async fn poll_capacity(
     router: &Router,
     search: &mut Search<'_>,
     wait: Duration,
@@ -82,13 +82,13 @@
         let now = clock.now();
         search.due = now + wait;
         let terms = terms(router, search, now);
-        if foretell(router, search, &terms, now).refusal(&terms).is_none() {
+        if predict(router, search, &terms, now).refusal(&terms).is_none() {
             return true;
         }
         if now >= until || router.strains.is_refusing(&search.route.name, now) {
             return false;
         }
-        clock::sleep(clock, router.random.jitter(ROOM_PERIOD)).await;
+        clock::sleep(clock, router.random.jitter(POLL_INTERVAL)).await;
     }
 }
 
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// When its caller is to come again.
-    pub retry: Duration,
+    pub retry_after: Duration,
     /// Why, for the log.
     pub reason: &'static str,
 }
@@ -105,25 +105,26 @@
 pub fn admit(router: &Router, search: &Search<'_>) -> Result<(), Refused> {
     let now = router.clock.now();
     let terms = terms(router, search, now);
-    let forecast = foretell(router, search, &terms, now);
-    if let Some(retry) = forecast.absence(&terms) {
-        tell_refusal(search, &forecast, &terms, retry);
-        return Err(Refused { retry, reason: "shards without replicas" });
+    let forecast = predict(router, search, &terms, now);
+    if let Some(retry_after) = forecast.absence(&terms) {
+        log_refusal(search, &forecast, &terms, retry_after);
+        return Err(Refused { retry_after, reason: "shards without replicas" });
     }
     let refusal = forecast.refusal(&terms).filter(|_| router.uses(Mechanism::Refusals));
-    let Some(retry) = refusal else {
+    let Some(retry_after) = refusal else {
         return Ok(());
     };
     let route = &search.route.name;
     router.strains.note(route, Fate::Refused, now);
     let crowd = router.random.jitter(router.strains.retry(route, terms.time, now));
-    let retry = if router.uses(Mechanism::RetryTimes) { retry.max(crowd) } else { FIXED_RETRY };
-    tell_refusal(search, &forecast, &terms, retry);
-    Err(Refused { retry, reason: "replicas are crowded" })
+    let retry_after =
+        if router.uses(Mechanism::RetryTimes) { retry_after.max(crowd) } else { FIXED_RETRY_AFTER };
+    log_refusal(search, &forecast, &terms, retry_after);
+    Err(Refused { retry_after, reason: "replicas are crowded" })
 }
 
 /// Writes a line for a refusal, with what decided it.
-fn tell_refusal(search: &Search<'_>, forecast: &Forecast, terms: &Terms, retry: Duration) {
+fn log_refusal(search: &Search<'_>, forecast: &Forecast, terms: &Terms, retry_after: Duration) {
     let Forecast { needed, spared, .. } = forecast;
     let slowest = needed.last();
     tracing::info!(
@@ -135,13 +136,13 @@
         crowded = needed.iter().filter(|late| late.is_crowded).count(),
         margin = terms.margin,
         due_ms = terms.left.as_millis() as u64,
-        retry_ms = retry.as_millis() as u64,
+        retry_ms = retry_after.as_millis() as u64,
         "forecast: refused"
     );
 }
 
 /// Foretells when the parts of a search would come.
-fn foretell(router: &Router, search: &Search<'_>, terms: &Terms, now: Instant) -> Forecast {
+fn predict(router: &Router, search: &Search<'_>, terms: &Terms, now: Instant) -> Forecast {
     let best = search.set.shards.iter().map(|shard| -> Option<Rating> {
         let need = router.need_at(search.route, shard);
         Some(replica::pick(&router.directory.of(shard), &[], need, now)?.rating)
@@ -157,7 +158,7 @@
     Terms {
         left: search.due.saturating_duration_since(now),
         time: search.deadline.saturating_duration_since(now),
-        least: search.set.least_parts(),
-        margin: if search.returning { margin * RETURNING_TIMES } else { margin },
+        least: search.set.min_parts(),
+        margin: if search.is_late_retry { margin * LATE_RETRY_FACTOR } else { margin },
     }
 }
--- a/crates/kumquatnotch-route/src/attempt.rs
+++ b/crates/kumquatnotch-route/src/attempt.rs
@@ -30,10 +30,10 @@
 ///
 /// A replica closes idle connections, and a request that crosses the close can't
 /// be told from one that ran. Opening a connection costs a few milliseconds.
-const EXCLUSIVE_IDLE: Duration = Duration::from_millis(500);
+const EXCLUSIVE_MAX_IDLE: Duration = Duration::from_millis(500);
 
 /// The same for a request that may be repeated.
-const IDEMPOTENT_IDLE: Duration = Duration::from_secs(30);
+const IDEMPOTENT_MAX_IDLE: Duration = Duration::from_secs(30);
 
 /// A request to one service, of which each attempt is a copy.
 pub struct Call<'a> {
@@ -52,14 +52,14 @@
     /// The replicas that may be asked; none means any.
     pub allowed: Vec<ReplicaId>,
     /// Whether even the first attempt is a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Whether it has its reply, so that attempts which still run may end by themselves.
-    pub is_settled: Cell<bool>,
+    pub is_answered: Cell<bool>,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// The replica replied.
     Replied(Reply),
     /// The replica did not run the request, by its own word.
@@ -81,22 +81,22 @@
     call: &Call<'_>,
     replica: &Rc<Replica>,
     sent: &Cell<bool>,
-) -> Ended {
+) -> AttemptOutcome {
     let clock = &*router.clock;
-    router.bound_connections(replica, call.service);
-    let permit = replica.gate.acquire(call.route.priority).await;
+    router.limit_connections(replica, call.service);
+    let permit = replica.semaphore.acquire(call.route.priority).await;
     if !replica.takes_requests() {
-        return Ended::NotSent;
+        return AttemptOutcome::NotSent;
     }
     let Some(link) = connect(router, call, replica).await else {
-        return Ended::NotSent;
+        return AttemptOutcome::NotSent;
     };
     // It may have begun to drain while the connection was opened.
     if !replica.takes_requests() || clock.now() >= call.deadline {
-        return Ended::NotSent;
+        return AttemptOutcome::NotSent;
     }
     let at = clock.now();
-    let request = prepare(router, call, replica, at);
+    let request = build_request(router, call, replica, at);
     sent.set(true);
     replica.observed.note_sent(at);
     let usual = router.need(call.route).usual;
@@ -107,20 +107,20 @@
     };
     match reply {
         Ok(OpaqueReply { reply, keep }) => {
-            let (link, took) = flight.replied();
+            let (link, took) = flight.record_reply();
             if let (Some(link), Some(keep)) = (link, keep) {
-                replica.links.put(link, clock.now(), keep);
+                replica.pool.put(link, clock.now(), keep);
             }
-            judge(router, call, replica, reply, took)
+            process_reply(router, call, replica, reply, took)
         }
         Err(error) => {
-            flight.broke();
+            flight.record_broken();
             replica.observed.note_outcome(true, clock.now());
             replica.observed.note_failed_after(clock.now().saturating_duration_since(at));
             // Whatever broke this connection has broken idle ones as well.
-            replica.links.drop_idle();
+            replica.pool.drop_idle();
             crash_check::check(router, call, replica);
-            Ended::Lost(error)
+            AttemptOutcome::Lost(error)
         }
     }
 }
@@ -131,15 +131,15 @@
     replica: &Rc<Replica>,
 ) -> Option<OpaqueLink> {
     let clock = &*router.clock;
-    let most_idle = match call.route.kind {
-        RouteKind::Idempotent => IDEMPOTENT_IDLE,
-        RouteKind::Exclusive => EXCLUSIVE_IDLE,
+    let max_idle = match call.route.kind {
+        RouteKind::Idempotent => IDEMPOTENT_MAX_IDLE,
+        RouteKind::Exclusive => EXCLUSIVE_MAX_IDLE,
     };
-    if let Some(link) = replica.links.take(clock.now(), most_idle) {
+    if let Some(link) = replica.pool.take(clock.now(), max_idle) {
         return Some(link);
     }
     let start = clock.now();
-    match replica.links.open(clock, call.deadline).await {
+    match replica.pool.open(clock, call.deadline).await {
         Ok(link) => {
             replica.observed.note_connect(clock.now().saturating_duration_since(start));
             metrics::counter!("kumquatnotch_connections_opened_total").increment(1);
@@ -156,7 +156,7 @@
 }
 
 /// The copy of the request for one replica.
-fn prepare(router: &Router, call: &Call<'_>, replica: &Replica, now: Instant) -> Request {
+fn build_request(router: &Router, call: &Call<'_>, replica: &Replica, now: Instant) -> Request {
     let mut request = call.request.clone();
     let left = call.deadline.saturating_duration_since(now).as_millis() as u64;
     let names = &router.names;
@@ -175,7 +175,7 @@
     request: &Request,
 ) -> Result<OpaqueReply, Error> {
     link.send(request).await?;
-    link.receive(&|reply| in_flight::belongs(router, call.identity, reply)).await
+    link.receive(&|reply| in_flight::is_reply_to(router, call.identity, reply)).await
 }
 
 /// The load of a replica.
@@ -188,7 +188,7 @@
 }
 
 /// The load of a replica, by its own word.
-fn told_load(names: &HeaderNames, reply: &Reply) -> Option<Load> {
+fn reported_load(names: &HeaderNames, reply: &Reply) -> Option<Load> {
     let text = reply.headers.get(&names.load)?.to_str().ok()?;
     let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
     let running = figures.next()?.ok()?;
@@ -199,15 +199,15 @@
 }
 
 /// What a reply says of the request and of its replica.
-fn judge(
+fn process_reply(
     router: &Rc<Router>,
     call: &Call<'_>,
     replica: &Rc<Replica>,
     reply: Reply,
     took: Duration,
-) -> Ended {
+) -> AttemptOutcome {
     let now = router.clock.now();
-    let load = told_load(&router.names, &reply);
+    let load = reported_load(&router.names, &reply);
     if let Some(Load { running, waiting, burden }) = load {
         if router.uses(Mechanism::ToldLoad) {
             replica.observed.note_load(running + waiting, now);
@@ -220,26 +220,26 @@
         // Another replica has the address by now. Its own entry is, or will be,
         // in the directory; this one never comes back.
         replica.observed.set_fitness(Fitness::Replaced);
-        replica.links.drop_idle();
-        return Ended::Replaced;
+        replica.pool.drop_idle();
+        return AttemptOutcome::Replaced;
     }
     if reply.headers.contains_key(&router.names.rejected) {
         replica.observed.note_outcome(true, now);
         replica.observed.note_failed_after(took);
-        return Ended::Rejected;
+        return AttemptOutcome::Rejected;
     }
     replica.observed.note_outcome(reply.status.is_server_error(), now);
     if reply.status.is_success() {
-        let way = replica.observed.known_trip().unwrap_or_default();
+        let round_trip = replica.observed.known_trip().unwrap_or_default();
         let queue = load.map_or(0.0, |load| f64::from(load.waiting));
         // What waits there now waited before this request when it came.
         let slots = replica.observed.slots();
-        let work = took.saturating_sub(way).div_f64(1.0 + queue / slots);
-        replica.observed.note_work(work);
+        let service_time = took.saturating_sub(round_trip).div_f64(1.0 + queue / slots);
+        replica.observed.note_work(service_time);
         // What comes of its machine is told anew with each reply; the rest is its own.
-        let work = work.div_f64(replica.observed.burden(now));
-        replica.observed.note_speed(work, router.need(call.route).usual, now);
-        router.paces.note(&call.route.name, call.route.objective, work);
+        let service_time = service_time.div_f64(replica.observed.burden(now));
+        replica.observed.note_speed(service_time, router.need(call.route).usual, now);
+        router.paces.note(&call.route.name, call.route.objective, service_time);
     }
-    Ended::Replied(reply)
+    AttemptOutcome::Replied(reply)
 }
--- a/crates/kumquatnotch-route/src/call.rs
+++ b/crates/kumquatnotch-route/src/call.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    attempt::{self, Call, Ended},
+    attempt::{self, AttemptOutcome, Call},
     names::ReplicaId,
     replica::{self, Pick, Replica},
     route::RouteKind,
@@ -21,21 +21,21 @@
 };
 
 /// How often a late call looks again for a replica that could run a copy.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const HEDGE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// When to come back if no replica is known.
-const NO_REPLICA_RETRY: Duration = Duration::from_millis(300);
+const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// When to come back if all replicas were full.
-const FULL_RETRY: Duration = Duration::from_millis(60);
+const ALL_FULL_RETRY_AFTER: Duration = Duration::from_millis(60);
 
 /// Why a call has no reply that a caller can use.
 #[derive(Debug)]
-pub enum CallFault {
+pub enum CallError {
     /// No replica has run the request or ever will.
     NotRun {
         /// When it may be worth another try.
-        retry: Duration,
+        retry_after: Duration,
         /// Why.
         reason: &'static str,
     },
@@ -49,7 +49,7 @@
 
 /// What a call did besides its outcome.
 #[derive(Debug, Default)]
-pub struct CallTrace {
+pub struct CallStats {
     /// Copies that were sent because a reply was late.
     pub hedges: Cell<u32>,
     /// Further tries after a failure.
@@ -70,77 +70,80 @@
 pub async fn call(
     router: &Rc<Router>,
     call: &Call<'_>,
-    trace: &CallTrace,
-) -> Result<Reply, CallFault> {
+    stats: &CallStats,
+) -> Result<Reply, CallError> {
     let (tried, attempts) = (Vec::new(), Attempts::default());
     let mut progress = Progress { router, call, tried, attempts, failed: None };
     let clock = &*router.clock;
     let sent = Cell::new(false);
     let mut running = FuturesUnordered::new();
     let Some(first) = progress.pick() else {
-        return Err(CallFault::NotRun { retry: NO_REPLICA_RETRY, reason: "no replica" });
+        return Err(CallError::NotRun {
+            retry_after: NO_REPLICA_RETRY_AFTER,
+            reason: "no replica",
+        });
     };
-    let mut over = clock.sleep_until(call.deadline).fuse();
-    let mut late = clock::sleep(clock, progress.copy_delay(&first)).fuse();
-    router.budget.set_part(router.own_part());
-    if !call.repeat {
+    let mut deadline_timer = clock.sleep_until(call.deadline).fuse();
+    let mut hedge_timer = clock::sleep(clock, progress.hedge_delay(&first)).fuse();
+    router.budget.set_part(router.own_share());
+    if !call.is_retry {
         router.budget.note_first(call.service, clock.now());
-    } else if !progress.spend() {
-        return Err(progress.fault());
+    } else if !progress.spend_budget() {
+        return Err(progress.final_error());
     }
-    running.push(run(router, call, first, &sent));
+    running.push(run_attempt(router, call, first, &sent));
     loop {
         select_biased! {
-            (replica, ended) = running.select_next_some() => {
-                match ended {
-                    Ended::Replied(reply) if !reply.status.is_server_error() => {
-                        call.is_settled.set(true);
+            (replica, outcome) = running.select_next_some() => {
+                match outcome {
+                    AttemptOutcome::Replied(reply) if !reply.status.is_server_error() => {
+                        call.is_answered.set(true);
                         return Ok(reply);
                     }
-                    ended => progress.note(&replica, ended),
+                    outcome => progress.record_failure(&replica, outcome),
                 }
                 if !running.is_empty() {
                     continue;
                 }
-                let Some(next) = progress.next_try() else {
-                    return Err(progress.fault());
+                let Some(next) = progress.next_retry() else {
+                    return Err(progress.final_error());
                 };
-                trace.retries.set(trace.retries.get() + 1);
-                late = clock::sleep(clock, progress.copy_delay(&next)).fuse();
-                running.push(run(router, call, next, &sent));
+                stats.retries.set(stats.retries.get() + 1);
+                hedge_timer = clock::sleep(clock, progress.hedge_delay(&next)).fuse();
+                running.push(run_attempt(router, call, next, &sent));
             }
-            () = late => {
-                let may_copy = router.uses(Mechanism::Copies);
-                if !may_copy || !progress.attempts.may_copy(progress.allowance(), running.len() as u32) {
+            () = hedge_timer => {
+                let may_hedge = router.uses(Mechanism::Copies);
+                if !may_hedge || !progress.attempts.may_copy(progress.allowance(), running.len() as u32) {
                     continue;
                 }
-                match progress.copy_target() {
-                    Some(next) if progress.spend() => {
-                        progress.tell_copy(&next);
-                        trace.hedges.set(trace.hedges.get() + 1);
-                        running.push(run(router, call, next, &sent));
+                match progress.hedge_target() {
+                    Some(next) if progress.spend_budget() => {
+                        progress.log_hedge(&next);
+                        stats.hedges.set(stats.hedges.get() + 1);
+                        running.push(run_attempt(router, call, next, &sent));
                     }
                     // Nothing that could run it now, or no budget: later perhaps.
-                    _ => late = clock::sleep(clock, LOOK_AGAIN).fuse(),
+                    _ => hedge_timer = clock::sleep(clock, HEDGE_RETRY_INTERVAL).fuse(),
                 }
             }
-            () = over => {
-                let at_work = sent.get() && !running.is_empty();
-                return Err(progress.timeout(at_work));
+            () = deadline_timer => {
+                let in_progress = sent.get() && !running.is_empty();
+                return Err(progress.timeout_error(in_progress));
             }
         }
     }
 }
 
 /// Runs an attempt, and tells which replica it was.
-async fn run(
+async fn run_attempt(
     router: &Rc<Router>,
     call: &Call<'_>,
     replica: Rc<Replica>,
     sent: &Cell<bool>,
-) -> (Rc<Replica>, Ended) {
-    let ended = attempt::attempt(router, call, &replica, sent).await;
-    (replica, ended)
+) -> (Rc<Replica>, AttemptOutcome) {
+    let outcome = attempt::attempt(router, call, &replica, sent).await;
+    (replica, outcome)
 }
 
 impl Progress<'_> {
@@ -175,12 +178,12 @@
     }
 
     /// The replica that gets another try after a failure, if there may be one.
-    fn next_try(&mut self) -> Option<Rc<Replica>> {
+    fn next_retry(&mut self) -> Option<Rc<Replica>> {
         if !self.attempts.may_try_again(self.allowance(), self.router.clock.now()) {
             return None;
         }
         let next = self.pick()?;
-        if self.attempts.has_arrived() && !self.spend() {
+        if self.attempts.has_arrived() && !self.spend_budget() {
             metrics::counter!("kumquatnotch_budget_refusals_total").increment(1);
             return None;
         }
@@ -188,16 +191,16 @@
     }
 
     /// Pays for a repeat.
-    fn spend(&self) -> bool {
+    fn spend_budget(&self) -> bool {
         self.router.budget.spend(self.call.service, self.router.clock.now())
     }
 
     /// The replica that gets a copy; only one against which nothing speaks.
-    fn copy_target(&mut self) -> Option<Rc<Replica>> {
+    fn hedge_target(&mut self) -> Option<Rc<Replica>> {
         let Pick { replica, rating } = self.best()?;
         let now = self.router.clock.now();
         let left = self.call.due.saturating_duration_since(now);
-        if !copies::helps(&rating, left, || self.are_lost()) {
+        if !copies::helps(&rating, left, || self.all_silent()) {
             return None;
         }
         self.tried.push(replica.id.clone());
@@ -205,7 +208,7 @@
     }
 
     /// Whether all replicas that were asked answer nothing.
-    fn are_lost(&self) -> bool {
+    fn all_silent(&self) -> bool {
         let now = self.router.clock.now();
         let usual = self.router.need(self.call.route).usual;
         let mut sent = self.tried.iter().filter_map(|id| self.router.directory.find(id));
@@ -213,7 +216,7 @@
     }
 
     /// Writes a line for a copy, with what decided it.
-    fn tell_copy(&self, next: &Replica) {
+    fn log_hedge(&self, next: &Replica) {
         let now = self.router.clock.now();
         let need = self.router.need(self.call.route);
         tracing::info!(
@@ -228,7 +231,7 @@
         );
     }
 
-    fn copy_delay(&self, replica: &Replica) -> Duration {
+    fn hedge_delay(&self, replica: &Replica) -> Duration {
         let now = self.router.clock.now();
         let usual = self.router.need(self.call.route).usual;
         let other = self.best().filter(|pick| pick.rating.is_good());
@@ -238,15 +241,15 @@
         copies::delay(&replica.observed, other, usual, left, now)
     }
 
-    fn note(&mut self, replica: &Rc<Replica>, ended: Ended) {
-        let ending = match ended {
-            Ended::Replied(reply) => {
+    fn record_failure(&mut self, replica: &Rc<Replica>, outcome: AttemptOutcome) {
+        let ending = match outcome {
+            AttemptOutcome::Replied(reply) => {
                 self.failed = Some(reply);
                 Ending::Failed
             }
-            Ended::Rejected | Ended::Replaced => Ending::Rejected,
-            Ended::NotSent => Ending::NotSent,
-            Ended::Lost(error) => {
+            AttemptOutcome::Rejected | AttemptOutcome::Replaced => Ending::Rejected,
+            AttemptOutcome::NotSent => Ending::NotSent,
+            AttemptOutcome::Lost(error) => {
                 tracing::info!(
                     request = self.call.identity.to_str().unwrap_or_default(),
                     replica = replica.id.as_str(),
@@ -261,22 +264,24 @@
     }
 
     /// Why the call has no reply when its time is over.
-    fn timeout(&mut self, at_work: bool) -> CallFault {
-        match self.fault() {
-            CallFault::NotRun { .. } if at_work => CallFault::TimedOut,
-            CallFault::NotRun { retry, .. } => {
-                CallFault::NotRun { retry, reason: "expired in queue" }
+    fn timeout_error(&mut self, in_progress: bool) -> CallError {
+        match self.final_error() {
+            CallError::NotRun { .. } if in_progress => CallError::TimedOut,
+            CallError::NotRun { retry_after, .. } => {
+                CallError::NotRun { retry_after, reason: "expired in queue" }
             }
-            fault => fault,
+            error => error,
         }
     }
 
-    fn fault(&mut self) -> CallFault {
+    fn final_error(&mut self) -> CallError {
         match (self.attempts.verdict(), self.failed.take()) {
-            (Verdict::Failed, Some(reply)) => CallFault::Failed(reply),
-            (Verdict::NotRun, _) => CallFault::NotRun { retry: FULL_RETRY, reason: "rejected" },
+            (Verdict::Failed, Some(reply)) => CallError::Failed(reply),
+            (Verdict::NotRun, _) => {
+                CallError::NotRun { retry_after: ALL_FULL_RETRY_AFTER, reason: "rejected" }
+            }
             // A reply that failed is there whenever the verdict says so.
-            (Verdict::Failed | Verdict::Unknown, _) => CallFault::Unknown,
+            (Verdict::Failed | Verdict::Unknown, _) => CallError::Unknown,
         }
     }
 }
--- a/crates/kumquatnotch-route/src/crash_check.rs
+++ b/crates/kumquatnotch-route/src/crash_check.rs
@@ -15,13 +15,13 @@
 /// How long after a broken connection it is looked whether the replica has crashed.
 ///
 /// One that is busy answers another request meanwhile, which spares it a connection.
-const CHECK_PAUSE: Duration = Duration::from_millis(150);
+const CHECK_DELAY: Duration = Duration::from_millis(150);
 
 /// How long a replica that lives takes at most to take a connection.
-const CHECK_TIME: Duration = Duration::from_millis(400);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long the connection by which it was found to live is kept for the next request.
-const CHECK_KEEP: Duration = Duration::from_secs(2);
+const CHECK_KEEP_ALIVE: Duration = Duration::from_secs(2);
 
 /// Finds out whether `replica` has crashed, after its connection broke under a request.
 ///
@@ -32,13 +32,13 @@
     let (router, replica) = (router.clone(), replica.clone());
     monoio::spawn(async move {
         let clock = &*router.clock;
-        let broke = clock.now();
-        clock::sleep(clock, CHECK_PAUSE).await;
-        if replica.observed.has_replied_since(broke) {
+        let broken_at = clock.now();
+        clock::sleep(clock, CHECK_DELAY).await;
+        if replica.observed.has_replied_since(broken_at) {
             return;
         }
-        if let Ok(link) = replica.links.open(clock, clock.now() + CHECK_TIME).await {
-            replica.links.put(link, clock.now(), CHECK_KEEP);
+        if let Ok(link) = replica.pool.open(clock, clock.now() + CHECK_TIMEOUT).await {
+            replica.pool.put(link, clock.now(), CHECK_KEEP_ALIVE);
             return;
         }
         tracing::info!(
@@ -46,12 +46,12 @@
             print = %crash.print,
             "crashes: a replica crashed with a request"
         );
-        router.crashes.note(crash, clock.now()).iter().for_each(tell);
+        router.crashes.note(crash, clock.now()).iter().for_each(log_refused);
     });
 }
 
 /// Writes a line for a request that is kept from replicas from now on.
-pub fn tell(refused: &Refused) {
+pub fn log_refused(refused: &Refused) {
     tracing::warn!(
         print = %refused.print,
         strikes = refused.strikes,
--- a/crates/kumquatnotch-route/src/entries.rs
+++ b/crates/kumquatnotch-route/src/entries.rs
@@ -177,7 +177,7 @@
             let mut others = others.iter().filter(|other| other.takes_requests());
             let has_other =
                 others.any(|other| !vanished.contains_key(&EntryKey::Replica(other.id.clone())));
-            replica.set_left(!lapsed && has_other);
+            replica.set_presumed_gone(!lapsed && has_other);
         }
     }
 
@@ -209,7 +209,7 @@
         if self.vanished.borrow_mut().remove(&key).is_some()
             && let Some(replica) = self.replica(&key)
         {
-            replica.set_left(false);
+            replica.set_presumed_gone(false);
         }
         self.apply(entry, item.revision);
         Some(key)
@@ -272,7 +272,7 @@
                     "mirror: a node tells of crashes"
                 );
                 let refused = router.crashes.merge(&crashes, router.clock.now());
-                refused.iter().for_each(crash_check::tell);
+                refused.iter().for_each(crash_check::log_refused);
             }
         }
     }
--- a/crates/kumquatnotch-route/src/first_reading.rs
+++ b/crates/kumquatnotch-route/src/first_reading.rs
@@ -21,10 +21,10 @@
     advice::Candidate,
     entries::Entries,
     follow::{self, Followed},
-    insist::{Answer, Pauses, insist},
     journal::Passage,
     mirror::NO_WAIT,
     router::Router,
+    store_retry::{Answer, RetryDelays, call_until_answered},
 };
 
 /// The pause before the store is asked a second time; it doubles.
@@ -96,11 +96,11 @@
 
 /// Asks the store for the nodes of the tier until it answers.
 async fn find_nodes(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> StoreScan {
-    let pauses = Pauses { first: FIRST_PAUSE, most: MOST_PAUSE };
+    let pauses = RetryDelays { initial: FIRST_PAUSE, max: MOST_PAUSE };
     loop {
         let call = || store.snapshot(entries.node_prefix());
         // A snapshot never lacks history.
-        if let Ok(Answer { value, .. }) = insist(router, pauses, 0, call).await {
+        if let Ok(Answer { value, .. }) = call_until_answered(router, pauses, 0, call).await {
             entries.put_some(&value.items);
             router.set_placed();
             return value;
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -155,9 +155,9 @@
 ) -> Result<FollowReply> {
     let clock = &*router.clock;
     let now = clock.now();
-    let mut link = match peer.links.take(now, FOLLOW_WAIT) {
+    let mut link = match peer.pool.take(now, FOLLOW_WAIT) {
         Some(link) => link,
-        None => peer.links.open(clock, now + CHANGES_TIME).await?,
+        None => peer.pool.open(clock, now + CHANGES_TIME).await?,
     };
     let wait_ms = wait.as_millis();
     let mut request = Request::get(&format!("{FOLLOW_PATH}?after={after}&wait_ms={wait_ms}"));
@@ -166,7 +166,7 @@
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
     if let Some(keep) = answer.keep {
-        peer.links.put(link, clock.now(), keep);
+        peer.pool.put(link, clock.now(), keep);
     }
     match answer.reply.status {
         StatusCode::OK => codec::decode(&answer.reply.body),
--- a/crates/kumquatnotch-route/src/front.rs
+++ b/crates/kumquatnotch-route/src/front.rs
@@ -23,28 +23,28 @@
 use crate::{
     admission,
     attempt::Call,
-    call::{self, CallFault},
+    call::{self, CallError},
     crash_check,
-    gate::Gate,
     gather::{self, Gathered, Search},
     names::ServiceName,
-    request_log::{Asked, RequestLog},
+    request_log::{RequestContext, RequestLog},
     route::{Destination, RouteTable, ShardSet},
     router::Router,
+    semaphore::PrioritySemaphore,
 };
 
 /// When to come back if the configuration leads nowhere.
-const NO_WEIGHT_RETRY: Duration = Duration::from_millis(400);
+const NO_WEIGHT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// When to come back if there was no room for a search that was late already.
-const NO_ROOM_RETRY: Duration = Duration::from_millis(300);
+const NO_ROOM_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// How many searches of callers that come again run at once.
 ///
 /// Measured on days of outages and of crowds: without a bound, one in a hundred of the
 /// searches that come first is late for them; with one instead of three, one in three
 /// hundred of all is refused that could be answered late.
-const RETURNING_AT_ONCE: u32 = 3;
+const MAX_LATE_RETRIES: u32 = 3;
 
 /// What callers reach.
 pub struct RouteFront {
@@ -52,7 +52,7 @@
     weights: Weights,
     patience: Patience,
     /// Lets in searches of callers that come again.
-    returning: Rc<Gate>,
+    late_retries: Rc<PrioritySemaphore>,
 }
 
 /// A refusal or failure of the node's own.
@@ -61,24 +61,24 @@
     status: StatusCode,
     reason: &'static str,
     /// When to come back; only if the request has not run.
-    retry: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 impl Refusal {
     fn new(status: StatusCode, reason: &'static str) -> Refusal {
-        Refusal { status, reason, retry: None }
+        Refusal { status, reason, retry_after: None }
     }
 
     /// A promise that the request has not run and never will.
-    fn not_run(reason: &'static str, retry: Duration) -> Refusal {
-        Refusal { status: StatusCode::SERVICE_UNAVAILABLE, reason, retry: Some(retry) }
+    fn not_run(reason: &'static str, retry_after: Duration) -> Refusal {
+        Refusal { status: StatusCode::SERVICE_UNAVAILABLE, reason, retry_after: Some(retry_after) }
     }
 
     fn reply(self) -> Reply {
         let mut reply = Reply::text(self.status, format!("{}\n", self.reason));
-        if let Some(retry) = self.retry {
+        if let Some(retry_after) = self.retry_after {
             // Whole seconds would be longer than most requests last.
-            let seconds = format!("{:.3}", retry.as_secs_f64());
+            let seconds = format!("{:.3}", retry_after.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 reply.headers.insert(header::RETRY_AFTER, value);
             }
@@ -90,14 +90,19 @@
 impl RouteFront {
     /// A front for what `router` knows.
     pub fn new(router: Rc<Router>) -> RouteFront {
-        let returning = Rc::new(Gate::default());
-        returning.set_limit(RETURNING_AT_ONCE);
-        RouteFront { router, weights: Weights::default(), patience: Patience::default(), returning }
+        let late_retries = Rc::new(PrioritySemaphore::default());
+        late_retries.set_limit(MAX_LATE_RETRIES);
+        RouteFront {
+            router,
+            weights: Weights::default(),
+            patience: Patience::default(),
+            late_retries,
+        }
     }
 
     async fn answer(&self, request: Request, arrival: Instant) -> Reply {
-        let (asked, table) = match self.ask(&request, arrival) {
-            Ok(asked) => asked,
+        let (context, table) = match self.resolve(&request, arrival) {
+            Ok(context) => context,
             Err(refusal) => {
                 let identity = request.headers.get(&self.router.names.request);
                 tracing::info!(
@@ -112,120 +117,127 @@
         if request.body.len() > table.limits().body {
             return Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large").reply();
         }
-        let log = RequestLog::new(&self.router, &asked);
-        let request = strip(request);
+        let log = RequestLog::new(&self.router, &context);
+        let request = strip_hop_headers(request);
         if let Some(span) = self.refused_for(&request, arrival) {
             let refusal = Refusal::not_run("the request has crashed replicas", span);
             log.write(refusal.status, refusal.reason);
             return refusal.reply();
         }
-        let outcome = match &asked.route.destination {
-            Destination::Service(service) => self.call(&asked, service, &request, &log).await,
+        let outcome = match &context.route.destination {
+            Destination::Service(service) => self.call(&context, service, &request, &log).await,
             Destination::Weighted(services) => {
-                match self.weights.pick(&asked.route.name, services) {
-                    Some(service) => self.call(&asked, service, &request, &log).await,
-                    None => Err(CallFault::NotRun {
-                        retry: NO_WEIGHT_RETRY,
+                match self.weights.pick(&context.route.name, services) {
+                    Some(service) => self.call(&context, service, &request, &log).await,
+                    None => Err(CallError::NotRun {
+                        retry_after: NO_WEIGHT_RETRY_AFTER,
                         reason: "no service has a weight",
                     }),
                 }
             }
-            Destination::Shards(set) => self.search(&asked, set, &request, &log).await,
+            Destination::Shards(set) => self.search(&context, set, &request, &log).await,
         };
-        let (reply, reason) = finish(outcome);
+        let (reply, reason) = into_reply(outcome);
         if reply.status.is_success() && log.missing.get() == 0 {
-            self.clear(&request);
+            self.clear_suspicion(&request);
         }
         log.write(reply.status, reason);
         reply
     }
 
     /// Finds the route and the time of a request.
-    fn ask(&self, request: &Request, arrival: Instant) -> Result<(Asked, Rc<RouteTable>), Refusal> {
+    fn resolve(
+        &self,
+        request: &Request,
+        arrival: Instant,
+    ) -> Result<(RequestContext, Rc<RouteTable>), Refusal> {
         let names = &self.router.names;
-        let told = text(&request.headers, &names.deadline).and_then(|text| text.parse().ok());
-        let told = told.map(Duration::from_millis);
+        let caller_timeout =
+            header_text(&request.headers, &names.deadline).and_then(|text| text.parse().ok());
+        let caller_timeout = caller_timeout.map(Duration::from_millis);
         let table = self.router.table().filter(|_| self.router.is_ready());
         let Some(table) = table else {
-            let retry = self.router.ready_retry(told.unwrap_or_default());
-            return Err(Refusal::not_run("no configuration yet", retry));
+            let retry_after = self.router.ready_retry(caller_timeout.unwrap_or_default());
+            return Err(Refusal::not_run("no configuration yet", retry_after));
         };
         let Some(identity) = request.headers.get(&names.request).cloned() else {
             return Err(Refusal::new(StatusCode::BAD_REQUEST, "the request has no identity"));
         };
-        let host = text(&request.headers, &header::HOST).unwrap_or_default();
+        let host = header_text(&request.headers, &header::HOST).unwrap_or_default();
         let Some(route) = table.find(host, &request.path).cloned() else {
             return Err(Refusal::new(StatusCode::NOT_FOUND, "no route"));
         };
-        let deadline = arrival + told.unwrap_or(Duration::MAX).min(route.timeout);
-        let waited = told
-            .map_or(Duration::ZERO, |told| self.patience.waited(&route.name, told, route.timeout));
+        let deadline = arrival + caller_timeout.unwrap_or(Duration::MAX).min(route.timeout);
+        let waited = caller_timeout.map_or(Duration::ZERO, |caller_timeout| {
+            self.patience.waited(&route.name, caller_timeout, route.timeout)
+        });
         let waiting = self.router.waiting_time(&route, request.is_first);
         let Due { within, is_returning } = Due::new(waiting, waited);
-        let asked = Asked {
+        let context = RequestContext {
             identity,
             route,
             version: table.version(),
             arrival,
             due: arrival + within,
             deadline,
-            returning: is_returning,
+            is_late_retry: is_returning,
         };
-        Ok((asked, table))
+        Ok((context, table))
     }
 
     async fn call(
         &self,
-        asked: &Asked,
+        context: &RequestContext,
         service: &ServiceName,
         request: &Request,
         log: &RequestLog<'_>,
-    ) -> Result<Reply, CallFault> {
+    ) -> Result<Reply, CallError> {
         let call = Call {
-            route: &asked.route,
+            route: &context.route,
             service,
             request,
-            identity: &asked.identity,
-            due: asked.due,
-            deadline: asked.deadline,
+            identity: &context.identity,
+            due: context.due,
+            deadline: context.deadline,
             allowed: Vec::new(),
-            repeat: false,
-            is_settled: Cell::new(false),
+            is_retry: false,
+            is_answered: Cell::new(false),
         };
-        call::call(&self.router, &call, &log.trace).await
+        call::call(&self.router, &call, &log.stats).await
     }
 
     async fn search(
         &self,
-        asked: &Asked,
+        context: &RequestContext,
         set: &ShardSet,
         request: &Request,
         log: &RequestLog<'_>,
-    ) -> Result<Reply, CallFault> {
+    ) -> Result<Reply, CallError> {
         let mut search = Search {
-            route: &asked.route,
+            route: &context.route,
             set,
             request,
-            identity: &asked.identity,
-            due: asked.due,
-            deadline: asked.deadline,
-            returning: asked.returning,
+            identity: &context.identity,
+            due: context.due,
+            deadline: context.deadline,
+            is_late_retry: context.is_late_retry,
         };
         let mut permit = None;
-        if asked.returning && self.router.uses(Mechanism::WaitingCallers) {
-            permit = admission::await_room(&self.router, &self.returning, &mut search).await;
+        if context.is_late_retry && self.router.uses(Mechanism::WaitingCallers) {
+            permit =
+                admission::wait_for_capacity(&self.router, &self.late_retries, &mut search).await;
             if permit.is_none() {
-                return Err(CallFault::NotRun {
-                    retry: NO_ROOM_RETRY,
+                return Err(CallError::NotRun {
+                    retry_after: NO_ROOM_RETRY_AFTER,
                     reason: "no room for a late search",
                 });
             }
         }
         let Gathered { answer, parts, missing, relayed } =
-            gather::gather(&self.router, &search, &log.trace).await;
+            gather::gather(&self.router, &search, &log.stats).await;
         drop(permit);
-        if !asked.returning {
-            self.note_fate(asked, &answer);
+        if !context.is_late_retry {
+            self.record_outcome(context, &answer);
         }
         log.parts.set(parts);
         log.missing.set(missing);
@@ -245,7 +257,7 @@
     }
 
     /// Clears a request that was answered whole of the suspicion to crash replicas.
-    fn clear(&self, request: &Request) {
+    fn clear_suspicion(&self, request: &Request) {
         let crashes = &self.router.crashes;
         if !crashes.is_empty() {
             crashes.clear(crash_check::fingerprint(request));
@@ -253,9 +265,9 @@
     }
 
     /// Notes whether a search that was let in was answered in time.
-    fn note_fate(&self, asked: &Asked, answer: &Result<Reply, CallFault>) {
+    fn record_outcome(&self, context: &RequestContext, answer: &Result<Reply, CallError>) {
         let now = self.router.clock.now();
-        let overdue = now.saturating_duration_since(asked.due);
+        let overdue = now.saturating_duration_since(context.due);
         if answer.is_ok() && !overdue.is_zero() {
             self.router.lags.note(overdue);
         }
@@ -263,10 +275,10 @@
         let fate = match answer {
             Ok(_) if in_time => Fate::InTime,
             // It says nothing of those that were let in.
-            Err(CallFault::NotRun { .. }) => return,
+            Err(CallError::NotRun { .. }) => return,
             _ => Fate::Late,
         };
-        self.router.strains.note(&asked.route.name, fate, now);
+        self.router.strains.note(&context.route.name, fate, now);
     }
 }
 
@@ -278,7 +290,7 @@
 }
 
 /// The request without what concerns only the connection to its caller.
-fn strip(mut request: Request) -> Request {
+fn strip_hop_headers(mut request: Request) -> Request {
     remove_hop_headers(&mut request.headers);
     request.headers.remove(header::CONTENT_LENGTH);
     request.headers.remove(header::EXPECT);
@@ -286,17 +298,17 @@
 }
 
 /// The reply to the caller, and why it is none of a replica.
-fn finish(outcome: Result<Reply, CallFault>) -> (Reply, &'static str) {
+fn into_reply(outcome: Result<Reply, CallError>) -> (Reply, &'static str) {
     let refusal = match outcome {
         Ok(reply) => return (reply, "answered"),
-        Err(CallFault::Failed(reply)) => return (reply, "failed at the replica"),
-        Err(CallFault::NotRun { retry, reason }) => Refusal::not_run(reason, retry),
-        Err(CallFault::Unknown) => Refusal::new(StatusCode::BAD_GATEWAY, "outcome unknown"),
-        Err(CallFault::TimedOut) => Refusal::new(StatusCode::GATEWAY_TIMEOUT, "timed out"),
+        Err(CallError::Failed(reply)) => return (reply, "failed at the replica"),
+        Err(CallError::NotRun { retry_after, reason }) => Refusal::not_run(reason, retry_after),
+        Err(CallError::Unknown) => Refusal::new(StatusCode::BAD_GATEWAY, "outcome unknown"),
+        Err(CallError::TimedOut) => Refusal::new(StatusCode::GATEWAY_TIMEOUT, "timed out"),
     };
     (refusal.reply(), refusal.reason)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &header::HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &header::HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/kumquatnotch-route/src/gather.rs
+++ b/crates/kumquatnotch-route/src/gather.rs
@@ -18,10 +18,10 @@
 use crate::{
     admission::{self, Refused},
     attempt::Call,
-    call::{self, CallFault, CallTrace},
+    call::{self, CallError, CallStats},
     names::ReplicaId,
     parts::Parts,
-    relay::{self, Relayed},
+    relay::{self, RelayOutcome},
     relay_plan::{self, Group, Plan},
     route::{Route, ShardSet},
     router::Router,
@@ -42,13 +42,13 @@
     /// When its time is over.
     pub deadline: Instant,
     /// Whether its caller comes again, so late that the answer can't be in time.
-    pub returning: bool,
+    pub is_late_retry: bool,
 }
 
 /// How a search ended.
 pub struct Gathered {
     /// The answer, if enough parts came.
-    pub answer: Result<Reply, CallFault>,
+    pub answer: Result<Reply, CallError>,
     /// The parts in it, or that there were.
     pub parts: usize,
     /// The shards that it leaves out.
@@ -58,12 +58,12 @@
 }
 
 /// What comes of a part of a search.
-enum Piece {
-    Shard(usize, Result<Reply, CallFault>),
-    Group(Group, Relayed),
+enum PartOutcome {
+    Shard(usize, Result<Reply, CallError>),
+    Group(Group, RelayOutcome),
 }
 
-type Running<'a> = FuturesUnordered<LocalFuture<'a, Piece>>;
+type Running<'a> = FuturesUnordered<LocalFuture<'a, PartOutcome>>;
 
 /// What has come of a search so far.
 #[derive(Default)]
@@ -72,73 +72,73 @@
     /// Whether a replica may have run the request.
     ran: bool,
     /// When to come back, by the replicas that did not take it.
-    retry: Duration,
+    retry_after: Duration,
     /// The shards whose parts are in, by their place in the set.
     covered: HashSet<usize>,
 }
 
 /// Asks a replica of each shard and merges their parts.
-pub async fn gather(router: &Rc<Router>, search: &Search<'_>, trace: &CallTrace) -> Gathered {
+pub async fn gather(router: &Rc<Router>, search: &Search<'_>, stats: &CallStats) -> Gathered {
     let clock = &*router.clock;
     let total = search.set.shards.len();
-    let least = search.set.least_parts();
+    let min_parts = search.set.min_parts();
     let mut running = Running::default();
-    if let Err(Refused { retry, reason }) = admission::admit(router, search) {
-        let answer = Err(CallFault::NotRun { retry, reason });
+    if let Err(Refused { retry_after, reason }) = admission::admit(router, search) {
+        let answer = Err(CallError::NotRun { retry_after, reason });
         return Gathered { answer, parts: 0, missing: total, relayed: 0 };
     }
     let shards: Vec<usize> = (0..total).collect();
     let mut outstanding = total;
-    let Plan { here, groups } = relay_plan::plan(router, search.route, search.set, &shards);
-    let relayed = outstanding - here.len();
+    let Plan { direct, groups } = relay_plan::plan(router, search.route, search.set, &shards);
+    let relayed = outstanding - direct.len();
     for group in groups {
         running.push(Box::pin(async move {
             let ended = relay::relay(router, search, &group).await;
-            Piece::Group(group, ended)
+            PartOutcome::Group(group, ended)
         }));
     }
-    for index in here {
-        running.push(ask(router, search, index, Vec::new(), false, trace));
+    for index in direct {
+        running.push(call_shard(router, search, index, Vec::new(), false, stats));
     }
-    let mut stop = clock.sleep_until(search.due).fuse();
-    let mut over = clock.sleep_until(search.deadline).fuse();
+    let mut due_timer = clock.sleep_until(search.due).fuse();
+    let mut deadline_timer = clock.sleep_until(search.deadline).fuse();
     let mut progress = Progress::default();
-    let mut completion = Completion::new(total, least);
+    let mut completion = Completion::new(total, min_parts);
     let mut timed_out = false;
     loop {
         match completion.next(progress.parts.len()) {
             Next::Wait => {}
-            Next::Linger(span) => stop = clock::sleep(clock, span).fuse(),
+            Next::Linger(span) => due_timer = clock::sleep(clock, span).fuse(),
             Next::Answer => break,
         }
         select_biased! {
-            piece = running.next() => match piece {
-                Some(Piece::Shard(index, result)) => {
+            outcome = running.next() => match outcome {
+                Some(PartOutcome::Shard(index, result)) => {
                     outstanding -= 1;
-                    progress.add(router, index, result);
+                    progress.record_shard(router, index, result);
                 }
-                Some(Piece::Group(group, ended)) => {
+                Some(PartOutcome::Group(group, ended)) => {
                     outstanding -= group.shards.len();
                     // The replicas that the other node may have asked get repeats.
-                    let repeat = !matches!(ended, Relayed::NotRun);
-                    let again = progress.add_group(ended, &group);
+                    let is_retry = !matches!(ended, RelayOutcome::NotRun);
+                    let retry_positions = progress.record_group(ended, &group);
                     // What the other node misses is asked for from here only if
                     // there is no answer without it: it comes too late to be worth more.
                     let enough = !completion.needs_more(progress.parts.len(), outstanding);
-                    if repeat && enough {
+                    if is_retry && enough {
                         continue;
                     }
-                    for place in again {
+                    for position in retry_positions {
                         outstanding += 1;
-                        let index = group.shards[place];
-                        let allowed = group.allowed[place].clone();
-                        running.push(ask(router, search, index, allowed, repeat, trace));
+                        let index = group.shards[position];
+                        let allowed = group.allowed[position].clone();
+                        running.push(call_shard(router, search, index, allowed, is_retry, stats));
                     }
                 }
                 None => break,
             },
-            () = stop => completion.note_due(progress.parts.len()),
-            () = over => {
+            () = due_timer => completion.note_due(progress.parts.len()),
+            () = deadline_timer => {
                 timed_out = true;
                 break;
             }
@@ -146,16 +146,16 @@
     }
     progress.ran |= !running.is_empty();
     drop(running);
-    progress.tell_missing(search);
+    progress.log_missing(search);
     let covered = progress.parts.len();
-    let answer = if covered >= least {
+    let answer = if covered >= min_parts {
         Ok(progress.parts.merge(router, search.set))
     } else if timed_out {
-        Err(CallFault::TimedOut)
+        Err(CallError::TimedOut)
     } else if progress.ran {
-        Err(CallFault::Unknown)
+        Err(CallError::Unknown)
     } else {
-        Err(CallFault::NotRun { retry: progress.retry, reason: "no shard took it" })
+        Err(CallError::NotRun { retry_after: progress.retry_after, reason: "no shard took it" })
     };
     Gathered { answer, parts: covered, missing: total - covered, relayed }
 }
@@ -166,38 +166,38 @@
 /// `allowed` names the replicas of each shard that may be asked; none means any.
 /// Gives the parts, the places of the missing shards, and whether a replica may
 /// have run the request.
-pub async fn gather_here(
+pub async fn gather_direct(
     router: &Rc<Router>,
     search: &Search<'_>,
     allowed: &[Vec<ReplicaId>],
     enough: usize,
-    trace: &CallTrace,
+    stats: &CallStats,
 ) -> (Parts, Vec<usize>, bool) {
     let clock = &*router.clock;
     let mut running = Running::default();
     for (index, allowed) in allowed.iter().enumerate() {
-        running.push(ask(router, search, index, allowed.clone(), false, trace));
+        running.push(call_shard(router, search, index, allowed.clone(), false, stats));
     }
-    let mut stop = clock.sleep_until(search.due).fuse();
-    let mut over = clock.sleep_until(search.deadline).fuse();
-    let mut stopping = false;
+    let mut due_timer = clock.sleep_until(search.due).fuse();
+    let mut deadline_timer = clock.sleep_until(search.deadline).fuse();
+    let mut is_due = false;
     let mut progress = Progress::default();
     let mut missing: Vec<usize> = (0..allowed.len()).collect();
-    while !(stopping && progress.parts.len() >= enough) {
+    while !(is_due && progress.parts.len() >= enough) {
         select_biased! {
-            piece = running.next() => match piece {
-                Some(Piece::Shard(index, result)) => {
+            outcome = running.next() => match outcome {
+                Some(PartOutcome::Shard(index, result)) => {
                     let before = progress.parts.len();
-                    progress.add(router, index, result);
+                    progress.record_shard(router, index, result);
                     if progress.parts.len() > before {
                         missing.retain(|other| *other != index);
                     }
                 }
-                Some(Piece::Group(..)) => {}
+                Some(PartOutcome::Group(..)) => {}
                 None => break,
             },
-            () = stop => stopping = true,
-            () = over => break,
+            () = due_timer => is_due = true,
+            () = deadline_timer => break,
         }
     }
     let ran = progress.ran || !running.is_empty();
@@ -205,14 +205,14 @@
 }
 
 /// Asks a replica of one shard.
-fn ask<'a>(
+fn call_shard<'a>(
     router: &'a Rc<Router>,
     search: &'a Search<'a>,
     index: usize,
     allowed: Vec<ReplicaId>,
-    repeat: bool,
-    trace: &'a CallTrace,
-) -> LocalFuture<'a, Piece> {
+    is_retry: bool,
+    stats: &'a CallStats,
+) -> LocalFuture<'a, PartOutcome> {
     Box::pin(async move {
         let call = Call {
             route: search.route,
@@ -222,31 +222,31 @@
             due: search.due,
             deadline: search.deadline,
             allowed,
-            repeat,
-            is_settled: Cell::new(false),
+            is_retry,
+            is_answered: Cell::new(false),
         };
-        Piece::Shard(index, call::call(router, &call, trace).await)
+        PartOutcome::Shard(index, call::call(router, &call, stats).await)
     })
 }
 
 impl Progress {
     /// Writes a line that names the shards which are missing, if there are any.
-    fn tell_missing(&self, search: &Search<'_>) {
+    fn log_missing(&self, search: &Search<'_>) {
         let shards = search.set.shards.iter().enumerate();
         let missing = shards.filter(|(index, _)| !self.covered.contains(index));
-        let late: Vec<&str> = missing.map(|(_, shard)| shard.as_str()).collect();
-        if late.is_empty() {
+        let names: Vec<&str> = missing.map(|(_, shard)| shard.as_str()).collect();
+        if names.is_empty() {
             return;
         }
         tracing::info!(
             request = search.identity.to_str().unwrap_or_default(),
-            late = late.join(" "),
+            late = names.join(" "),
             "gather: shards are missing"
         );
     }
 
     /// Notes what came of a shard.
-    fn add(&mut self, router: &Router, index: usize, result: Result<Reply, CallFault>) {
+    fn record_shard(&mut self, router: &Router, index: usize, result: Result<Reply, CallError>) {
         match result {
             Ok(reply) => {
                 self.ran = true;
@@ -254,25 +254,27 @@
                     self.covered.insert(index);
                 }
             }
-            Err(CallFault::NotRun { retry, .. }) => self.retry = self.retry.max(retry),
+            Err(CallError::NotRun { retry_after, .. }) => {
+                self.retry_after = self.retry_after.max(retry_after)
+            }
             Err(_) => self.ran = true,
         }
     }
 
     /// Notes what came of a group of shards; gives the places of those that did not come.
-    fn add_group(&mut self, ended: Relayed, group: &Group) -> Vec<usize> {
+    fn record_group(&mut self, ended: RelayOutcome, group: &Group) -> Vec<usize> {
         match ended {
-            Relayed::Gathered(reply) => {
+            RelayOutcome::Gathered(reply) => {
                 self.ran |= reply.ran;
                 self.parts.add_gathered(&reply);
                 let missing = reply.missing;
-                let came = |place: &usize| !missing.contains(place);
-                let places = (0..group.shards.len()).filter(came);
-                self.covered.extend(places.map(|place| group.shards[place]));
-                missing.into_iter().filter(|place| *place < group.shards.len()).collect()
+                let came = |position: &usize| !missing.contains(position);
+                let positions = (0..group.shards.len()).filter(came);
+                self.covered.extend(positions.map(|position| group.shards[position]));
+                missing.into_iter().filter(|position| *position < group.shards.len()).collect()
             }
-            Relayed::NotRun => (0..group.shards.len()).collect(),
-            Relayed::Lost => {
+            RelayOutcome::NotRun => (0..group.shards.len()).collect(),
+            RelayOutcome::Lost => {
                 self.ran = true;
                 (0..group.shards.len()).collect()
             }
--- a/crates/kumquatnotch-route/src/in_flight.rs
+++ b/crates/kumquatnotch-route/src/in_flight.rs
@@ -10,7 +10,7 @@
 use kumquatnotch_net::{OpaqueLink, message::Reply, opaque_link::OpaqueReply};
 use kumquatnotch_policy::{copies, lateness, mechanisms::Mechanism};
 
-use crate::{attempt::Call, gate::Permit, probe, replica::Replica, router::Router};
+use crate::{attempt::Call, probe, replica::Replica, router::Router, semaphore::Permit};
 
 /// A request that a replica has, until its reply is in.
 pub(crate) struct InFlight<'a> {
@@ -26,7 +26,7 @@
 
 impl InFlight<'_> {
     /// Notes that a reply has come, whatever it says; gives how long it took.
-    pub(crate) fn replied(&mut self) -> (Option<OpaqueLink>, Duration) {
+    pub(crate) fn record_reply(&mut self) -> (Option<OpaqueLink>, Duration) {
         let now = self.router.clock.now();
         self.replica.observed.note_end(self.at, Some(now));
         let link = self.held.take().map(|(link, _)| link);
@@ -34,7 +34,7 @@
     }
 
     /// Notes that the connection broke.
-    pub(crate) fn broke(&mut self) {
+    pub(crate) fn record_broken(&mut self) {
         self.held = None;
         self.replica.observed.note_end(self.at, None);
     }
@@ -55,21 +55,21 @@
         let took = now.saturating_duration_since(self.at);
         let late = lateness::lateness(observed, self.usual, now);
         if took > late {
-            let way = observed.known_trip().unwrap_or_default();
-            observed.note_unanswered(took.saturating_sub(way), self.usual, now);
+            let round_trip = observed.known_trip().unwrap_or_default();
+            observed.note_unanswered(took.saturating_sub(round_trip), self.usual, now);
         }
-        let may_end = self.router.uses(Mechanism::KeptConnections)
-            && self.call.is_settled.get()
+        let may_drain = self.router.uses(Mechanism::KeptConnections)
+            && self.call.is_answered.get()
             && link.is_untouched();
-        if may_end && copies::is_soon_done(observed, self.usual, took, now) {
-            let linger = Linger {
+        if may_drain && copies::is_soon_done(observed, self.usual, took, now) {
+            let drain = ReplyDrain {
                 router: self.router.clone(),
                 replica: self.replica.clone(),
                 identity: self.call.identity.clone(),
                 at: self.at,
                 until: self.at + late,
             };
-            monoio::spawn(linger.run(link, permit));
+            monoio::spawn(drain.run(link, permit));
             return;
         }
         observed.note_end(self.at, None);
@@ -78,7 +78,7 @@
 }
 
 /// A request whose reply nobody needs any more.
-struct Linger {
+struct ReplyDrain {
     router: Rc<Router>,
     replica: Rc<Replica>,
     identity: HeaderValue,
@@ -86,17 +86,17 @@
     until: Instant,
 }
 
-impl Linger {
+impl ReplyDrain {
     /// Waits for the reply for as long as it isn't late, to keep the connection.
     async fn run(self, mut link: OpaqueLink, _permit: Permit) {
         let clock = &*self.router.clock;
-        let belongs = |reply: &Reply| belongs(&self.router, &self.identity, reply);
-        let reply = clock::timeout_at(clock, self.until, link.receive(&belongs)).await;
+        let is_reply_to = |reply: &Reply| is_reply_to(&self.router, &self.identity, reply);
+        let reply = clock::timeout_at(clock, self.until, link.receive(&is_reply_to)).await;
         let now = clock.now();
-        let replied = matches!(reply, Ok(Ok(_))).then_some(now);
-        self.replica.observed.note_end(self.at, replied);
+        let record_reply = matches!(reply, Ok(Ok(_))).then_some(now);
+        self.replica.observed.note_end(self.at, record_reply);
         if let Ok(Ok(OpaqueReply { keep: Some(keep), .. })) = reply {
-            self.replica.links.put(link, now, keep);
+            self.replica.pool.put(link, now, keep);
         }
     }
 }
@@ -105,6 +105,6 @@
 ///
 /// A replica repeats the identity of the request. One without it is believed, as
 /// an earlier request on this connection has been answered by then.
-pub(crate) fn belongs(router: &Router, identity: &HeaderValue, reply: &Reply) -> bool {
+pub(crate) fn is_reply_to(router: &Router, identity: &HeaderValue, reply: &Reply) -> bool {
     reply.headers.get(&router.names.request).is_none_or(|told| told == identity)
 }
--- a/crates/kumquatnotch-route/src/outage.rs
+++ b/crates/kumquatnotch-route/src/outage.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     follow::{self, Followed},
-    insist::{Pauses, insist},
     mirror::{Mirror, MirrorOptions, NO_WAIT},
+    store_retry::{RetryDelays, call_until_answered},
 };
 
 /// The pause of a node that follows others before it asks the store again, before jitter.
@@ -43,19 +43,20 @@
     pub(crate) async fn ask_again(&self, failures: u32) -> Result<()> {
         let MirrorOptions { backoff, most_backoff, .. } = self.options;
         let pauses = match follow::is_follower(&self.router) {
-            true => Pauses { first: FOLLOWER_PAUSE, most: FOLLOWER_PAUSE },
-            false => Pauses { first: backoff, most: most_backoff },
+            true => RetryDelays { initial: FOLLOWER_PAUSE, max: FOLLOWER_PAUSE },
+            false => RetryDelays { initial: backoff, max: most_backoff },
         };
         let (store, prefix) = (&self.store, self.entries.prefix());
         let Some(after) = self.after.get() else {
-            let scan = insist(&self.router, pauses, failures, || store.scan(prefix)).await?;
-            self.take_scan(&scan.value, scan.asked);
+            let scan =
+                call_until_answered(&self.router, pauses, failures, || store.scan(prefix)).await?;
+            self.take_scan(&scan.value, scan.asked_at);
             return Ok(());
         };
         let watch = || store.watch(prefix, after, NO_WAIT);
-        let changes = insist(&self.router, pauses, failures, watch).await?;
+        let changes = call_until_answered(&self.router, pauses, failures, watch).await?;
         self.note_answer();
-        self.take_changes(&changes.value, changes.asked);
+        self.take_changes(&changes.value, changes.asked_at);
         Ok(())
     }
 
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -9,46 +9,46 @@
 use crate::{names::ServiceName, replica::Replica, route::RouteTable, router::Router};
 
 /// The connections to a replica of a service that the configuration doesn't name.
-const UNKNOWN_CONNECTIONS: u32 = 8;
+const DEFAULT_CONNECTIONS: u32 = 8;
 
 /// The most hosts that are looked at to find these nodes.
-const MOST_HOSTS: usize = 16;
+const MAX_HOSTS: usize = 16;
 
 impl Router {
     /// Sets how many connections this node may have to `replica`.
-    pub(crate) fn bound_connections(&self, replica: &Replica, service: &ServiceName) {
+    pub(crate) fn limit_connections(&self, replica: &Replica, service: &ServiceName) {
         let table = self.table();
         let service = table.as_ref().and_then(|table| table.service(service));
-        let part = if self.uses(Mechanism::ConnectionShares) { self.own_part() } else { 1.0 };
-        let all = service.map_or(UNKNOWN_CONNECTIONS, |service| service.connections);
-        replica.gate.set_limit(shares::connections(all, part));
+        let part = if self.uses(Mechanism::ConnectionShares) { self.own_share() } else { 1.0 };
+        let all = service.map_or(DEFAULT_CONNECTIONS, |service| service.connections);
+        replica.semaphore.set_limit(shares::connections(all, part));
     }
 
     /// The part of what all nodes share that this one may use, from zero to one.
-    pub fn own_part(&self) -> f64 {
+    pub fn own_share(&self) -> f64 {
         let now = self.clock.now();
         let known_for = self.synced.get().map(|at| now.saturating_duration_since(at));
         if !self.uses(Mechanism::SettleTime) {
-            return self.known_part();
+            return self.cached_share();
         }
-        shares::settled(self.known_part(), known_for)
+        shares::settled(self.cached_share(), known_for)
     }
 
-    fn known_part(&self) -> f64 {
+    fn cached_share(&self) -> f64 {
         let Some(table) = self.table() else { return 1.0 };
         let valid_for = self.valid_for(&table);
         let (known_for, part) = self.part.get();
         if known_for == valid_for {
             return part;
         }
-        let part = self.work_out_part(&table);
+        let part = self.compute_share(&table);
         self.part.set((valid_for, part));
         part
     }
 
-    fn work_out_part(&self, table: &RouteTable) -> f64 {
+    fn compute_share(&self, table: &RouteTable) -> f64 {
         let mut serving: HashSet<NodeName> = HashSet::default();
-        for host in table.hosts_of_shards().take(MOST_HOSTS) {
+        for host in table.sharded_hosts().take(MAX_HOSTS) {
             if let Some(advice) = self.advice(host) {
                 serving.extend(advice.serving().cloned());
             }
--- a/crates/kumquatnotch-route/src/probe.rs
+++ b/crates/kumquatnotch-route/src/probe.rs
@@ -11,15 +11,15 @@
 use kumquatnotch_net::message::{Reply, Request};
 use kumquatnotch_policy::{mechanisms::Mechanism, observed::Fitness};
 
-use crate::{fleet::PEER_SERVICE, relay::VISITOR_HEADER, replica::Replica, router::Router};
+use crate::{fleet::PEER_SERVICE, relay::PEER_ADDRESS_HEADER, replica::Replica, router::Router};
 
 /// How long a probe waits for its reply.
 ///
 /// Longer than the pauses of a quarter of a second in which replicas answer nothing.
-const PROBE_TIME: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The pause after a probe that failed, before jitter.
-const PROBE_PAUSE: Duration = Duration::from_millis(300);
+const PROBE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Marks a replica as suspect, and probes it until it answers or is gone.
 pub fn suspect(router: &Rc<Router>, replica: &Rc<Replica>, reason: &'static str) {
@@ -31,7 +31,7 @@
         return;
     }
     replica.observed.set_fitness(Fitness::Suspect);
-    replica.links.drop_idle();
+    replica.pool.drop_idle();
     metrics::counter!("kumquatnotch_suspects_total", "reason" => reason).increment(1);
     let spec = replica.spec();
     tracing::info!(
@@ -41,16 +41,16 @@
         "replica: suspected"
     );
     drop(spec);
-    monoio::spawn(watch(router.clone(), replica.clone()));
+    monoio::spawn(probe_until_recovered(router.clone(), replica.clone()));
 }
 
-async fn watch(router: Rc<Router>, replica: Rc<Replica>) {
+async fn probe_until_recovered(router: Rc<Router>, replica: Rc<Replica>) {
     let clock = &*router.clock;
     while replica.observed.fitness() == Fitness::Suspect && replica.takes_requests() {
-        let deadline = clock.now() + PROBE_TIME;
+        let deadline = clock.now() + PROBE_TIMEOUT;
         let reply = clock::timeout_at(clock, deadline, probe(&router, &replica)).await;
         match reply.ok().flatten() {
-            Some(reply) if !is_same(&router, &replica, &reply) => {
+            Some(reply) if !is_same_incarnation(&router, &replica, &reply) => {
                 replica.observed.set_fitness(Fitness::Replaced);
                 tracing::info!(replica = replica.id.as_str(), "replica: its address has another");
                 return;
@@ -60,7 +60,7 @@
                 tracing::info!(replica = replica.id.as_str(), "replica: answers again");
                 return;
             }
-            _ => clock::sleep(clock, router.random.jitter(PROBE_PAUSE)).await,
+            _ => clock::sleep(clock, router.random.jitter(PROBE_RETRY_DELAY)).await,
         }
     }
 }
@@ -70,7 +70,7 @@
     let service = replica.spec().service.clone();
     let path = router.probe_path(&service)?;
     let start = clock.now();
-    let mut link = replica.links.open(clock, start + PROBE_TIME).await.ok()?;
+    let mut link = replica.pool.open(clock, start + PROBE_TIMEOUT).await.ok()?;
     replica.observed.note_connect(clock.now().saturating_duration_since(start));
     let mut request = Request::get(&path);
     let host = replica.spec().address.to_string();
@@ -79,19 +79,19 @@
     let own = router.fleet.peer_address(&router.place.name);
     if let (PEER_SERVICE, Some(own)) = (service.as_str(), own) {
         let own = HeaderValue::from_str(&own.to_string()).ok()?;
-        request.headers.insert(VISITOR_HEADER, own);
+        request.headers.insert(PEER_ADDRESS_HEADER, own);
     }
     metrics::counter!("kumquatnotch_probes_total").increment(1);
     link.send(&request).await.ok()?;
     let answer = link.receive(&|_| true).await.ok()?;
     if let Some(keep) = answer.keep {
-        replica.links.put(link, clock.now(), keep);
+        replica.pool.put(link, clock.now(), keep);
     }
     Some(answer.reply)
 }
 
 /// Whether a reply is that of this incarnation, as far as it tells.
-fn is_same(router: &Router, replica: &Replica, reply: &Reply) -> bool {
+fn is_same_incarnation(router: &Router, replica: &Replica, reply: &Reply) -> bool {
     let told = reply.headers.get(&router.names.incarnation);
     told.is_none_or(|told| told.as_bytes() == replica.id.as_str().as_bytes())
 }
--- a/crates/kumquatnotch-route/src/relay.rs
+++ b/crates/kumquatnotch-route/src/relay.rs
@@ -33,24 +33,24 @@
 pub const RUNNING_PATH: &str = "/v1/running";
 
 /// In which a node tells another one where it takes other nodes itself.
-pub const VISITOR_HEADER: &str = "x-kumquatnotch-node";
+pub const PEER_ADDRESS_HEADER: &str = "x-kumquatnotch-node";
 
 /// How long a node may take to tell whether it has a request.
-const RUNNING_TIME: Duration = Duration::from_millis(250);
+const RUNNING_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How often it is asked.
-const RUNNING_PERIOD: Duration = Duration::from_millis(250);
+const RUNNING_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long a connection between nodes may be idle.
-const PEER_IDLE: Duration = Duration::from_secs(30);
+const PEER_MAX_IDLE: Duration = Duration::from_secs(30);
 
 /// The time that both nodes take for a relayed gathering, besides the ways.
 ///
 /// Measured on nodes with a quarter of a core.
-const MERGE_TIME: Duration = Duration::from_millis(8);
+const RELAY_OVERHEAD: Duration = Duration::from_millis(8);
 
 /// The least time that the other node gets, as a multiple of the usual time.
-const LEAST_TIMES: f64 = 2.5;
+const MIN_DUE_FACTOR: f64 = 2.5;
 
 /// How much later than due the reply of another node may come.
 ///
@@ -59,7 +59,7 @@
 
 /// How a relayed group of shards ended.
 #[derive(Debug)]
-pub enum Relayed {
+pub enum RelayOutcome {
     /// The other node has gathered these parts.
     Gathered(RelayReply),
     /// It did not run the request at all.
@@ -69,17 +69,17 @@
 }
 
 /// Asks a node to gather the parts of a group of shards.
-pub async fn relay(router: &Rc<Router>, search: &Search<'_>, group: &Group) -> Relayed {
+pub async fn relay(router: &Rc<Router>, search: &Search<'_>, group: &Group) -> RelayOutcome {
     let peer = &group.peer;
     let sent = Cell::new(false);
-    let ask = std::pin::pin!(ask(router, search, group, &sent));
-    let lost = std::pin::pin!(lost(router, search, peer));
-    let result = match select(ask, lost).await {
+    let send_gather = std::pin::pin!(send_gather(router, search, group, &sent));
+    let lost = std::pin::pin!(wait_until_lost(router, search, peer));
+    let result = match select(send_gather, lost).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => Err(Error::ConnectionSilent),
     };
     match result {
-        Ok(reply) => Relayed::Gathered(reply),
+        Ok(reply) => RelayOutcome::Gathered(reply),
         Err(error) => {
             tracing::info!(
                 request = search.identity.to_str().unwrap_or_default(),
@@ -91,10 +91,10 @@
             );
             if sent.get() {
                 probe::suspect(router, peer, "no reply to a gathering");
-                Relayed::Lost
+                RelayOutcome::Lost
             } else {
                 probe::suspect(router, peer, "no connection");
-                Relayed::NotRun
+                RelayOutcome::NotRun
             }
         }
     }
@@ -105,24 +105,24 @@
 /// It replies when the answer is due unless too many parts are missing. One that
 /// is silent for longer may have ended, or the connection to it may be lost; so
 /// it is asked, on another connection, whether it has the request.
-async fn lost(router: &Router, search: &Search<'_>, peer: &Replica) {
+async fn wait_until_lost(router: &Router, search: &Search<'_>, peer: &Replica) {
     let clock = &*router.clock;
     let first = search.due + REPLY_SLACK;
     clock.sleep_until(first.max(clock.now() + REPLY_SLACK)).await;
     loop {
-        let deadline = clock.now() + RUNNING_TIME;
+        let deadline = clock.now() + RUNNING_TIMEOUT;
         let running = clock::timeout_at(clock, deadline, is_running(router, search, peer)).await;
         if !matches!(running, Ok(Ok(true))) {
             return;
         }
-        clock::sleep(clock, RUNNING_PERIOD).await;
+        clock::sleep(clock, RUNNING_INTERVAL).await;
     }
 }
 
 /// Whether a node has a request, by its own word.
 async fn is_running(router: &Router, search: &Search<'_>, peer: &Replica) -> Result<bool> {
     let clock = &*router.clock;
-    let mut link = peer.links.open(clock, clock.now() + RUNNING_TIME).await?;
+    let mut link = peer.pool.open(clock, clock.now() + RUNNING_TIMEOUT).await?;
     let identity = search.identity.to_str().map_err(Error::internal)?;
     let mut request = Request::get(&format!("{RUNNING_PATH}?request={identity}"));
     let host = HeaderValue::from_str(&peer.spec().address.to_string()).map_err(Error::internal)?;
@@ -130,12 +130,12 @@
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
     if let Some(keep) = answer.keep {
-        peer.links.put(link, clock.now(), keep);
+        peer.pool.put(link, clock.now(), keep);
     }
     Ok(answer.reply.status == StatusCode::OK)
 }
 
-async fn ask(
+async fn send_gather(
     router: &Rc<Router>,
     search: &Search<'_>,
     group: &Group,
@@ -144,26 +144,26 @@
     let clock = &*router.clock;
     let peer = &group.peer;
     let start = clock.now();
-    let mut link = match peer.links.take(start, PEER_IDLE) {
+    let mut link = match peer.pool.take(start, PEER_MAX_IDLE) {
         Some(link) => link,
         None => {
-            let link = peer.links.open(clock, search.due).await?;
+            let link = peer.pool.open(clock, search.due).await?;
             peer.observed.note_connect(clock.now().saturating_duration_since(start));
             link
         }
     };
-    let message = codec::encode(&message(router, search, group))?;
+    let message = codec::encode(&relay_request(router, search, group))?;
     let mut request = Request::post(RELAY_PATH, "application/msgpack", message);
     let host = HeaderValue::from_str(&peer.spec().address.to_string()).map_err(Error::internal)?;
     request.headers.insert(http::header::HOST, host);
     let at = clock.now();
     sent.set(true);
     peer.observed.note_sent(at);
-    let _ended = Ended { peer, at };
+    let _open = OpenRequest { peer, at };
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
     if let Some(keep) = answer.keep {
-        peer.links.put(link, clock.now(), keep.max(PEER_IDLE));
+        peer.pool.put(link, clock.now(), keep.max(PEER_MAX_IDLE));
     }
     if answer.reply.status != StatusCode::OK {
         // It refuses before it asks any replica.
@@ -179,25 +179,25 @@
 }
 
 /// Counts a request to a node for as long as it is open.
-struct Ended<'a> {
+struct OpenRequest<'a> {
     peer: &'a Replica,
     at: std::time::Instant,
 }
 
-impl Drop for Ended<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
         self.peer.observed.note_end(self.at, None);
     }
 }
 
-fn message(router: &Router, search: &Search<'_>, group: &Group) -> RelayRequest {
+fn relay_request(router: &Router, search: &Search<'_>, group: &Group) -> RelayRequest {
     let now = router.clock.now();
     let left = search.deadline.saturating_duration_since(now);
     // The reply needs its way back.
     let due = search.due.saturating_duration_since(now);
     let route = search.route;
-    let due = due.saturating_sub(group.peer.observed.round_trip() + MERGE_TIME);
-    let due = due.max(router.need(route).usual.mul_f64(LEAST_TIMES));
+    let due = due.saturating_sub(group.peer.observed.round_trip() + RELAY_OVERHEAD);
+    let due = due.max(router.need(route).usual.mul_f64(MIN_DUE_FACTOR));
     let headers = search.request.headers.iter();
     RelayRequest {
         route: route.name.as_str().to_owned(),
@@ -207,7 +207,7 @@
         due_us: due.as_micros() as u64,
         left_us: left.as_micros() as u64,
         top: search.set.top,
-        enough: enough(search.set, group),
+        enough: min_group_parts(search.set, group),
         shards: group
             .shards
             .iter()
@@ -231,8 +231,8 @@
 /// How many parts of a group are enough when the answer is due.
 ///
 /// With fewer, too many would be missing for an answer even if all others came.
-fn enough(set: &ShardSet, group: &Group) -> usize {
-    let most_missing = set.shards.len() - set.least_parts().min(set.shards.len());
+fn min_group_parts(set: &ShardSet, group: &Group) -> usize {
+    let most_missing = set.shards.len() - set.min_parts().min(set.shards.len());
     group.shards.len().saturating_sub(most_missing).max(1)
 }
 
--- a/crates/kumquatnotch-route/src/relay_front.rs
+++ b/crates/kumquatnotch-route/src/relay_front.rs
@@ -11,11 +11,11 @@
 };
 
 use crate::{
-    call::CallTrace,
+    call::CallStats,
     follow::{self, FOLLOW_PATH},
     gather::{self, Search},
     names::ReplicaId,
-    relay::{PROBE_PATH, RELAY_PATH, RUNNING_PATH, VISITOR_HEADER},
+    relay::{PEER_ADDRESS_HEADER, PROBE_PATH, RELAY_PATH, RUNNING_PATH},
     relay_message::{RelayReply, RelayRequest},
     route::Destination,
     router::Router,
@@ -29,19 +29,19 @@
 }
 
 /// Lists a request as in work for as long as it is.
-struct Running<'a> {
+struct RunningGuard<'a> {
     front: &'a RelayFront,
     identity: HeaderValue,
 }
 
-impl<'a> Running<'a> {
-    fn new(front: &'a RelayFront, identity: &HeaderValue) -> Running<'a> {
+impl<'a> RunningGuard<'a> {
+    fn new(front: &'a RelayFront, identity: &HeaderValue) -> RunningGuard<'a> {
         front.running.borrow_mut().push(identity.clone());
-        Running { front, identity: identity.clone() }
+        RunningGuard { front, identity: identity.clone() }
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         let mut running = self.front.running.borrow_mut();
         if let Some(index) = running.iter().position(|other| *other == self.identity) {
@@ -69,17 +69,17 @@
             return Err(Error::NotReady);
         }
         let now = router.clock.now();
-        let asked: RelayRequest = codec::decode(&request.body)?;
-        let route = asked.route();
+        let message: RelayRequest = codec::decode(&request.body)?;
+        let route = message.route();
         let Destination::Shards(set) = &route.destination else {
             return Err(Error::bad_request("no shards"));
         };
-        let request = asked.request()?;
+        let request = message.request()?;
         let Some(identity) = request.headers.get(&router.names.request).cloned() else {
             return Err(Error::bad_request("the request has no identity"));
         };
-        let _running = Running::new(self, &identity);
-        let allowed: Vec<Vec<ReplicaId>> = asked
+        let _running = RunningGuard::new(self, &identity);
+        let allowed: Vec<Vec<ReplicaId>> = message
             .shards
             .iter()
             .map(|(_, ids)| ids.iter().map(|id| ReplicaId::from(&**id)).collect())
@@ -89,21 +89,21 @@
             set,
             request: &request,
             identity: &identity,
-            due: now + Duration::from_micros(asked.due_us),
-            deadline: now + Duration::from_micros(asked.left_us),
-            returning: false,
+            due: now + Duration::from_micros(message.due_us),
+            deadline: now + Duration::from_micros(message.left_us),
+            is_late_retry: false,
         };
-        let trace = CallTrace::default();
+        let stats = CallStats::default();
         let (parts, missing, ran) =
-            gather::gather_here(router, &search, &allowed, asked.enough, &trace).await;
+            gather::gather_direct(router, &search, &allowed, message.enough, &stats).await;
         let took = router.clock.now().saturating_duration_since(now);
         tracing::info!(
             request = identity.to_str().unwrap_or_default(),
-            route = asked.route,
+            route = message.route,
             shards = set.shards.len(),
             parts = parts.len(),
-            hedges = trace.hedges.get(),
-            retries = trace.retries.get(),
+            hedges = stats.hedges.get(),
+            retries = stats.retries.get(),
             ms = took.as_millis() as u64,
             "relay: gathered"
         );
@@ -121,7 +121,8 @@
 
 impl Handler for RelayFront {
     fn start(&self, request: Request) -> Work<'_> {
-        let visitor = request.headers.get(VISITOR_HEADER).and_then(|value| value.to_str().ok());
+        let visitor =
+            request.headers.get(PEER_ADDRESS_HEADER).and_then(|value| value.to_str().ok());
         if let Some(address) = visitor.and_then(|text| text.parse().ok()) {
             self.router.note_visitor(address);
         }
--- a/crates/kumquatnotch-route/src/relay_message.rs
+++ b/crates/kumquatnotch-route/src/relay_message.rs
@@ -63,7 +63,7 @@
     /// The route, as far as the gathering needs it.
     pub fn route(&self) -> Route {
         let shards = self.shards.iter().map(|(name, _)| ServiceName::from(&**name));
-        let set = ShardSet { shards: shards.collect(), top: self.top, least: 0.0 };
+        let set = ShardSet { shards: shards.collect(), top: self.top, min_coverage: 0.0 };
         Route {
             name: RouteName::from(&*self.route),
             host: String::new(),
--- a/crates/kumquatnotch-route/src/relay_plan.rs
+++ b/crates/kumquatnotch-route/src/relay_plan.rs
@@ -33,7 +33,7 @@
 /// Which shards of a search are asked for, and by whom.
 pub struct Plan {
     /// The shards that are asked for from here, by their place in the set.
-    pub here: Vec<usize>,
+    pub direct: Vec<usize>,
     /// The shards that are asked for through nodes of other data centres.
     pub groups: Vec<Group>,
 }
@@ -41,27 +41,34 @@
 /// Plans a search over `shards`, by their place in the set.
 pub fn plan(router: &Router, route: &Route, set: &ShardSet, shards: &[usize]) -> Plan {
     if !router.uses(Mechanism::Relays) {
-        return Plan { here: shards.to_vec(), groups: Vec::new() };
+        return Plan { direct: shards.to_vec(), groups: Vec::new() };
     }
-    let rated: Vec<(usize, Vec<(DataCentre, Rating)>)> =
-        shards.iter().map(|index| (*index, rate(router, route, &set.shards[*index]))).collect();
-    let places = rated.iter().map(|(index, rated)| {
-        let rated: Vec<(&DataCentre, Rating)> =
-            rated.iter().map(|(centre, rating)| (centre, *rating)).collect();
-        Place { index: *index, centres: plan::nearest_centres(&rated) }
+    let ratings: Vec<(usize, Vec<(DataCentre, Rating)>)> = shards
+        .iter()
+        .map(|index| (*index, rate_by_centre(router, route, &set.shards[*index])))
+        .collect();
+    let places = ratings.iter().map(|(index, ratings)| {
+        let ratings: Vec<(&DataCentre, Rating)> =
+            ratings.iter().map(|(centre, rating)| (centre, *rating)).collect();
+        Place { index: *index, centres: plan::nearest_centres(&ratings) }
     });
     let peer_in = |centre: &DataCentre| router.peer_in(&route.host, centre);
-    let plan::Plan { here, groups } =
+    let plan::Plan { here: direct, groups } =
         plan::Plan::new(places.collect(), &router.place.centre, &router.random, peer_in);
     let groups = groups.into_iter().map(|plan::Group { peer, shards }| {
-        let allowed = shards.iter().map(|index| allowed(router, route, &set.shards[*index]));
+        let allowed =
+            shards.iter().map(|index| allowed_replicas(router, route, &set.shards[*index]));
         Group { peer, allowed: allowed.collect(), shards }
     });
-    Plan { here, groups: groups.collect() }
+    Plan { direct, groups: groups.collect() }
 }
 
 /// The replicas of a shard that take requests, by their data centres.
-fn rate(router: &Router, route: &Route, shard: &ServiceName) -> Vec<(DataCentre, Rating)> {
+fn rate_by_centre(
+    router: &Router,
+    route: &Route,
+    shard: &ServiceName,
+) -> Vec<(DataCentre, Rating)> {
     let now = router.clock.now();
     let need = router.need_at(route, shard);
     let replicas = router.directory.of(shard);
@@ -70,7 +77,7 @@
 }
 
 /// The replicas of a shard that one search may ask; none means any.
-fn allowed(router: &Router, route: &Route, shard: &ServiceName) -> Vec<ReplicaId> {
+fn allowed_replicas(router: &Router, route: &Route, shard: &ServiceName) -> Vec<ReplicaId> {
     let replicas = router.directory.of(shard);
     if replicas.len() <= route.attempts as usize {
         return Vec::new();
--- a/crates/kumquatnotch-route/src/replica.rs
+++ b/crates/kumquatnotch-route/src/replica.rs
@@ -16,9 +16,9 @@
 };
 
 use crate::{
-    gate::Gate,
-    links::Links,
+    connection_pool::ConnectionPool,
     names::{ReplicaId, ServiceName},
+    semaphore::PrioritySemaphore,
 };
 
 /// What a replica says of itself.
@@ -45,14 +45,14 @@
     /// Its name.
     pub id: ReplicaId,
     /// The permits to be with it.
-    pub gate: Rc<Gate>,
+    pub semaphore: Rc<PrioritySemaphore>,
     /// The connections to it.
-    pub links: Links,
+    pub pool: ConnectionPool,
     /// What was learned of it.
     pub observed: Observed,
     spec: RefCell<ReplicaSpec>,
     gone: Cell<bool>,
-    left: Cell<bool>,
+    presumed_gone: Cell<bool>,
 }
 
 impl Replica {
@@ -60,12 +60,12 @@
     pub fn new(id: ReplicaId, spec: ReplicaSpec, distance: Rc<Distance>, now: Instant) -> Replica {
         Replica {
             id,
-            gate: Rc::default(),
-            links: Links::new(spec.address),
+            semaphore: Rc::default(),
+            pool: ConnectionPool::new(spec.address),
             observed: Observed::new(spec.slots, distance, now),
             spec: RefCell::new(spec),
             gone: Cell::new(false),
-            left: Cell::new(false),
+            presumed_gone: Cell::new(false),
         }
     }
 
@@ -83,7 +83,7 @@
     /// Marks it as gone, so that nothing is sent any more.
     pub fn set_gone(&self) {
         self.gone.set(true);
-        self.links.close();
+        self.pool.close();
     }
 
     /// Whether it is gone from the directory.
@@ -92,8 +92,8 @@
     }
 
     /// Sets whether it has probably left, though it may still be back.
-    pub fn set_left(&self, left: bool) {
-        self.left.set(left);
+    pub fn set_presumed_gone(&self, presumed_gone: bool) {
+        self.presumed_gone.set(presumed_gone);
     }
 
     /// Whether new requests may be sent to it at all.
@@ -104,9 +104,9 @@
 
     /// What is to be expected of it.
     pub fn rate(&self, need: Need, now: Instant) -> Rating {
-        let (waiting, limit) = (self.gate.waiting(), self.gate.limit());
+        let (waiting, limit) = (self.semaphore.waiting(), self.semaphore.limit());
         let rating = Rating::new(Candidate { observed: &self.observed, waiting, limit }, need, now);
-        if self.left.get() { rating.of_left() } else { rating }
+        if self.presumed_gone.get() { rating.of_left() } else { rating }
     }
 }
 
--- a/crates/kumquatnotch-route/src/request_log.rs
+++ b/crates/kumquatnotch-route/src/request_log.rs
@@ -4,10 +4,10 @@
 
 use http::{HeaderValue, StatusCode};
 
-use crate::{call::CallTrace, route::Route, router::Router};
+use crate::{call::CallStats, route::Route, router::Router};
 
 /// What is known of a request besides its bytes.
-pub(crate) struct Asked {
+pub(crate) struct RequestContext {
     pub(crate) identity: HeaderValue,
     pub(crate) route: Rc<Route>,
     pub(crate) version: u64,
@@ -16,14 +16,14 @@
     pub(crate) due: Instant,
     pub(crate) deadline: Instant,
     /// Whether the caller comes again, so late that the answer can't be in time.
-    pub(crate) returning: bool,
+    pub(crate) is_late_retry: bool,
 }
 
 /// Writes one line for a request, also if its caller goes away.
 pub(crate) struct RequestLog<'a> {
     router: &'a Router,
-    asked: &'a Asked,
-    pub(crate) trace: CallTrace,
+    context: &'a RequestContext,
+    pub(crate) stats: CallStats,
     pub(crate) parts: Cell<usize>,
     pub(crate) missing: Cell<usize>,
     pub(crate) relayed: Cell<usize>,
@@ -31,11 +31,11 @@
 }
 
 impl<'a> RequestLog<'a> {
-    pub(crate) fn new(router: &'a Router, asked: &'a Asked) -> RequestLog<'a> {
+    pub(crate) fn new(router: &'a Router, context: &'a RequestContext) -> RequestLog<'a> {
         RequestLog {
             router,
-            asked,
-            trace: CallTrace::default(),
+            context,
+            stats: CallStats::default(),
             parts: Cell::new(0),
             missing: Cell::new(0),
             relayed: Cell::new(0),
@@ -46,9 +46,9 @@
     /// Writes it.
     pub(crate) fn write(&self, status: StatusCode, reason: &'static str) {
         self.written.set(true);
-        let asked = self.asked;
-        let took = self.router.clock.now().saturating_duration_since(asked.arrival);
-        let route = asked.route.name.as_str();
+        let context = self.context;
+        let took = self.router.clock.now().saturating_duration_since(context.arrival);
+        let route = context.route.name.as_str();
         metrics::counter!(
             "kumquatnotch_requests_total",
             "route" => route.to_owned(),
@@ -58,20 +58,21 @@
         metrics::histogram!("kumquatnotch_request_seconds", "route" => route.to_owned())
             .record(took.as_secs_f64());
         tracing::info!(
-            request = asked.identity.to_str().unwrap_or_default(),
+            request = context.identity.to_str().unwrap_or_default(),
             route,
-            version = asked.version,
+            version = context.version,
             status = status.as_u16(),
             reason,
             ms = took.as_millis() as u64,
-            due_ms = asked.due.saturating_duration_since(asked.arrival).as_millis() as u64,
-            left_ms = asked.deadline.saturating_duration_since(self.router.clock.now()).as_millis()
-                as u64,
+            due_ms = context.due.saturating_duration_since(context.arrival).as_millis() as u64,
+            left_ms =
+                context.deadline.saturating_duration_since(self.router.clock.now()).as_millis()
+                    as u64,
             parts = self.parts.get(),
             missing = self.missing.get(),
             relayed = self.relayed.get(),
-            hedges = self.trace.hedges.get(),
-            retries = self.trace.retries.get(),
+            hedges = self.stats.hedges.get(),
+            retries = self.stats.retries.get(),
             "front: answered"
         );
     }
--- a/crates/kumquatnotch-route/src/route.rs
+++ b/crates/kumquatnotch-route/src/route.rs
@@ -35,15 +35,15 @@
     /// How many of the greatest records an answer has.
     pub top: usize,
     /// The least share of the shards that must be covered, from zero to one.
-    pub least: f64,
+    pub min_coverage: f64,
 }
 
 impl ShardSet {
     /// How many parts an answer must have at least.
-    pub fn least_parts(&self) -> usize {
+    pub fn min_parts(&self) -> usize {
         // The share is a decimal fraction, whose product may lie a rounding
         // error above the whole number that is meant.
-        let parts = (self.least * self.shards.len() as f64 - 1e-9).ceil();
+        let parts = (self.min_coverage * self.shards.len() as f64 - 1e-9).ceil();
         (parts as usize).max(1)
     }
 }
@@ -149,7 +149,7 @@
     }
 
     /// The hosts with a route over shards.
-    pub fn hosts_of_shards(&self) -> impl Iterator<Item = &str> {
+    pub fn sharded_hosts(&self) -> impl Iterator<Item = &str> {
         let over_shards = |host: &Host| {
             host.routes.iter().any(|route| matches!(route.destination, Destination::Shards(_)))
         };
--- a/crates/kumquatnotch-route/src/gate.rs
+++ b/crates/kumquatnotch-route/src/semaphore.rs
@@ -12,8 +12,8 @@
 
 /// A bound with those that wait for it.
 #[derive(Debug, Default)]
-pub struct Gate {
-    taken: Cell<u32>,
+pub struct PrioritySemaphore {
+    in_use: Cell<u32>,
     limit: Cell<u32>,
     waiting: RefCell<Vec<Waiter>>,
 }
@@ -26,17 +26,17 @@
 
 /// The right to use the replica, until it is dropped.
 #[derive(Debug)]
-pub struct Permit(Rc<Gate>);
+pub struct Permit(Rc<PrioritySemaphore>);
 
-impl Gate {
+impl PrioritySemaphore {
     /// Sets the bound.
     pub fn set_limit(&self, limit: u32) {
         self.limit.set(limit);
     }
 
     /// How many permits are out.
-    pub fn taken(&self) -> u32 {
-        self.taken.get()
+    pub fn in_use(&self) -> u32 {
+        self.in_use.get()
     }
 
     /// How many wait.
@@ -50,9 +50,9 @@
     }
 
     /// Waits for a permit.
-    pub async fn acquire(self: &Rc<Gate>, priority: u32) -> Permit {
-        if self.taken.get() < self.limit.get() {
-            return self.hand_out();
+    pub async fn acquire(self: &Rc<PrioritySemaphore>, priority: u32) -> Permit {
+        if self.in_use.get() < self.limit.get() {
+            return self.issue_permit();
         }
         loop {
             let (sender, receiver) = oneshot::channel();
@@ -68,19 +68,19 @@
         }
     }
 
-    fn hand_out(self: &Rc<Gate>) -> Permit {
-        self.taken.set(self.taken.get() + 1);
+    fn issue_permit(self: &Rc<PrioritySemaphore>) -> Permit {
+        self.in_use.set(self.in_use.get() + 1);
         Permit(self.clone())
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let gate = &self.0;
-        gate.taken.set(gate.taken.get() - 1);
-        while gate.taken.get() < gate.limit.get() {
+        let semaphore = &self.0;
+        semaphore.in_use.set(semaphore.in_use.get() - 1);
+        while semaphore.in_use.get() < semaphore.limit.get() {
             let next = {
-                let mut waiting = gate.waiting.borrow_mut();
+                let mut waiting = semaphore.waiting.borrow_mut();
                 if waiting.is_empty() { None } else { Some(waiting.remove(0)) }
             };
             let Some(waiter) = next else { return };
@@ -89,7 +89,7 @@
             }
             // A waiter that goes away in this moment drops the permit, which
             // brings it back here.
-            let _ = waiter.sender.send(gate.hand_out());
+            let _ = waiter.sender.send(semaphore.issue_permit());
         }
     }
 }
--- a/crates/kumquatnotch-route/src/insist.rs
+++ b/crates/kumquatnotch-route/src/store_retry.rs
@@ -13,42 +13,42 @@
 
 /// The pauses between calls, before jitter.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pauses {
+pub(crate) struct RetryDelays {
     /// The first one; they double.
-    pub(crate) first: Duration,
+    pub(crate) initial: Duration,
     /// The longest one.
-    pub(crate) most: Duration,
+    pub(crate) max: Duration,
 }
 
 /// What the store answered.
 pub(crate) struct Answer<T> {
     pub(crate) value: T,
     /// When it was asked for that.
-    pub(crate) asked: Instant,
+    pub(crate) asked_at: Instant,
 }
 
 /// Makes a call until one is answered, however long that takes; earlier ones go on.
 ///
 /// Of the errors, only that the history is gone is an answer. `failures` is how many calls
 /// have failed before, as the first failure and the return of the store are told.
-pub(crate) async fn insist<'a, T>(
+pub(crate) async fn call_until_answered<'a, T>(
     router: &Router,
-    pauses: Pauses,
+    delays: RetryDelays,
     mut failures: u32,
     call: impl Fn() -> LocalFuture<'a, Result<T>>,
 ) -> Result<Answer<T>> {
     let clock = &*router.clock;
-    let mut pause = pauses.first;
+    let mut delay = delays.initial;
     let mut running = FuturesUnordered::new();
     let mut again = std::future::ready(()).boxed_local().fuse();
     loop {
-        let (asked, result) = select_biased! {
+        let (asked_at, result) = select_biased! {
             ended = running.select_next_some() => ended,
             () = again => {
-                let asked = clock.now();
-                running.push(call().map(move |result| (asked, result)));
-                again = clock::sleep(clock, router.random.jitter(pause)).fuse();
-                pause = (pause * 2).min(pauses.most);
+                let asked_at = clock.now();
+                running.push(call().map(move |result| (asked_at, result)));
+                again = clock::sleep(clock, router.random.jitter(delay)).fuse();
+                delay = (delay * 2).min(delays.max);
                 continue;
             }
         };
@@ -57,7 +57,7 @@
                 if failures > 0 {
                     tracing::info!(failures, "mirror: the store answers again");
                 }
-                return Ok(Answer { value, asked });
+                return Ok(Answer { value, asked_at });
             }
             Err(Error::VersionUnknown { version }) => {
                 return Err(Error::VersionUnknown { version });
--- a/crates/kumquatnotch-route/tests/forecasts.rs
+++ b/crates/kumquatnotch-route/tests/admission.rs
@@ -12,10 +12,10 @@
 use kumquatnotch_policy::{observed::Fitness, strain::Fate};
 use kumquatnotch_route::{
     admission,
-    gate::{Gate, Permit},
     gather::Search,
     names::ReplicaId,
     route::{Destination, Route},
+    semaphore::{Permit, PrioritySemaphore},
 };
 use yare::parameterized;
 
@@ -25,46 +25,50 @@
     let now = RuntimeClock.now();
     let due = now + Duration::from_millis(150);
     let deadline = now + Duration::from_secs(2);
-    Search { route, set, request, identity, due, deadline, returning: false }
+    Search { route, set, request, identity, due, deadline, is_late_retry: false }
 }
 
 /// Whether a tier lets in a search that has just come; if not, when it may come again.
-async fn foretell(tier: &Tier, route: &Route) -> Result<(), Duration> {
+async fn try_admit(tier: &Tier, route: &Route) -> Result<(), Duration> {
     let (request, identity) = (Request::get("/a/"), HeaderValue::from_static("r1"));
     let admitted = admission::admit(&tier.router, &search(route, &request, &identity));
-    admitted.map_err(|refused| refused.retry)
+    admitted.map_err(|refused| refused.retry_after)
 }
 
 /// A gate that lets in one at a time.
-fn gate() -> Rc<Gate> {
-    let gate = Rc::new(Gate::default());
-    gate.set_limit(1);
-    gate
+fn semaphore() -> Rc<PrioritySemaphore> {
+    let semaphore = Rc::new(PrioritySemaphore::default());
+    semaphore.set_limit(1);
+    semaphore
 }
 
 /// Whether a tier lets in a search whose caller comes again, and how long it waited.
-async fn await_room(tier: &Tier, route: &Route) -> (bool, Duration) {
-    let (permit, took) = await_permit(tier, &gate(), route).await;
+async fn wait_for_capacity(tier: &Tier, route: &Route) -> (bool, Duration) {
+    let (permit, took) = await_permit(tier, &semaphore(), route).await;
     (permit.is_some(), took)
 }
 
-async fn await_permit(tier: &Tier, gate: &Rc<Gate>, route: &Route) -> (Option<Permit>, Duration) {
+async fn await_permit(
+    tier: &Tier,
+    semaphore: &Rc<PrioritySemaphore>,
+    route: &Route,
+) -> (Option<Permit>, Duration) {
     let (request, identity) = (Request::get("/a/"), HeaderValue::from_static("r1"));
     let start = RuntimeClock.now();
-    let mut search = Search { returning: true, ..search(route, &request, &identity) };
-    let permit = admission::await_room(&tier.router, gate, &mut search).await;
+    let mut search = Search { is_late_retry: true, ..search(route, &request, &identity) };
+    let permit = admission::wait_for_capacity(&tier.router, semaphore, &mut search).await;
     (permit, RuntimeClock.now() - start)
 }
 
 /// A tier with a replica for each of `count` shards.
 fn tier(count: usize) -> (Tier, Vec<ReplicaId>) {
     let tier = Tier::new();
-    let ids = (0..count).map(|index| tier.add(&format!("s{index}"), nowhere())).collect();
+    let ids = (0..count).map(|index| tier.add(&format!("s{index}"), refusing_address())).collect();
     (tier, ids)
 }
 
 /// Lets the replica be known as `times` slower than usual.
-fn slow(tier: &Tier, id: &ReplicaId, times: u32) {
+fn slow_down(tier: &Tier, id: &ReplicaId, times: u32) {
     let replica = tier.router.directory.find(id).unwrap();
     let usual = Duration::from_millis(10);
     (0..60).for_each(|_| replica.observed.note_speed(usual * times, usual, RuntimeClock.now()));
@@ -82,7 +86,7 @@
     run(async {
         let (tier, _) = tier(4);
 
-        assert_eq!(foretell(&tier, &shards(4, 0.5)).await, Ok(()));
+        assert_eq!(try_admit(&tier, &shards(4, 0.5)).await, Ok(()));
     });
 }
 
@@ -93,12 +97,12 @@
     two_slow = { &[30, 20], 0.5 },
     one_of_two_is_needed = { &[30, 20], 0.75 },
 )]
-fn a_search_that_slow_shards_make_thinner_is_let_in(slowness: &[u32], least: f64) {
+fn a_search_that_slow_shards_make_thinner_is_let_in(slowness: &[u32], min_coverage: f64) {
     run(async {
         let (tier, ids) = tier(4);
-        slowness.iter().zip(&ids).for_each(|(times, id)| slow(&tier, id, *times));
+        slowness.iter().zip(&ids).for_each(|(times, id)| slow_down(&tier, id, *times));
 
-        assert_eq!(foretell(&tier, &shards(4, least)).await, Ok(()));
+        assert_eq!(try_admit(&tier, &shards(4, min_coverage)).await, Ok(()));
     });
 }
 
@@ -108,7 +112,7 @@
         let (tier, ids) = tier(4);
         tier.router.directory.find(&ids[0]).unwrap().observed.set_fitness(Fitness::Suspect);
 
-        assert_eq!(foretell(&tier, &shards(4, 0.5)).await, Ok(()));
+        assert_eq!(try_admit(&tier, &shards(4, 0.5)).await, Ok(()));
     });
 }
 
@@ -124,12 +128,14 @@
         let (tier, _) = tier(18);
         let route = shards(20, 0.95);
 
-        let refused = foretell(&tier, &route).await;
-        tier.add("s18", nowhere());
-        let admitted = foretell(&tier, &route).await;
+        let refused = try_admit(&tier, &route).await;
+        tier.add("s18", refusing_address());
+        let admitted = try_admit(&tier, &route).await;
 
-        let retry = refused.unwrap_err();
-        assert!(retry > Duration::from_millis(600) && retry < Duration::from_millis(700));
+        let retry_after = refused.unwrap_err();
+        assert!(
+            retry_after > Duration::from_millis(600) && retry_after < Duration::from_millis(700)
+        );
         assert_eq!(admitted, Ok(()));
     });
 }
@@ -156,11 +162,13 @@
         crowd(&tier, &ids[0], 40);
         crowd(&tier, &ids[1], 40);
 
-        let needed = foretell(&tier, &shards(4, 0.75)).await;
-        let spared = foretell(&tier, &shards(4, 0.5)).await;
+        let needed = try_admit(&tier, &shards(4, 0.75)).await;
+        let spared = try_admit(&tier, &shards(4, 0.5)).await;
 
-        let retry = needed.unwrap_err();
-        assert!(retry >= Duration::from_millis(40) && retry <= Duration::from_millis(400));
+        let retry_after = needed.unwrap_err();
+        assert!(
+            retry_after >= Duration::from_millis(40) && retry_after <= Duration::from_millis(400)
+        );
         assert_eq!(spared, Ok(()));
     });
 }
@@ -171,9 +179,9 @@
 fn a_search_that_needs_a_slow_shard_is_served_late() {
     run(async {
         let (tier, ids) = tier(2);
-        slow(&tier, &ids[1], 20);
+        slow_down(&tier, &ids[1], 20);
 
-        assert_eq!(foretell(&tier, &shards(2, 1.0)).await, Ok(()));
+        assert_eq!(try_admit(&tier, &shards(2, 1.0)).await, Ok(()));
     });
 }
 
@@ -186,7 +194,7 @@
         let (tier, ids) = tier(2);
         ids.iter().for_each(|id| crowd(&tier, id, 12));
 
-        let (has_room, took) = await_room(&tier, &shards(2, 1.0)).await;
+        let (has_room, took) = wait_for_capacity(&tier, &shards(2, 1.0)).await;
 
         // Each works off twelve requests of 20 ms two at a time.
         assert!(has_room);
@@ -200,7 +208,7 @@
         let (tier, ids) = tier(2);
         ids.iter().for_each(|id| crowd(&tier, id, 800));
 
-        let (has_room, took) = await_room(&tier, &shards(2, 1.0)).await;
+        let (has_room, took) = wait_for_capacity(&tier, &shards(2, 1.0)).await;
 
         assert!(!has_room);
         assert!(took > Duration::from_millis(600));
@@ -218,7 +226,7 @@
         (0..3)
             .for_each(|_| tier.router.strains.note(&route.name, Fate::Refused, RuntimeClock.now()));
 
-        let (has_room, took) = await_room(&tier, &route).await;
+        let (has_room, took) = wait_for_capacity(&tier, &route).await;
 
         assert!(!has_room);
         assert!(took < Duration::from_millis(20));
@@ -231,16 +239,16 @@
 fn searches_that_come_again_are_let_in_one_after_the_other() {
     run(async {
         let (tier, _) = tier(2);
-        let (gate, route) = (gate(), shards(2, 1.0));
+        let (semaphore, route) = (semaphore(), shards(2, 1.0));
 
-        let (first, _) = await_permit(&tier, &gate, &route).await;
-        let (second, waited) = await_permit(&tier, &gate, &route).await;
+        let (first, _) = await_permit(&tier, &semaphore, &route).await;
+        let (second, waited) = await_permit(&tier, &semaphore, &route).await;
         let is_refused = second.is_none();
         let end = async {
             monoio::time::sleep(Duration::from_millis(100)).await;
             drop(first);
         };
-        let ((third, took), ()) = join(await_permit(&tier, &gate, &route), end).await;
+        let ((third, took), ()) = join(await_permit(&tier, &semaphore, &route), end).await;
 
         assert!(is_refused && waited > Duration::from_millis(700));
         assert!(third.is_some() && took >= Duration::from_millis(100));
@@ -262,13 +270,13 @@
         let crowd_all = || ids.iter().for_each(|id| crowd(&tier, id, 3));
 
         crowd_all();
-        let before = foretell(&tier, &route).await;
+        let before = try_admit(&tier, &route).await;
         note(20, Fate::Late);
         crowd_all();
-        let pressed = foretell(&tier, &route).await;
+        let pressed = try_admit(&tier, &route).await;
         note(100, Fate::InTime);
         crowd_all();
-        let after = foretell(&tier, &route).await;
+        let after = try_admit(&tier, &route).await;
 
         assert_eq!(before, Ok(()));
         assert!(pressed.is_err(), "{pressed:?}");
@@ -287,8 +295,11 @@
         (0..80)
             .for_each(|_| tier.router.strains.note(&route.name, Fate::Refused, RuntimeClock.now()));
 
-        let retry = foretell(&tier, &route).await.unwrap_err();
+        let retry_after = try_admit(&tier, &route).await.unwrap_err();
 
-        assert!(retry > Duration::from_millis(300) && retry < Duration::from_secs(1), "{retry:?}");
+        assert!(
+            retry_after > Duration::from_millis(300) && retry_after < Duration::from_secs(1),
+            "{retry_after:?}"
+        );
     });
 }
--- a/crates/kumquatnotch-route/tests/advice.rs
+++ b/crates/kumquatnotch-route/tests/advice.rs
@@ -22,7 +22,7 @@
     let set = ShardSet {
         shards: shards.iter().map(|shard| ServiceName::from(*shard)).collect(),
         top: 10,
-        least: 0.9,
+        min_coverage: 0.9,
     };
     let route = Route {
         name: RouteName::from("search"),
--- a/crates/kumquatnotch-route/tests/common/mod.rs
+++ b/crates/kumquatnotch-route/tests/common/mod.rs
@@ -77,9 +77,9 @@
     Route { kind: RouteKind::Exclusive, ..single() }
 }
 
-pub fn shards(count: usize, least: f64) -> Route {
+pub fn shards(count: usize, min_coverage: f64) -> Route {
     let shards = (0..count).map(|index| service(&format!("s{index}"))).collect();
-    route(Destination::Shards(ShardSet { shards, top: 3, least }))
+    route(Destination::Shards(ShardSet { shards, top: 3, min_coverage }))
 }
 
 pub fn config(version: u64, routes: Vec<Route>) -> RouteConfig {
@@ -180,7 +180,7 @@
     }
 
     /// Lets another node be known.
-    pub fn know(&self, name: &str, centre: &str, peer: SocketAddr) {
+    pub fn add_node(&self, name: &str, centre: &str, peer: SocketAddr) {
         let record = NodeRecord {
             entry: peer,
             peer,
@@ -224,7 +224,7 @@
 }
 
 /// The reply of a sound replica: repeats the identity, and proves itself.
-pub fn sound(request: &Request, proof: &str, body: &[u8]) -> Step {
+pub fn proven_reply(request: &Request, proof: &str, body: &[u8]) -> Step {
     answer(200, &[("x-request-id", header(request, "x-request-id")), ("x-proof", proof)], body)
 }
 
@@ -232,13 +232,13 @@
 pub fn replica(proof: &'static str, body: &'static [u8]) -> Scripted {
     Scripted::start(move |request| match request.path.as_str() {
         "/probe" => vec![answer(200, &[], b"")],
-        _ => vec![sound(request, proof, body)],
+        _ => vec![proven_reply(request, proof, body)],
     })
     .unwrap()
 }
 
 /// A replica that plays `steps` for each request, and answers no probe.
-pub fn playing(steps: impl Fn(&Request) -> Vec<Step> + 'static) -> Scripted {
+pub fn scripted_replica(steps: impl Fn(&Request) -> Vec<Step> + 'static) -> Scripted {
     Scripted::start(move |request| match request.path.as_str() {
         "/probe" => vec![Step::Silence],
         _ => steps(request),
@@ -250,7 +250,7 @@
 ///
 /// No server of a test gets this port, which a port that was free a moment ago could
 /// be given to.
-pub fn nowhere() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
--- a/crates/kumquatnotch-route/tests/rules.rs
+++ b/crates/kumquatnotch-route/tests/components.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use kumquatnotch_route::{
-    gate::Gate,
     merge,
     names::{RouteName, ServiceName},
     route::{Destination, Limits, Route, RouteConfig, RouteKind, RouteTable, ShardSet},
+    semaphore::PrioritySemaphore,
 };
 use yare::parameterized;
 
@@ -62,10 +62,10 @@
     never_none = { 20, 0.0, 1 },
     no_rounding_error = { 100, 0.29, 29 },
 )]
-fn the_least_share_is_a_number_of_parts(shards: usize, least: f64, parts: usize) {
+fn the_least_share_is_a_number_of_parts(shards: usize, min_coverage: f64, parts: usize) {
     let shards = (0..shards).map(|index| ServiceName::from(&*format!("s{index}"))).collect();
 
-    assert_eq!(ShardSet { shards, top: 1, least }.least_parts(), parts);
+    assert_eq!(ShardSet { shards, top: 1, min_coverage }.min_parts(), parts);
 }
 
 fn records(firsts: &[u8], rest: usize) -> Bytes {
@@ -91,12 +91,12 @@
 
 #[test]
 fn the_more_urgent_waiter_goes_first_and_one_that_left_holds_nobody_up() {
-    let gate = Rc::new(Gate::default());
-    gate.set_limit(1);
-    let held = gate.acquire(1).now_or_never().unwrap();
-    let mut patient = Box::pin(gate.acquire(2));
-    let mut left = Box::pin(gate.acquire(0));
-    let mut urgent = Box::pin(gate.acquire(1));
+    let semaphore = Rc::new(PrioritySemaphore::default());
+    semaphore.set_limit(1);
+    let held = semaphore.acquire(1).now_or_never().unwrap();
+    let mut patient = Box::pin(semaphore.acquire(2));
+    let mut left = Box::pin(semaphore.acquire(0));
+    let mut urgent = Box::pin(semaphore.acquire(1));
     for waiter in [&mut patient, &mut left, &mut urgent] {
         assert!(waiter.as_mut().now_or_never().is_none());
     }
@@ -108,5 +108,5 @@
     let held = urgent.now_or_never().unwrap();
     drop(held);
     assert!(patient.now_or_never().is_some());
-    assert_eq!(gate.taken(), 0);
+    assert_eq!(semaphore.in_use(), 0);
 }
--- a/crates/kumquatnotch-route/tests/crashes.rs
+++ b/crates/kumquatnotch-route/tests/crashes.rs
@@ -104,13 +104,13 @@
         let mut reached = 0;
         let mut statuses = Vec::new();
         for attempt in 0..4 {
-            let replica = playing(|_| vec![Step::Close]);
+            let replica = scripted_replica(|_| vec![Step::Close]);
             tier.add("s0", replica.address);
             let answer = tier.post("/a/crash", &format!("r{attempt}"), b"body").await;
             statuses.push((answer.status, answer.headers.contains_key("retry-after")));
             reached += replica.requests().len();
             // It is gone with the request, and back under another name at best.
-            gone(&tier, replica).await;
+            remove_crashed(&tier, replica).await;
         }
 
         assert_eq!(statuses, [(502, false), (502, false), (502, false), (503, true)]);
@@ -123,7 +123,7 @@
 fn a_lost_answer_is_no_crash() {
     run(async {
         let tier = Tier::serving(exclusive());
-        let replica = playing(|_| vec![Step::Close]);
+        let replica = scripted_replica(|_| vec![Step::Close]);
         tier.add("s0", replica.address);
 
         for attempt in 0..4 {
@@ -137,7 +137,7 @@
 }
 
 /// Ends a replica, waits until its end was noticed, and takes it out of the directory.
-async fn gone(tier: &Tier, replica: Scripted) {
+async fn remove_crashed(tier: &Tier, replica: Scripted) {
     let address = replica.address;
     drop(replica);
     pause(2_700).await;
--- a/crates/kumquatnotch-route/tests/first_reading.rs
+++ b/crates/kumquatnotch-route/tests/first_reading.rs
@@ -122,7 +122,7 @@
 fn a_node_that_callers_use_waits_for_no_other() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        let silent = playing(|_| vec![standins::scripted::Step::Silence]);
+        let silent = scripted_replica(|_| vec![standins::scripted::Step::Silence]);
         store.put("n/r1", &node_entry(silent.address, 1.0));
         let began = Instant::now();
 
@@ -140,7 +140,7 @@
 fn a_node_that_asks_others_first_waits_for_none_of_them_for_long() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        let silent = playing(|_| vec![standins::scripted::Step::Silence]);
+        let silent = scripted_replica(|_| vec![standins::scripted::Step::Silence]);
         for number in 0..6 {
             store.put(&format!("n/a{number}"), &node_entry(silent.address, 1.0));
         }
@@ -162,7 +162,7 @@
     run(async {
         let (large, tier, store) = (Tier::named("r1", 100.0, "home"), Tier::new(), store());
         store.put("n/r1", &node_entry(large.peer.address(), 8.0));
-        store.put("n/r2", &node_entry(nowhere(), 8.0));
+        store.put("n/r2", &node_entry(refusing_address(), 8.0));
         let own = Rc::new(FakeStore::default());
         for item in store.everything().items {
             own.put(&item.key, &item.value);
--- a/crates/kumquatnotch-route/tests/follow.rs
+++ b/crates/kumquatnotch-route/tests/follow.rs
@@ -38,7 +38,7 @@
         store.put("n/r1", &node_entry(r1.tier.peer.address(), 2.0));
         store.put("n/r2", &node_entry(r2.tier.peer.address(), 2.0));
         for name in ["u", "v", "w"] {
-            store.put(&format!("n/{name}"), &node_entry(nowhere(), 1.0));
+            store.put(&format!("n/{name}"), &node_entry(refusing_address(), 1.0));
         }
         store.put("n/z", &node_entry(z.tier.peer.address(), 1.0));
     }
--- a/crates/kumquatnotch-route/tests/forwarding.rs
+++ b/crates/kumquatnotch-route/tests/forwarding.rs
@@ -46,7 +46,7 @@
 fn a_failure_of_the_replica_passes_with_its_proof_and_status() {
     run(async {
         let tier = Tier::serving(exclusive());
-        let replica = playing(|_| vec![answer(500, &[("x-proof", "p")], b"broken")]);
+        let replica = scripted_replica(|_| vec![answer(500, &[("x-proof", "p")], b"broken")]);
         tier.add("s0", replica.address);
 
         let answer = tier.post("/a/", "r1", b"x").await;
@@ -62,8 +62,8 @@
 fn a_lost_reply_to_an_exclusive_request_is_an_unknown_outcome() {
     run(async {
         let tier = Tier::serving(exclusive());
-        let first = playing(|_| vec![Step::Close]);
-        let second = playing(|_| vec![Step::Close]);
+        let first = scripted_replica(|_| vec![Step::Close]);
+        let second = scripted_replica(|_| vec![Step::Close]);
         tier.add("s0", first.address);
         tier.add("s0", second.address);
 
@@ -81,7 +81,7 @@
 fn a_rejected_exclusive_request_goes_to_another_replica() {
     run(async {
         let tier = Tier::serving(exclusive());
-        let full = playing(|_| vec![answer(503, &[("x-not-run", "1")], b"")]);
+        let full = scripted_replica(|_| vec![answer(503, &[("x-not-run", "1")], b"")]);
         let other = replica("p", b"done");
         tier.add("s0", full.address);
         tier.add("s0", other.address);
@@ -102,7 +102,8 @@
 fn a_request_that_every_replica_rejects_is_refused_with_the_time_to_come_back() {
     run(async {
         let tier = Tier::serving(exclusive());
-        let full = playing(|_| vec![answer(503, &[("x-not-run", "1"), ("x-proof", "p")], b"")]);
+        let full =
+            scripted_replica(|_| vec![answer(503, &[("x-not-run", "1"), ("x-proof", "p")], b"")]);
         tier.add("s0", full.address);
 
         let start = RuntimeClock.now();
@@ -121,8 +122,8 @@
     run(async {
         let tier = Tier::serving(exclusive());
         let other = replica("p", b"done");
-        tier.add("s0", nowhere());
-        tier.add("s0", nowhere());
+        tier.add("s0", refusing_address());
+        tier.add("s0", refusing_address());
         tier.add("s0", other.address);
 
         let answer = tier.post("/a/", "r1", b"x").await;
@@ -140,7 +141,7 @@
         let tier = Tier::serving(single());
         let doubled = Scripted::start(|request| {
             let body = header(request, "x-request-id").as_bytes();
-            let reply = sound(request, "p", body);
+            let reply = proven_reply(request, "p", body);
             vec![reply.clone(), Step::Wait(Duration::from_millis(30)), reply]
         })
         .unwrap();
@@ -161,7 +162,7 @@
 fn a_reply_without_length_is_whole_when_its_connection_ends() {
     run(async {
         let tier = Tier::serving(single());
-        let unframed = playing(|_| {
+        let unframed = scripted_replica(|_| {
             let head = b"HTTP/1.1 200 OK\r\nx-proof: p\r\n\r\nfirst ".to_vec();
             vec![
                 Step::Send(head),
@@ -184,7 +185,7 @@
 fn a_reply_that_breaks_off_is_tried_elsewhere() {
     run(async {
         let tier = Tier::serving(single());
-        let broken = playing(|_| {
+        let broken = scripted_replica(|_| {
             let head = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\nx-proof: p\r\n\r\npart".to_vec();
             vec![Step::Send(head), Step::Close]
         });
@@ -206,7 +207,7 @@
 fn a_replica_whose_address_belongs_to_another_is_left_alone() {
     run(async {
         let tier = Tier::serving(exclusive());
-        let replaced = playing(|_| vec![answer(421, &[("x-incarnation", "other")], b"")]);
+        let replaced = scripted_replica(|_| vec![answer(421, &[("x-incarnation", "other")], b"")]);
         let other = replica("p", b"done");
         tier.add("s0", replaced.address);
         tier.add("s0", other.address);
@@ -245,9 +246,9 @@
     run(async {
         let tier = Tier::serving(single());
 
-        assert!(tier.router.own_part() <= 0.1);
+        assert!(tier.router.own_share() <= 0.1);
         pause(3_100).await;
-        assert_eq!(tier.router.own_part(), 1.0);
+        assert_eq!(tier.router.own_share(), 1.0);
     });
 }
 
@@ -257,7 +258,7 @@
 fn a_caller_that_leaves_ends_the_work_of_the_replica() {
     run(async {
         let tier = Tier::serving(single());
-        let slow = playing(|_| vec![Step::Silence]);
+        let slow = scripted_replica(|_| vec![Step::Silence]);
         tier.add("s0", slow.address);
 
         let headers = [("host", HOST), ("x-request-id", "r1")];
--- a/crates/kumquatnotch-route/tests/copies.rs
+++ b/crates/kumquatnotch-route/tests/hedging.rs
@@ -19,7 +19,7 @@
 fn a_silent_replica_costs_one_copy_and_is_then_avoided() {
     run(async {
         let tier = Tier::serving(single());
-        let silent = playing(|_| vec![Step::Silence]);
+        let silent = scripted_replica(|_| vec![Step::Silence]);
         let other = replica("q", b"whole");
         tier.add("s0", silent.address);
         tier.add("s0", other.address);
@@ -45,9 +45,9 @@
         (0..200).for_each(|_| {
             tier.router.paces.note(&route.name, route.objective, Duration::from_millis(5))
         });
-        let slow = playing(move |request| {
+        let slow = scripted_replica(move |request| {
             let wait = if request.headers["x-request-id"] == "r1" { 200 } else { 1 };
-            vec![Step::Wait(Duration::from_millis(wait)), sound(request, "p", b"late")]
+            vec![Step::Wait(Duration::from_millis(wait)), proven_reply(request, "p", b"late")]
         });
         let full = replica("q", b"whole");
         tier.add("s0", slow.address);
@@ -77,7 +77,8 @@
         let mut route = single();
         route.timeout = Duration::from_millis(400);
         tier.put(1, vec![route]);
-        let silent = [playing(|_| vec![Step::Silence]), playing(|_| vec![Step::Silence])];
+        let silent =
+            [scripted_replica(|_| vec![Step::Silence]), scripted_replica(|_| vec![Step::Silence])];
         silent.iter().for_each(|replica| {
             tier.add("s0", replica.address);
         });
@@ -96,7 +97,7 @@
     run(async {
         let route = single();
         let tier = Tier::serving(route.clone());
-        let telling = playing(|request| {
+        let telling = scripted_replica(|request| {
             let identity = request.headers["x-request-id"].to_str().unwrap().to_owned();
             let headers =
                 [("x-request-id", identity.as_str()), ("x-proof", "p"), ("x-load", "0,0,2,900")];
@@ -104,7 +105,7 @@
         });
         let slow = tier.add("s0", telling.address);
         assert_eq!(tier.get("/a/", "r1").await.status, 200);
-        let other = tier.add("s0", nowhere());
+        let other = tier.add("s0", refusing_address());
         let pick = || {
             let replicas = tier.router.directory.of(&service("s0"));
             let need = tier.router.need(&route);
@@ -130,10 +131,10 @@
         let asked = Rc::new(Cell::new(0));
         let start = |tier: &Tier| {
             let asked = asked.clone();
-            let replica = playing(move |request| {
+            let replica = scripted_replica(move |request| {
                 asked.set(asked.get() + 1);
                 let (wait, body) = if asked.get() == 1 { (90, b"first") } else { (50, b"other") };
-                vec![Step::Wait(Duration::from_millis(wait)), sound(request, "p", body)]
+                vec![Step::Wait(Duration::from_millis(wait)), proven_reply(request, "p", body)]
             });
             (tier.add("s0", replica.address), replica)
         };
@@ -150,7 +151,7 @@
         assert!(replicas.iter().all(|(_, replica)| replica.cut() == 0));
         for replica in known {
             assert_eq!(replica.observed.unanswered(), 0);
-            assert!(replica.links.take(RuntimeClock.now(), Duration::from_secs(9)).is_some());
+            assert!(replica.pool.take(RuntimeClock.now(), Duration::from_secs(9)).is_some());
         }
     });
 }
@@ -162,9 +163,9 @@
     run(async {
         let tier = Tier::serving(single());
         let slow = |request: &standins::http::Request| {
-            vec![Step::Wait(Duration::from_millis(400)), sound(request, "p", b"late")]
+            vec![Step::Wait(Duration::from_millis(400)), proven_reply(request, "p", b"late")]
         };
-        let (first, second) = (playing(slow), playing(slow));
+        let (first, second) = (scripted_replica(slow), scripted_replica(slow));
         tier.add("s0", first.address);
         tier.add("s0", second.address);
 
--- a/crates/kumquatnotch-route/tests/out_of_touch.rs
+++ b/crates/kumquatnotch-route/tests/out_of_touch.rs
@@ -67,7 +67,7 @@
                 node.store.put(&format!("n/{name}"), &node_entry_in(centre, peer, 2.0));
             }
             for name in ["u", "v", "w"] {
-                node.store.put(&format!("n/{name}"), &node_entry(nowhere(), 1.0));
+                node.store.put(&format!("n/{name}"), &node_entry(refusing_address(), 1.0));
             }
             node.store.put("n/z", &node_entry(small.tier.peer.address(), 1.0));
         }
@@ -104,7 +104,7 @@
 fn a_change_is_in_force_in_time_while_the_nearest_readers_hang() {
     run(async {
         let fleet = Fleet::start().await;
-        let hung = playing(|_| vec![standins::scripted::Step::Silence]);
+        let hung = scripted_replica(|_| vec![standins::scripted::Step::Silence]);
         for node in fleet.readers.iter().chain([&fleet.small]) {
             let write = |name| node.store.put(name, &node_entry(hung.address, 2.0));
             ["n/r1", "n/r2"].into_iter().for_each(write);
--- a/crates/kumquatnotch-route/tests/stories.rs
+++ b/crates/kumquatnotch-route/tests/scenarios.rs
@@ -41,9 +41,9 @@
 fn a_check_whose_shards_hang_fails_in_time_and_is_never_empty() {
     run(async {
         let tier = Tier::serving(shards(4, 0.85));
-        let sound: Vec<_> = (0..2).map(|_| replica("p", ROOM)).collect();
-        let silent: Vec<_> = (0..2).map(|_| playing(|_| vec![Step::Silence])).collect();
-        for (index, replica) in sound.iter().chain(&silent).enumerate() {
+        let healthy: Vec<_> = (0..2).map(|_| replica("p", ROOM)).collect();
+        let silent: Vec<_> = (0..2).map(|_| scripted_replica(|_| vec![Step::Silence])).collect();
+        for (index, replica) in healthy.iter().chain(&silent).enumerate() {
             tier.add(&format!("s{index}"), replica.address);
         }
 
@@ -64,13 +64,13 @@
 fn a_hold_at_a_replica_that_froze_is_sent_to_no_other() {
     run(async {
         let tier = Tier::serving(exclusive());
-        let frozen = playing(|request| {
-            vec![Step::Wait(Duration::from_secs(4)), sound(request, "late", b"held")]
+        let frozen = scripted_replica(|request| {
+            vec![Step::Wait(Duration::from_secs(4)), proven_reply(request, "late", b"held")]
         });
         let other = replica("other", b"held");
         let id = tier.add("s0", frozen.address);
         tier.add("s0", other.address);
-        prefer(&tier, &id);
+        make_fastest(&tier, &id);
 
         let answer = tier.post("/a/hold", "r1", b"room 4").await;
 
@@ -93,17 +93,17 @@
         let clock = Rc::new(SuspendedClock::default());
         let tier = Tier::with_clock("me", 100.0, "home", clock.clone());
         tier.put(1, vec![exclusive()]);
-        let busy = playing(|request| {
-            vec![Step::Wait(Duration::from_millis(300)), sound(request, "p", b"held")]
+        let busy = scripted_replica(|request| {
+            vec![Step::Wait(Duration::from_millis(300)), proven_reply(request, "p", b"held")]
         });
         let id = tier.add("s0", busy.address);
         // All but one of the connections that this node may have are taken.
         let replica = tier.router.directory.find(&id).unwrap();
         tier.post("/a/hold", "r0", b"room 2").await;
-        let limit = replica.gate.limit();
+        let limit = replica.semaphore.limit();
         let mut taken = Vec::new();
         for _ in 1..limit {
-            taken.push(replica.gate.acquire(1).await);
+            taken.push(replica.semaphore.acquire(1).await);
         }
 
         let first = tier.post("/a/hold", "r1", b"room 3");
@@ -132,7 +132,7 @@
     run(async {
         let tier = Tier::serving(shards(10, 0.75));
         let offices: Vec<_> = (0..8).map(|_| replica("p", ROOM)).collect();
-        let silent: Vec<_> = (0..2).map(|_| playing(|_| vec![Step::Silence])).collect();
+        let silent: Vec<_> = (0..2).map(|_| scripted_replica(|_| vec![Step::Silence])).collect();
         for (index, replica) in offices.iter().chain(&silent).enumerate() {
             tier.add(&format!("s{index}"), replica.address);
         }
@@ -146,7 +146,7 @@
 }
 
 /// Lets a replica be known as the quicker one, so that it is asked first.
-fn prefer(tier: &Tier, id: &ReplicaId) {
+fn make_fastest(tier: &Tier, id: &ReplicaId) {
     let replica = tier.router.directory.find(id).unwrap();
     (0..20).for_each(|_| replica.observed.note_work(Duration::from_millis(1)));
 }
--- a/crates/kumquatnotch-route/tests/searches.rs
+++ b/crates/kumquatnotch-route/tests/searches.rs
@@ -41,7 +41,7 @@
     run(async {
         let tier = Tier::serving(shards(3, 0.6));
         let replicas = [replica("a", TWO), replica("b", THREE)];
-        let silent = playing(|_| vec![Step::Silence]);
+        let silent = scripted_replica(|_| vec![Step::Silence]);
         tier.add("s0", replicas[0].address);
         tier.add("s1", replicas[1].address);
         tier.add("s2", silent.address);
@@ -102,7 +102,7 @@
     run(async {
         let tier = Tier::serving(shards(3, 0.9));
         let replica = replica("a", TWO);
-        let failing = playing(|_| vec![answer(500, &[("x-proof", "f")], ONE)]);
+        let failing = scripted_replica(|_| vec![answer(500, &[("x-proof", "f")], ONE)]);
         tier.add("s0", replica.address);
         tier.add("s1", failing.address);
         tier.add("s2", failing.address);
@@ -133,10 +133,10 @@
 fn a_failure_with_a_proof_is_no_part() {
     run(async {
         let tier = Tier::serving(shards(1, 1.0));
-        let failing = playing(|_| vec![answer(500, &[("x-proof", "bad")], ONE)]);
-        let sound = replica("good", TWO);
+        let failing = scripted_replica(|_| vec![answer(500, &[("x-proof", "bad")], ONE)]);
+        let healthy = replica("good", TWO);
         tier.add("s0", failing.address);
-        tier.add("s0", sound.address);
+        tier.add("s0", healthy.address);
 
         for index in 0..4 {
             let answer = tier.get("/a/", &format!("r{index}")).await;
@@ -161,8 +161,8 @@
         let (home, away) = (Tier::at(100.0, "home"), Tier::at(100.0, "away"));
         home.put(1, vec![shards(3, 0.6)]);
         away.put(1, vec![shards(3, 0.6)]);
-        home.know("h1", "home", home.peer.address());
-        home.know("a1", "away", away.peer.address());
+        home.add_node("h1", "home", home.peer.address());
+        home.add_node("a1", "away", away.peer.address());
         let replicas = vec![replica("a", TWO), replica("b", THREE), replica("c", ONE)];
         for (index, replica) in replicas.iter().enumerate() {
             let id = ReplicaId::from(&*format!("r{index}"));
@@ -199,7 +199,7 @@
 fn a_node_that_is_gone_is_replaced_by_asking_from_here() {
     run(async {
         let world = TwoRegions::new();
-        world.home.know("a1", "away", nowhere());
+        world.home.add_node("a1", "away", refusing_address());
 
         let answer = world.home.get("/a/", "r1").await;
 
@@ -215,7 +215,7 @@
     run(async {
         let world = TwoRegions::new();
         let silent = Scripted::start(|_| vec![Step::Silence]).unwrap();
-        world.home.know("a1", "away", silent.address);
+        world.home.add_node("a1", "away", silent.address);
 
         let answer = world.home.get("/a/", "r1").await;
 
@@ -236,7 +236,7 @@
             _ => vec![Step::Silence],
         })
         .unwrap();
-        world.home.know("a1", "away", forgetful.address);
+        world.home.add_node("a1", "away", forgetful.address);
 
         let start = RuntimeClock.now();
         let answer = world.home.get("/a/", "r1").await;
@@ -255,7 +255,7 @@
         let home = Tier::at(100.0, "home");
         home.put(1, vec![shards(2, 0.6)]);
         let lost = Scripted::start(|_| vec![Step::Wait(Duration::from_millis(30)), Step::Close]);
-        home.know("a1", "away", lost.as_ref().unwrap().address);
+        home.add_node("a1", "away", lost.as_ref().unwrap().address);
         let replicas: Vec<Scripted> = (0..6).map(|_| replica("a", TWO)).collect();
         for (index, replica) in replicas.iter().enumerate() {
             home.add_in(&format!("s{}", index % 2), replica.address, "away");
--- a/crates/kumquatnotch-route/tests/size.rs
+++ b/crates/kumquatnotch-route/tests/size.rs
@@ -33,8 +33,8 @@
 
 fn node(number: usize) -> Vec<u8> {
     let record = NodeRecord {
-        entry: nowhere(),
-        peer: nowhere(),
+        entry: refusing_address(),
+        peer: refusing_address(),
         centre: DataCentre::from(format!("centre-{}", number % CENTRES)),
         region: Region::from(format!("region-{}", number % 2)),
         capacity: if number < 10 * CENTRES { 1.0 } else { 0.25 },
--- a/crates/kumquatnotch-route/tests/standby.rs
+++ b/crates/kumquatnotch-route/tests/standby.rs
@@ -31,14 +31,14 @@
     let (tier, store) = (Tier::new(), Rc::new(FakeStore::default()));
     store.put("c", b"3");
     for name in ["large-1", "large-2"] {
-        store.put(&format!("n/{name}"), &node_entry(nowhere(), 4.0));
+        store.put(&format!("n/{name}"), &node_entry(refusing_address(), 4.0));
     }
     let dyn_store: Rc<dyn Store> = store.clone();
     let schema = Rc::new(TestSchema);
     let mirror = Mirror::new(options(), tier.router.clone(), dyn_store.clone(), schema);
     mirror.start();
     let keys = NodeKeys { record: "n/me".to_owned(), crashes: "x/me".to_owned() };
-    let (name, record) = (NodeName::from("me"), node_entry(nowhere(), 1.0));
+    let (name, record) = (NodeName::from("me"), node_entry(refusing_address(), 1.0));
     Announcer::new(tier.router.clone(), dyn_store, mirror, name, keys, record).start();
     World { tier, store }
 }
@@ -58,7 +58,7 @@
         pause(900).await;
 
         assert!(world.tier.router.is_ready() && !world.is_announced());
-        assert_eq!((world.store.leases.get(), world.tier.router.own_part()), (0, 0.0));
+        assert_eq!((world.store.leases.get(), world.tier.router.own_share()), (0, 0.0));
     });
 }
 
--- a/crates/kumquatnotch-route/tests/store.rs
+++ b/crates/kumquatnotch-route/tests/store.rs
@@ -189,7 +189,7 @@
         world.mirror.clone(),
         NodeName::from("me"),
         NodeKeys { record: "n/me".to_owned(), crashes: "x/me".to_owned() },
-        node_entry(nowhere(), 1.0),
+        node_entry(refusing_address(), 1.0),
     )
 }
 
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -155,7 +155,7 @@
             world.mirror.clone(),
             NodeName::from("me"),
             NodeKeys { record: "n/me".to_owned(), crashes: "x/me".to_owned() },
-            node_entry(nowhere(), 1.0),
+            node_entry(refusing_address(), 1.0),
         );
         announcer.start();
         // A watch has just begun, and returns in two seconds; a renewal comes before that.
--- a/crates/measure/src/routes.rs
+++ b/crates/measure/src/routes.rs
@@ -160,7 +160,7 @@
 }
 
 fn config(shards: usize) -> RouteConfig {
-    let set = ShardSet { shards: (0..shards).map(name).collect(), top: 10, least: 0.9 };
+    let set = ShardSet { shards: (0..shards).map(name).collect(), top: 10, min_coverage: 0.9 };
     let route = Route {
         name: RouteName::from("search"),
         host: "rooms.example".to_owned(),
