--- a/crates/kumquatnotch-route/src/admission.rs
+++ b/crates/kumquatnotch-route/src/admission.rs
@@ -1,4 +1,4 @@
-//! Letting searches in: at once, after waiting for room, or not at all.
+//! Admission control of searches: at once, after waiting for capacity, or not at all.
 
 use std::{
     rc::Rc,
@@ -20,29 +20,29 @@
     semaphore::{Permit, PrioritySemaphore},
 };
 
-/// By how much more room there must be for a search whose caller comes again.
+/// Factor by which the safety margin is larger for late retries.
 ///
-/// Its answer is worth less than one that is in time.
+/// Their answers are late in any case, so searches that can be in time go first.
 const LATE_RETRY_FACTOR: f64 = 2.0;
 
-/// The part of its time that such a search waits for room at most.
+/// Maximum share of the remaining time that a late retry waits for capacity.
 const MAX_WAIT_SHARE: f64 = 0.4;
 
-/// How often it looks for room, before jitter.
+/// Interval between checks for capacity, before jitter.
 const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// When refused callers come again where this isn't worked out.
+/// `Retry-After` of refusals when [`Mechanism::RetryTimes`] is off.
 const FIXED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Waits until replicas have room; `None` if there is none.
+/// Waits until replicas have capacity for a late retry; `None` if they have none.
 ///
-/// This is for a search whose caller comes again after the objective, so that its
-/// answer is late in any case. It waits for a part of its time, but not while searches
-/// that come for the first time are refused: it would only make more of them late.
+/// The caller of such a search retries after the objective has passed, so the answer is
+/// late in any case. It waits for a share of its remaining time, but not while first-time
+/// searches are being refused, as it would make more of them late.
 ///
-/// After an outage such callers come all at once. If all that wait were let in as soon
-/// as there is room, there would be none for those that come first; so `semaphore` lets in
-/// a few at a time, each for as long as its permit is held.
+/// After an outage many callers retry at the same time. If all of them were admitted as
+/// soon as there is capacity, none would be left for first-time searches. `semaphore`
+/// therefore admits only a few at a time, each until its permit is dropped.
 pub async fn wait_for_capacity(
     router: &Router,
     semaphore: &Rc<PrioritySemaphore>,
@@ -68,9 +68,9 @@
     permit.filter(|_| has_room)
 }
 
-/// Looks for room now and then; false if there is none by `until`.
+/// Checks periodically for capacity; returns false if there is none by `until`.
 ///
-/// The search has `wait` for its answer from when there is.
+/// The answer is due `wait` after capacity is found.
 async fn poll_capacity(
     router: &Router,
     search: &mut Search<'_>,
@@ -92,16 +92,16 @@
     }
 }
 
-/// Why a search was not let in, so that nothing of it has run.
+/// A refusal of a search, of which no part has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// When its caller is to come again.
+    /// When the caller may retry.
     pub retry_after: Duration,
-    /// Why, for the log.
+    /// The reason, for the log and the body of the refusal.
     pub reason: &'static str,
 }
 
-/// Lets a search in, or tells when its caller is to come again.
+/// Admits a search, or returns when its caller may retry.
 pub fn admit(router: &Router, search: &Search<'_>) -> Result<(), Refused> {
     let now = router.clock.now();
     let terms = terms(router, search, now);
@@ -123,7 +123,7 @@
     Err(Refused { retry_after, reason: "replicas are crowded" })
 }
 
-/// Writes a line for a refusal, with what decided it.
+/// Logs a refusal and the figures behind the decision.
 fn log_refusal(search: &Search<'_>, forecast: &Forecast, terms: &Terms, retry_after: Duration) {
     let Forecast { needed, spared, .. } = forecast;
     let slowest = needed.last();
@@ -141,7 +141,7 @@
     );
 }
 
-/// Foretells when the parts of a search would come.
+/// Predicts when the parts of a search would arrive.
 fn predict(router: &Router, search: &Search<'_>, terms: &Terms, now: Instant) -> Forecast {
     let best = search.set.shards.iter().map(|shard| -> Option<Rating> {
         let need = router.need_at(search.route, shard);
--- a/crates/kumquatnotch-route/src/attempt.rs
+++ b/crates/kumquatnotch-route/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to one replica.
+//! A single attempt: sends a request to one replica.
 
 use std::{
     cell::Cell,
@@ -26,34 +26,34 @@
     router::Router,
 };
 
-/// How long a connection may have been idle before an exclusive request.
+/// Maximum idle time of a connection that is reused for an exclusive request.
 ///
-/// A replica closes idle connections, and a request that crosses the close can't
-/// be told from one that ran. Opening a connection costs a few milliseconds.
+/// Replicas close idle connections. If a request races with the close, whether it ran is
+/// unknown, while opening a new connection takes only a few milliseconds.
 const EXCLUSIVE_MAX_IDLE: Duration = Duration::from_millis(500);
 
-/// The same for a request that may be repeated.
+/// Maximum idle time of a connection that is reused for an idempotent request.
 const IDEMPOTENT_MAX_IDLE: Duration = Duration::from_secs(30);
 
-/// A request to one service, of which each attempt is a copy.
+/// A request to one service; each attempt sends a copy of it.
 pub struct Call<'a> {
     /// The route.
     pub route: &'a Route,
-    /// The service that is asked.
+    /// The service to call.
     pub service: &'a ServiceName,
-    /// The request, without headers that concern one connection.
+    /// The request, without hop-by-hop headers.
     pub request: &'a Request,
-    /// The identity that the caller gave it.
+    /// The request identity that the caller set.
     pub identity: &'a HeaderValue,
-    /// Until when a reply is worth most.
+    /// The latest time at which a reply meets the objective.
     pub due: Instant,
-    /// When its time is over.
+    /// The deadline.
     pub deadline: Instant,
-    /// The replicas that may be asked; none means any.
+    /// The replicas that may be used; an empty list allows any.
     pub allowed: Vec<ReplicaId>,
-    /// Whether even the first attempt is a repeat.
+    /// Whether even the first attempt counts as a retry.
     pub is_retry: bool,
-    /// Whether it has its reply, so that attempts which still run may end by themselves.
+    /// Whether a reply was received, so that attempts still running may end by themselves.
     pub is_answered: Cell<bool>,
 }
 
@@ -62,20 +62,20 @@
 pub enum AttemptOutcome {
     /// The replica replied.
     Replied(Reply),
-    /// The replica did not run the request, by its own word.
+    /// The replica replied that it did not run the request.
     Rejected,
-    /// Another replica has the address, and did not run the request.
+    /// The address belongs to another replica now, which did not run the request.
     Replaced,
     /// Nothing was sent.
     NotSent,
-    /// It was sent, and whether it has run is unknown.
+    /// The request was sent; whether it has run is unknown.
     Lost(Error),
 }
 
 /// Sends a request to `replica` and waits for its reply.
 ///
-/// Dropping it closes the connection, by which the replica learns that nobody
-/// waits any more. `sent` is set as soon as the replica may have got it.
+/// Dropping the future closes the connection, which tells the replica to stop working on
+/// the request. `sent` is set once the replica may have received the request.
 pub async fn attempt(
     router: &Rc<Router>,
     call: &Call<'_>,
@@ -91,7 +91,7 @@
     let Some(link) = connect(router, call, replica).await else {
         return AttemptOutcome::NotSent;
     };
-    // It may have begun to drain while the connection was opened.
+    // The replica may have started draining while the connection was opened.
     if !replica.takes_requests() || clock.now() >= call.deadline {
         return AttemptOutcome::NotSent;
     }
@@ -117,7 +117,7 @@
             flight.record_broken();
             replica.observed.note_outcome(true, clock.now());
             replica.observed.note_failed_after(clock.now().saturating_duration_since(at));
-            // Whatever broke this connection has broken idle ones as well.
+            // The idle connections to this replica are probably broken too.
             replica.pool.drop_idle();
             crash_check::check(router, call, replica);
             AttemptOutcome::Lost(error)
@@ -146,7 +146,7 @@
             Some(link)
         }
         Err(_) => {
-            // If the caller's time was over first, that says nothing of the replica.
+            // If the deadline of the caller passed first, the replica is not at fault.
             if clock.now() < call.deadline {
                 probe::suspect(router, replica, "no connection");
             }
@@ -155,7 +155,7 @@
     }
 }
 
-/// The copy of the request for one replica.
+/// Builds the copy of the request for one replica.
 fn build_request(router: &Router, call: &Call<'_>, replica: &Replica, now: Instant) -> Request {
     let mut request = call.request.clone();
     let left = call.deadline.saturating_duration_since(now).as_millis() as u64;
@@ -178,27 +178,27 @@
     link.receive(&|reply| in_flight::is_reply_to(router, call.identity, reply)).await
 }
 
-/// The load of a replica.
+/// The load that a replica reports.
 #[derive(Clone, Copy)]
 struct Load {
     running: u32,
     waiting: u32,
-    /// How many times as long as usual its machine takes for all work, if it tells.
-    burden: Option<f64>,
+    /// Slowdown of its machine as a multiple of the usual service time, if reported.
+    slowdown: Option<f64>,
 }
 
-/// The load of a replica, by its own word.
+/// Reads the load that a replica reports in a reply.
 fn reported_load(names: &HeaderNames, reply: &Reply) -> Option<Load> {
     let text = reply.headers.get(&names.load)?.to_str().ok()?;
     let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
     let running = figures.next()?.ok()?;
     let waiting = figures.next()?.ok()?;
-    // After the slots comes a percentage, from replicas that share their machine.
-    let burden = figures.nth(1).and_then(|percent| percent.ok());
-    Some(Load { running, waiting, burden: burden.map(|percent| f64::from(percent) / 100.0) })
+    // Replicas that share their machine report a percentage after the slots.
+    let slowdown = figures.nth(1).and_then(|percent| percent.ok());
+    Some(Load { running, waiting, slowdown: slowdown.map(|percent| f64::from(percent) / 100.0) })
 }
 
-/// What a reply says of the request and of its replica.
+/// Classifies a reply and updates the statistics of its replica.
 fn process_reply(
     router: &Rc<Router>,
     call: &Call<'_>,
@@ -208,17 +208,17 @@
 ) -> AttemptOutcome {
     let now = router.clock.now();
     let load = reported_load(&router.names, &reply);
-    if let Some(Load { running, waiting, burden }) = load {
+    if let Some(Load { running, waiting, slowdown }) = load {
         if router.uses(Mechanism::ToldLoad) {
             replica.observed.note_load(running + waiting, now);
         }
         if router.uses(Mechanism::ToldBurden) {
-            replica.observed.note_burden(burden.unwrap_or(1.0), now);
+            replica.observed.note_burden(slowdown.unwrap_or(1.0), now);
         }
     }
     if reply.status.as_u16() == 421 {
-        // Another replica has the address by now. Its own entry is, or will be,
-        // in the directory; this one never comes back.
+        // 421 Misdirected Request: another replica has the address now and has, or will
+        // get, an entry of its own in the directory. This one never comes back.
         replica.observed.set_fitness(Fitness::Replaced);
         replica.pool.drop_idle();
         return AttemptOutcome::Replaced;
@@ -232,11 +232,12 @@
     if reply.status.is_success() {
         let round_trip = replica.observed.known_trip().unwrap_or_default();
         let queue = load.map_or(0.0, |load| f64::from(load.waiting));
-        // What waits there now waited before this request when it came.
+        // Assumes that the queue was as long when this request arrived as it is now.
         let slots = replica.observed.slots();
         let service_time = took.saturating_sub(round_trip).div_f64(1.0 + queue / slots);
         replica.observed.note_work(service_time);
-        // What comes of its machine is told anew with each reply; the rest is its own.
+        // Each reply reports the slowdown of the machine anew, so it is divided out; the
+        // rest is the speed of the replica itself.
         let service_time = service_time.div_f64(replica.observed.burden(now));
         replica.observed.note_speed(service_time, router.need(call.route).usual, now);
         router.paces.note(&call.route.name, call.route.objective, service_time);
--- a/crates/kumquatnotch-route/src/call.rs
+++ b/crates/kumquatnotch-route/src/call.rs
@@ -1,5 +1,5 @@
-//! One request to one service: the first attempt, a second copy if it is late,
-//! and another try if it failed.
+//! One request to one service: the first attempt, a hedged request if the reply is
+//! late, and retries after failures.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -20,39 +20,39 @@
     router::Router,
 };
 
-/// How often a late call looks again for a replica that could run a copy.
+/// Interval at which a late call looks again for a replica to hedge to.
 const HEDGE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// When to come back if no replica is known.
+/// `Retry-After` when no replica is known.
 const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When to come back if all replicas were full.
+/// `Retry-After` when no replica ran the request, as all of them were full.
 const ALL_FULL_RETRY_AFTER: Duration = Duration::from_millis(60);
 
-/// Why a call has no reply that a caller can use.
+/// Why a call has no usable reply.
 #[derive(Debug)]
 pub enum CallError {
     /// No replica has run the request or ever will.
     NotRun {
-        /// When it may be worth another try.
+        /// When the caller may retry.
         retry_after: Duration,
-        /// Why.
+        /// The reason, for the log and the body of the refusal.
         reason: &'static str,
     },
-    /// A replica ran the request and failed; this is its reply.
+    /// A replica ran the request and failed, with this reply.
     Failed(Reply),
     /// A replica may have run the request; its reply was lost.
     Unknown,
-    /// The time was over while a replica was at work.
+    /// The deadline passed while a replica was running the request.
     TimedOut,
 }
 
-/// What a call did besides its outcome.
+/// Counters of a call.
 #[derive(Debug, Default)]
 pub struct CallStats {
-    /// Copies that were sent because a reply was late.
+    /// Hedged requests sent because a reply was late.
     pub hedges: Cell<u32>,
-    /// Further tries after a failure.
+    /// Retries after a failure.
     pub retries: Cell<u32>,
 }
 
@@ -65,8 +65,8 @@
     failed: Option<Reply>,
 }
 
-/// Sends a request to a replica of a service, and again as far as its kind, the
-/// attempts of its route and the budget allow.
+/// Sends a request to a replica of a service, with retries and hedged requests as far as
+/// its kind, the attempts of its route and the retry budget allow.
 pub async fn call(
     router: &Rc<Router>,
     call: &Call<'_>,
@@ -123,7 +123,7 @@
                         stats.hedges.set(stats.hedges.get() + 1);
                         running.push(run_attempt(router, call, next, &sent));
                     }
-                    // Nothing that could run it now, or no budget: later perhaps.
+                    // No suitable replica or no budget at the moment.
                     _ => hedge_timer = clock::sleep(clock, HEDGE_RETRY_INTERVAL).fuse(),
                 }
             }
@@ -135,7 +135,7 @@
     }
 }
 
-/// Runs an attempt, and tells which replica it was.
+/// Runs an attempt and returns its outcome together with the replica.
 async fn run_attempt(
     router: &Rc<Router>,
     call: &Call<'_>,
@@ -170,14 +170,14 @@
         replica::pick(&allowed, &self.tried, need, now)
     }
 
-    /// The replica that gets the next attempt.
+    /// Picks the replica for the next attempt.
     fn pick(&mut self) -> Option<Rc<Replica>> {
         let Pick { replica, .. } = self.best()?;
         self.tried.push(replica.id.clone());
         Some(replica)
     }
 
-    /// The replica that gets another try after a failure, if there may be one.
+    /// Picks the replica for a retry after a failure, if a retry is allowed.
     fn next_retry(&mut self) -> Option<Rc<Replica>> {
         if !self.attempts.may_try_again(self.allowance(), self.router.clock.now()) {
             return None;
@@ -190,12 +190,12 @@
         Some(next)
     }
 
-    /// Pays for a repeat.
+    /// Takes a retry or hedged request from the budget; false if it is exhausted.
     fn spend_budget(&self) -> bool {
         self.router.budget.spend(self.call.service, self.router.clock.now())
     }
 
-    /// The replica that gets a copy; only one against which nothing speaks.
+    /// Picks the replica for a hedged request; only one that is in good state.
     fn hedge_target(&mut self) -> Option<Rc<Replica>> {
         let Pick { replica, rating } = self.best()?;
         let now = self.router.clock.now();
@@ -207,7 +207,7 @@
         Some(replica)
     }
 
-    /// Whether all replicas that were asked answer nothing.
+    /// Whether all replicas tried so far have stopped responding.
     fn all_silent(&self) -> bool {
         let now = self.router.clock.now();
         let usual = self.router.need(self.call.route).usual;
@@ -215,7 +215,7 @@
         sent.all(|replica| lateness::is_silent(&replica.observed, usual, now))
     }
 
-    /// Writes a line for a copy, with what decided it.
+    /// Logs a hedged request and the figures behind the decision.
     fn log_hedge(&self, next: &Replica) {
         let now = self.router.clock.now();
         let need = self.router.need(self.call.route);
@@ -263,7 +263,7 @@
         self.attempts.note(ending);
     }
 
-    /// Why the call has no reply when its time is over.
+    /// Returns the error for a call that reaches its deadline.
     fn timeout_error(&mut self, in_progress: bool) -> CallError {
         match self.final_error() {
             CallError::NotRun { .. } if in_progress => CallError::TimedOut,
@@ -280,7 +280,7 @@
             (Verdict::NotRun, _) => {
                 CallError::NotRun { retry_after: ALL_FULL_RETRY_AFTER, reason: "rejected" }
             }
-            // A reply that failed is there whenever the verdict says so.
+            // `Verdict::Failed` implies that a failed reply is present.
             (Verdict::Failed | Verdict::Unknown, _) => CallError::Unknown,
         }
     }
--- a/crates/kumquatnotch-route/src/connection_pool.rs
+++ b/crates/kumquatnotch-route/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The idle connections to one replica.
+//! Pool of idle connections to one replica.
 
 use std::{
     cell::{Cell, RefCell},
@@ -9,26 +9,25 @@
 use kumquatnotch_core::{Clock, Result};
 use kumquatnotch_net::OpaqueLink;
 
-/// The largest reply of a replica, in bytes.
+/// Maximum size of a reply of a replica, in bytes.
 ///
-/// A node has some hundred megabytes, and holds a part of each shard of a few
+/// A node has a few hundred megabytes of memory and holds one part for each shard of a few
 /// dozen searches.
 const MAX_REPLY_BYTES: usize = 4 << 20;
 
-/// How long opening a connection may take.
+/// Timeout for opening a connection.
 ///
-/// It is a lost opening packet and its repetition after a second that it must
-/// not wait for: another replica is sooner.
+/// A lost SYN is retransmitted only after a second; trying another replica is faster.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// An idle connection.
+/// An idle connection in the pool.
 struct IdleConnection {
     link: OpaqueLink,
     since: Instant,
     until: Instant,
 }
 
-/// The idle connections to one replica.
+/// A pool of idle connections to one replica.
 pub struct ConnectionPool {
     address: SocketAddr,
     idle: RefCell<Vec<IdleConnection>>,
@@ -36,14 +35,14 @@
 }
 
 impl ConnectionPool {
-    /// No connections yet.
+    /// Creates an empty pool.
     pub fn new(address: SocketAddr) -> ConnectionPool {
         ConnectionPool { address, idle: RefCell::default(), closed: Cell::new(false) }
     }
 
-    /// The connection that was used last and may still be used, if there is one.
+    /// Takes the most recently used connection that is still usable, if any.
     ///
-    /// `max_idle` bounds how long it may have been idle.
+    /// Connections that were idle for longer than `max_idle` are dropped.
     pub fn take(&self, now: Instant, max_idle: Duration) -> Option<OpaqueLink> {
         let mut idle = self.idle.borrow_mut();
         while let Some(IdleConnection { mut link, since, until }) = idle.pop() {
@@ -61,7 +60,7 @@
         OpaqueLink::connect(self.address, MAX_REPLY_BYTES, clock, deadline).await
     }
 
-    /// Keeps a connection for later, for at most `keep`.
+    /// Returns a connection to the pool, where it is usable for at most `keep`.
     pub fn put(&self, link: OpaqueLink, now: Instant, keep: Duration) {
         if self.closed.get() {
             return;
@@ -69,13 +68,13 @@
         self.idle.borrow_mut().push(IdleConnection { link, since: now, until: now + keep });
     }
 
-    /// Closes the idle connections and keeps no more.
+    /// Closes the idle connections and accepts no more.
     pub fn close(&self) {
         self.closed.set(true);
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the idle connections, which may have gone silent.
+    /// Closes the idle connections, which may be broken without notice.
     pub fn drop_idle(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/crates/kumquatnotch-route/src/crash_check.rs
+++ b/crates/kumquatnotch-route/src/crash_check.rs
@@ -1,4 +1,4 @@
-//! Finding out whether a replica has crashed with a request.
+//! Detects whether a replica crashed while it was running a request.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,20 +12,21 @@
 
 use crate::{attempt::Call, replica::Replica, router::Router};
 
-/// How long after a broken connection it is looked whether the replica has crashed.
+/// Delay between a broken connection and the check whether the replica has crashed.
 ///
-/// One that is busy answers another request meanwhile, which spares it a connection.
+/// A busy replica replies to another request in the meantime, which makes a connection for
+/// the check unnecessary.
 const CHECK_DELAY: Duration = Duration::from_millis(150);
 
-/// How long a replica that lives takes at most to take a connection.
+/// Maximum time in which a running replica accepts a connection.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the connection by which it was found to live is kept for the next request.
+/// How long the connection opened by the check is kept for the next request.
 const CHECK_KEEP_ALIVE: Duration = Duration::from_secs(2);
 
-/// Finds out whether `replica` has crashed, after its connection broke under a request.
+/// Checks whether `replica` has crashed after its connection broke during a request.
 ///
-/// One that only lost an answer takes the next connection.
+/// A replica that only lost the reply still accepts a new connection.
 pub fn check(router: &Rc<Router>, call: &Call<'_>, replica: &Rc<Replica>) {
     let attempt = stable_hash(&[call.identity.as_bytes()]);
     let crash = Crash { print: fingerprint(call.request), attempt };
@@ -44,23 +45,23 @@
         tracing::info!(
             replica = replica.id.as_str(),
             print = %crash.print,
-            "crashes: a replica crashed with a request"
+            "crashes: replica crashed while running a request"
         );
         router.crashes.note(crash, clock.now()).iter().for_each(log_refused);
     });
 }
 
-/// Writes a line for a request that is kept from replicas from now on.
+/// Logs that a request is refused from now on because it crashes replicas.
 pub fn log_refused(refused: &Refused) {
     tracing::warn!(
         print = %refused.print,
         strikes = refused.strikes,
         refused_ms = refused.span.as_millis() as u64,
-        "crashes: a request is kept from replicas"
+        "crashes: refusing a request that crashes replicas"
     );
 }
 
-/// What the same request has in common when it is sent again.
+/// Returns a hash of the request that is the same when the caller sends it again.
 pub fn fingerprint(request: &Request) -> Fingerprint {
     let host = request.headers.get(header::HOST).map_or(&b""[..], |host| host.as_bytes());
     let Request { method, path, query, body, .. } = request;
--- a/crates/kumquatnotch-route/src/front.rs
+++ b/crates/kumquatnotch-route/src/front.rs
@@ -1,4 +1,4 @@
-//! What callers reach: finds the route of a request and answers it.
+//! Entry point for callers: finds the route of a request and answers it.
 
 use std::{
     cell::Cell,
@@ -33,34 +33,34 @@
     semaphore::PrioritySemaphore,
 };
 
-/// When to come back if the configuration leads nowhere.
+/// `Retry-After` when no service of a weighted route has a weight.
 const NO_WEIGHT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// When to come back if there was no room for a search that was late already.
+/// `Retry-After` when there is no capacity for a late retry of a search.
 const NO_ROOM_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// How many searches of callers that come again run at once.
+/// Maximum number of concurrent searches that are late retries.
 ///
-/// Measured on days of outages and of crowds: without a bound, one in a hundred of the
-/// searches that come first is late for them; with one instead of three, one in three
-/// hundred of all is refused that could be answered late.
+/// During outages and traffic peaks, late retries without a limit make 1 in 100
+/// first-time searches late. A limit of 1 instead of 3 refuses 1 in 300 of all searches
+/// although they could have been answered late.
 const MAX_LATE_RETRIES: u32 = 3;
 
-/// What callers reach.
+/// Handles the requests of callers.
 pub struct RouteFront {
     router: Rc<Router>,
     weights: Weights,
     patience: Patience,
-    /// Lets in searches of callers that come again.
+    /// Limits concurrent late retries of searches.
     late_retries: Rc<PrioritySemaphore>,
 }
 
-/// A refusal or failure of the node's own.
+/// A refusal or failure that this node generates itself.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     status: StatusCode,
     reason: &'static str,
-    /// When to come back; only if the request has not run.
+    /// Value of `Retry-After`; set only if the request has not run.
     retry_after: Option<Duration>,
 }
 
@@ -69,7 +69,7 @@
         Refusal { status, reason, retry_after: None }
     }
 
-    /// A promise that the request has not run and never will.
+    /// A refusal that guarantees that the request has not run and never will.
     fn not_run(reason: &'static str, retry_after: Duration) -> Refusal {
         Refusal { status: StatusCode::SERVICE_UNAVAILABLE, reason, retry_after: Some(retry_after) }
     }
@@ -77,7 +77,7 @@
     fn reply(self) -> Reply {
         let mut reply = Reply::text(self.status, format!("{}\n", self.reason));
         if let Some(retry_after) = self.retry_after {
-            // Whole seconds would be longer than most requests last.
+            // Whole seconds would exceed the duration of most requests.
             let seconds = format!("{:.3}", retry_after.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 reply.headers.insert(header::RETRY_AFTER, value);
@@ -88,7 +88,7 @@
 }
 
 impl RouteFront {
-    /// A front for what `router` knows.
+    /// Creates a handler for the routes and replicas of `router`.
     pub fn new(router: Rc<Router>) -> RouteFront {
         let late_retries = Rc::new(PrioritySemaphore::default());
         late_retries.set_limit(MAX_LATE_RETRIES);
@@ -145,7 +145,7 @@
         reply
     }
 
-    /// Finds the route and the time of a request.
+    /// Finds the route of a request and computes its deadlines.
     fn resolve(
         &self,
         request: &Request,
@@ -247,7 +247,7 @@
 }
 
 impl RouteFront {
-    /// For how long a request is refused because it crashes replicas.
+    /// Returns for how much longer a request is refused because it crashes replicas.
     fn refused_for(&self, request: &Request, now: Instant) -> Option<Duration> {
         let crashes = &self.router.crashes;
         if crashes.is_empty() || !self.router.uses(Mechanism::Containment) {
@@ -256,7 +256,7 @@
         crashes.refused_for(crash_check::fingerprint(request), now)
     }
 
-    /// Clears a request that was answered whole of the suspicion to crash replicas.
+    /// Clears the suspicion that a request crashes replicas after a complete answer.
     fn clear_suspicion(&self, request: &Request) {
         let crashes = &self.router.crashes;
         if !crashes.is_empty() {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Notes whether a search that was let in was answered in time.
+    /// Records whether an admitted search was answered in time.
     fn record_outcome(&self, context: &RequestContext, answer: &Result<Reply, CallError>) {
         let now = self.router.clock.now();
         let overdue = now.saturating_duration_since(context.due);
@@ -274,7 +274,7 @@
         let in_time = answer_time::is_in_time(overdue);
         let fate = match answer {
             Ok(_) if in_time => Fate::InTime,
-            // It says nothing of those that were let in.
+            // A refused search tells nothing about admitted ones.
             Err(CallError::NotRun { .. }) => return,
             _ => Fate::Late,
         };
@@ -289,7 +289,7 @@
     }
 }
 
-/// The request without what concerns only the connection to its caller.
+/// Removes the headers that only concern the connection to the caller.
 fn strip_hop_headers(mut request: Request) -> Request {
     remove_hop_headers(&mut request.headers);
     request.headers.remove(header::CONTENT_LENGTH);
@@ -297,7 +297,7 @@
     request
 }
 
-/// The reply to the caller, and why it is none of a replica.
+/// Returns the reply to the caller and the reason for the log.
 fn into_reply(outcome: Result<Reply, CallError>) -> (Reply, &'static str) {
     let refusal = match outcome {
         Ok(reply) => return (reply, "answered"),
--- a/crates/kumquatnotch-route/src/gather.rs
+++ b/crates/kumquatnotch-route/src/gather.rs
@@ -1,7 +1,7 @@
-//! One search: a call to each shard, and an answer from the parts that came.
+//! Scatter-gather: calls each shard of a search and merges the parts received.
 //!
-//! Shards whose replicas are in another region are asked for through a node
-//! there ([`relay`](crate::relay)), and from here if that node fails.
+//! Shards whose replicas are in another data centre are queried through a node there
+//! ([`relay`](crate::relay)), and directly if that node fails.
 
 use std::{
     cell::Cell,
@@ -27,37 +27,37 @@
     router::Router,
 };
 
-/// A search.
+/// A search over the shards of a route.
 pub struct Search<'a> {
     /// The route.
     pub route: &'a Route,
-    /// The shards, fixed for this answer.
+    /// The shards; they do not change during the search.
     pub set: &'a ShardSet,
     /// The request.
     pub request: &'a Request,
     /// The identity that the caller gave it.
     pub identity: &'a HeaderValue,
-    /// Until when an answer is worth most.
+    /// The latest time at which an answer meets the objective.
     pub due: Instant,
-    /// When its time is over.
+    /// The deadline.
     pub deadline: Instant,
-    /// Whether its caller comes again, so late that the answer can't be in time.
+    /// Whether the caller retries so late that the answer can't meet the objective.
     pub is_late_retry: bool,
 }
 
 /// How a search ended.
 pub struct Gathered {
-    /// The answer, if enough parts came.
+    /// The merged answer, or why too few parts were received.
     pub answer: Result<Reply, CallError>,
-    /// The parts in it, or that there were.
+    /// Number of parts received.
     pub parts: usize,
-    /// The shards that it leaves out.
+    /// Number of shards missing from the answer.
     pub missing: usize,
-    /// The shards that were asked for through other nodes.
+    /// Number of shards queried through other nodes.
     pub relayed: usize,
 }
 
-/// What comes of a part of a search.
+/// The outcome of one sub-request of a search.
 enum PartOutcome {
     Shard(usize, Result<Reply, CallError>),
     Group(Group, RelayOutcome),
@@ -65,19 +65,19 @@
 
 type Running<'a> = FuturesUnordered<LocalFuture<'a, PartOutcome>>;
 
-/// What has come of a search so far.
+/// The results of a search so far.
 #[derive(Default)]
 struct Progress {
     parts: Parts,
     /// Whether a replica may have run the request.
     ran: bool,
-    /// When to come back, by the replicas that did not take it.
+    /// The longest `Retry-After` of the shards that did not run the request.
     retry_after: Duration,
-    /// The shards whose parts are in, by their place in the set.
+    /// Indices into the set of the shards whose parts were received.
     covered: HashSet<usize>,
 }
 
-/// Asks a replica of each shard and merges their parts.
+/// Queries one replica of each shard and merges the parts.
 pub async fn gather(router: &Rc<Router>, search: &Search<'_>, stats: &CallStats) -> Gathered {
     let clock = &*router.clock;
     let total = search.set.shards.len();
@@ -119,11 +119,13 @@
                 }
                 Some(PartOutcome::Group(group, ended)) => {
                     outstanding -= group.shards.len();
-                    // The replicas that the other node may have asked get repeats.
+                    // The relay may have queried replicas already, so asking again
+                    // counts against the retry budget.
                     let is_retry = !matches!(ended, RelayOutcome::NotRun);
                     let retry_positions = progress.record_group(ended, &group);
-                    // What the other node misses is asked for from here only if
-                    // there is no answer without it: it comes too late to be worth more.
+                    // Shards that the relay could not cover are queried directly only if
+                    // the answer is impossible without them, as their parts arrive too
+                    // late to make an answer in time more complete.
                     let enough = !completion.needs_more(progress.parts.len(), outstanding);
                     if is_retry && enough {
                         continue;
@@ -160,12 +162,12 @@
     Gathered { answer, parts: covered, missing: total - covered, relayed }
 }
 
-/// Asks a replica of each shard from here, until all parts are in, or the answer is
-/// due and `enough` of them are.
+/// Queries one replica of each shard directly, without relays.
 ///
-/// `allowed` names the replicas of each shard that may be asked; none means any.
-/// Gives the parts, the places of the missing shards, and whether a replica may
-/// have run the request.
+/// Ends when all parts were received, or when the answer is due and at least `enough`
+/// parts were received. `allowed` lists the replicas of each shard that may be queried;
+/// an empty list allows any. Returns the parts, the indices of the missing shards, and
+/// whether a replica may have run the request.
 pub async fn gather_direct(
     router: &Rc<Router>,
     search: &Search<'_>,
@@ -204,7 +206,7 @@
     (progress.parts, missing, ran)
 }
 
-/// Asks a replica of one shard.
+/// Queries one replica of a shard.
 fn call_shard<'a>(
     router: &'a Rc<Router>,
     search: &'a Search<'a>,
@@ -230,7 +232,7 @@
 }
 
 impl Progress {
-    /// Writes a line that names the shards which are missing, if there are any.
+    /// Logs the names of the missing shards, if any.
     fn log_missing(&self, search: &Search<'_>) {
         let shards = search.set.shards.iter().enumerate();
         let missing = shards.filter(|(index, _)| !self.covered.contains(index));
@@ -245,7 +247,7 @@
         );
     }
 
-    /// Notes what came of a shard.
+    /// Records the result of one shard.
     fn record_shard(&mut self, router: &Router, index: usize, result: Result<Reply, CallError>) {
         match result {
             Ok(reply) => {
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Notes what came of a group of shards; gives the places of those that did not come.
+    /// Records the result of a group; returns the positions in it of missing shards.
     fn record_group(&mut self, ended: RelayOutcome, group: &Group) -> Vec<usize> {
         match ended {
             RelayOutcome::Gathered(reply) => {
--- a/crates/kumquatnotch-route/src/headers.rs
+++ b/crates/kumquatnotch-route/src/headers.rs
@@ -1,31 +1,30 @@
-//! The names of the headers that the tier shares with callers and replicas.
+//! The names of the HTTP headers that have a meaning for the tier.
 
 use http::HeaderName;
 
-/// The names of the headers with a meaning for the tier.
+/// The names of the HTTP headers that the tier exchanges with callers and replicas.
 ///
-/// Whoever runs the tier may have names of its own for them; the default ones
-/// are those of this project.
+/// Deployments may use their own names instead of the defaults.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// The identity of one attempt of a caller, which replies repeat.
+    /// The identity of one attempt of a caller, which replies echo.
     pub request: HeaderName,
-    /// The time left for a request, in milliseconds.
+    /// The remaining time of a request, in milliseconds.
     pub deadline: HeaderName,
-    /// The proof of a replica that it gave this reply.
+    /// Proof of a replica that the reply is its own.
     pub proof: HeaderName,
     /// The proofs of the parts of a merged answer.
     pub proofs: HeaderName,
-    /// The number of shards that a merged answer leaves out.
+    /// Number of shards missing from a merged answer.
     pub missing: HeaderName,
-    /// The incarnation of the replica that is to run a request.
+    /// The incarnation of the replica that the request is meant for.
     pub expected: HeaderName,
     /// The incarnation of the replica that replies to a probe.
     pub incarnation: HeaderName,
     /// Present if a replica did not run the request.
     pub rejected: HeaderName,
-    /// The load of a replica: running, waiting, slots, and of some the speed of the
-    /// machine, in percent of the usual time for work.
+    /// The load of a replica: running, waiting, slots and, from some replicas, the slowdown
+    /// of the machine in percent of the usual service time.
     pub load: HeaderName,
 }
 
--- a/crates/kumquatnotch-route/src/in_flight.rs
+++ b/crates/kumquatnotch-route/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request that is with a replica, and what becomes of it if nobody waits any more.
+//! A request that was sent to a replica, and its handling after cancellation.
 
 use std::{
     rc::Rc,
@@ -12,20 +12,20 @@
 
 use crate::{attempt::Call, probe, replica::Replica, router::Router, semaphore::Permit};
 
-/// A request that a replica has, until its reply is in.
+/// A request that was sent to a replica and has no reply yet.
 pub(crate) struct InFlight<'a> {
     pub(crate) router: &'a Rc<Router>,
     pub(crate) replica: &'a Rc<Replica>,
     pub(crate) call: &'a Call<'a>,
-    /// The connection that it was sent on, and the permit for it.
+    /// The connection that the request was sent on, and its permit.
     pub(crate) held: Option<(OpaqueLink, Permit)>,
     pub(crate) usual: Duration,
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) at: Instant,
 }
 
 impl InFlight<'_> {
-    /// Notes that a reply has come, whatever it says; gives how long it took.
+    /// Records a reply of any status; returns the connection and the elapsed time.
     pub(crate) fn record_reply(&mut self) -> (Option<OpaqueLink>, Duration) {
         let now = self.router.clock.now();
         self.replica.observed.note_end(self.at, Some(now));
@@ -33,7 +33,7 @@
         (link, now.saturating_duration_since(self.at))
     }
 
-    /// Notes that the connection broke.
+    /// Records that the connection broke.
     pub(crate) fn record_broken(&mut self) {
         self.held = None;
         self.replica.observed.note_end(self.at, None);
@@ -45,8 +45,8 @@
         let Some((link, permit)) = self.held.take() else {
             return;
         };
-        // Another replica was sooner, or the time was over. If this one has
-        // answered nothing meanwhile, the next requests would wait for it too.
+        // Another replica replied first, the deadline passed, or the caller left. If this
+        // replica has stopped responding, later requests must not wait for it as well.
         let observed = &self.replica.observed;
         let now = self.router.clock.now();
         if lateness::is_silent(observed, self.usual, now) {
@@ -73,11 +73,11 @@
             return;
         }
         observed.note_end(self.at, None);
-        // Dropping the connection tells the replica that nobody waits any more.
+        // Dropping the connection tells the replica that the request was cancelled.
     }
 }
 
-/// A request whose reply nobody needs any more.
+/// Reads the reply to a request that was answered elsewhere, to keep its connection.
 struct ReplyDrain {
     router: Rc<Router>,
     replica: Rc<Replica>,
@@ -87,7 +87,7 @@
 }
 
 impl ReplyDrain {
-    /// Waits for the reply for as long as it isn't late, to keep the connection.
+    /// Waits for the reply until it is late, then returns the connection to the pool.
     async fn run(self, mut link: OpaqueLink, _permit: Permit) {
         let clock = &*self.router.clock;
         let is_reply_to = |reply: &Reply| is_reply_to(&self.router, &self.identity, reply);
@@ -101,10 +101,10 @@
     }
 }
 
-/// Whether a reply is the one to a request of this identity.
+/// Whether a reply belongs to the request with this identity.
 ///
-/// A replica repeats the identity of the request. One without it is believed, as
-/// an earlier request on this connection has been answered by then.
+/// Replicas echo the identity of the request. A reply without one is accepted, since any
+/// earlier request on this connection was answered before this one was sent.
 pub(crate) fn is_reply_to(router: &Router, identity: &HeaderValue, reply: &Reply) -> bool {
     reply.headers.get(&router.names.request).is_none_or(|told| told == identity)
 }
--- a/crates/kumquatnotch-route/src/lib.rs
+++ b/crates/kumquatnotch-route/src/lib.rs
@@ -1,19 +1,20 @@
-//! Routed requests: opaque requests of callers, passed on to replicas unchanged.
+//! Request routing: forwards opaque requests of callers to replicas unchanged.
 //!
-//! A [`RouteFront`](front::RouteFront) finds the route of each request by its
-//! host and path. A request goes to a replica of one service ([`call`]), or to a
-//! replica of each shard, whose parts are merged ([`gather`]). Shards far away are
-//! gathered by a node beside them ([`relay`]); what is learned of a replica is kept
-//! with it ([`replica`]), and one that is silent is probed ([`probe`]).
+//! A [`RouteFront`](front::RouteFront) selects the route of each request by its
+//! host and path. A request goes either to one replica of a service ([`call`]) or to
+//! one replica of each shard, in which case the partial results are merged
+//! ([`gather`]). Shards in other data centres are gathered by a relay node next to
+//! them ([`relay`]). Statistics of each replica are kept with it ([`replica`]), and
+//! replicas that stop responding are probed ([`probe`]).
 //!
-//! What is decided on the way stands in `kumquatnotch-policy`, which knows no network:
-//! which replica, when a second copy is sent and what is tried again, which searches
-//! are let in, and who asks which shards.
+//! The decisions are made in `kumquatnotch-policy`, which does no I/O: replica
+//! selection, hedging, retries, admission of searches, and which node queries which
+//! shards.
 //!
-//! Configuration, replicas and other nodes come from the platform's store
-//! ([`mirror`]), which a few nodes watch and the others hear of from them
-//! ([`follow`]); each node announces itself there ([`announce`]). All that is
-//! kept here can be read or learned again after a restart.
+//! Configuration, replicas and other nodes are read from the platform's store
+//! ([`mirror`]). A few nodes watch the store, and the other nodes follow these
+//! ([`follow`]). Each node announces itself in the store ([`announce`]). All state in
+//! this crate can be read or learned again after a restart.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatnotch-route/src/merge.rs
+++ b/crates/kumquatnotch-route/src/merge.rs
@@ -1,14 +1,14 @@
-//! Merging the parts of an answer: the greatest records of all parts.
+//! Merges the parts of an answer into the greatest records of all parts.
 
 use bytes::{Bytes, BytesMut};
 
 /// The length of a record, in bytes.
 pub const RECORD_BYTES: usize = 16;
 
-/// The `top` greatest records of `parts`, the greatest first.
+/// Returns the `top` greatest records of `parts`, the greatest first.
 ///
-/// Records compare byte by byte, equal ones all count, and what is left of a
-/// part after its last whole record isn't one.
+/// Records are compared bytewise and duplicates are kept. Trailing bytes of a part that do
+/// not form a whole record are ignored.
 pub fn greatest(parts: &[Bytes], top: usize) -> Bytes {
     let mut records: Vec<&[u8]> =
         parts.iter().flat_map(|part| part.chunks_exact(RECORD_BYTES)).collect();
--- a/crates/kumquatnotch-route/src/names.rs
+++ b/crates/kumquatnotch-route/src/names.rs
@@ -1,3 +1,3 @@
-//! The names that operators and replicas choose.
+//! Identifiers of replicas, routes and services.
 
 pub use kumquatnotch_core::ids::{ReplicaId, RouteName, ServiceName};
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -1,4 +1,4 @@
-//! What part of the things that all nodes share this one takes.
+//! The share of this node in connections and retry budget, which all nodes share.
 
 use kumquatnotch_core::{collections::HashSet, ids::NodeName};
 use kumquatnotch_policy::{
@@ -8,14 +8,14 @@
 
 use crate::{names::ServiceName, replica::Replica, route::RouteTable, router::Router};
 
-/// The connections to a replica of a service that the configuration doesn't name.
+/// Connection limit for replicas of services that are not in the configuration.
 const DEFAULT_CONNECTIONS: u32 = 8;
 
-/// The most hosts that are looked at to find these nodes.
+/// Maximum number of hosts whose advice is read to find the serving nodes.
 const MAX_HOSTS: usize = 16;
 
 impl Router {
-    /// Sets how many connections this node may have to `replica`.
+    /// Limits the connections of this node to `replica` to its share.
     pub(crate) fn limit_connections(&self, replica: &Replica, service: &ServiceName) {
         let table = self.table();
         let service = table.as_ref().and_then(|table| table.service(service));
@@ -24,7 +24,7 @@
         replica.semaphore.set_limit(shares::connections(all, part));
     }
 
-    /// The part of what all nodes share that this one may use, from zero to one.
+    /// The share of this node in what all nodes share, from zero to one.
     pub fn own_share(&self) -> f64 {
         let now = self.clock.now();
         let known_for = self.synced.get().map(|at| now.saturating_duration_since(at));
@@ -54,8 +54,8 @@
             }
         }
         if self.is_standby() && !self.fleet.knows(&self.place.name) {
-            // There may be any number of nodes that the others don't know, so none of them
-            // takes anything of what all share.
+            // Any number of standby nodes may be unknown to the other nodes, so none of them
+            // takes a share.
             return 0.0;
         }
         let is_serving = serving.contains(&self.place.name);
--- a/crates/kumquatnotch-route/src/parts.rs
+++ b/crates/kumquatnotch-route/src/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a search, and the answer that they make.
+//! The parts of a search and the answer merged from them.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, StatusCode, header};
@@ -6,7 +6,7 @@
 
 use crate::{merge, relay_message::RelayReply, route::ShardSet, router::Router};
 
-/// The parts that have come.
+/// The parts received so far.
 #[derive(Default)]
 pub struct Parts {
     proofs: Vec<HeaderValue>,
@@ -14,12 +14,12 @@
 }
 
 impl Parts {
-    /// How many parts there are.
+    /// Number of parts.
     pub fn len(&self) -> usize {
         self.proofs.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no parts.
     pub fn is_empty(&self) -> bool {
         self.proofs.is_empty()
     }
@@ -29,23 +29,23 @@
         &self.proofs
     }
 
-    /// The `top` greatest records of the parts, falling.
+    /// Returns the `top` greatest records of the parts in descending order.
     pub fn greatest(&self, top: usize) -> Bytes {
         merge::greatest(&self.bodies, top)
     }
 
-    /// Adds those that another node has gathered.
+    /// Adds the parts that another node has gathered.
     pub(crate) fn add_gathered(&mut self, reply: &RelayReply) {
         self.bodies.push(reply.records.clone());
         let proofs = reply.proofs.iter();
         self.proofs.extend(proofs.filter_map(|proof| HeaderValue::from_bytes(proof).ok()));
     }
 
-    /// Adds a part; false if the reply is none.
+    /// Adds a part; returns false if the reply is not a valid part.
     pub(crate) fn add(&mut self, router: &Router, reply: Reply) -> bool {
         let proof = reply.headers.get(&router.names.proof);
         let (true, Some(proof)) = (reply.status.is_success(), proof) else {
-            tracing::warn!(status = reply.status.as_u16(), "gather: a reply is no part");
+            tracing::warn!(status = reply.status.as_u16(), "gather: reply is not a valid part");
             return false;
         };
         self.proofs.push(proof.clone());
@@ -53,12 +53,12 @@
         true
     }
 
-    /// The answer.
+    /// Merges the parts into the answer.
     pub(crate) fn merge(&self, router: &Router, set: &ShardSet) -> Reply {
         let missing = set.shards.len() - self.len();
         let mut headers = HeaderMap::new();
         let proofs: Vec<&[u8]> = self.proofs.iter().map(HeaderValue::as_bytes).collect();
-        // Proofs came as header values, so together they are one.
+        // Proofs are valid header values, so joining them gives a valid one.
         if let Ok(proofs) = HeaderValue::from_bytes(&proofs.join(b", ".as_slice())) {
             headers.insert(router.names.proofs.clone(), proofs);
         }
--- a/crates/kumquatnotch-route/src/probe.rs
+++ b/crates/kumquatnotch-route/src/probe.rs
@@ -1,8 +1,8 @@
-//! Probing a replica that is suspected, until it answers again.
+//! Health probes of suspected replicas.
 //!
-//! A replica that broke connections or answers nothing gets no requests, so
-//! somebody has to ask whether it is back. One task asks for each suspect, with
-//! a request that runs nothing.
+//! A replica that breaks connections or stops responding gets no more requests, so its
+//! recovery must be detected actively. One task per suspect sends probe requests, which
+//! run no work on the replica, until the replica answers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,15 +13,15 @@
 
 use crate::{fleet::PEER_SERVICE, relay::PEER_ADDRESS_HEADER, replica::Replica, router::Router};
 
-/// How long a probe waits for its reply.
+/// Timeout of a probe.
 ///
-/// Longer than the pauses of a quarter of a second in which replicas answer nothing.
+/// Longer than the pauses of a quarter of a second in which replicas do not respond.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The pause after a probe that failed, before jitter.
+/// Delay after a failed probe, before jitter.
 const PROBE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Marks a replica as suspect, and probes it until it answers or is gone.
+/// Marks a replica as suspect and probes it until it recovers or is gone.
 pub fn suspect(router: &Rc<Router>, replica: &Rc<Replica>, reason: &'static str) {
     if replica.observed.fitness() != Fitness::Fit || replica.is_gone() {
         return;
@@ -52,7 +52,10 @@
         match reply.ok().flatten() {
             Some(reply) if !is_same_incarnation(&router, &replica, &reply) => {
                 replica.observed.set_fitness(Fitness::Replaced);
-                tracing::info!(replica = replica.id.as_str(), "replica: its address has another");
+                tracing::info!(
+                    replica = replica.id.as_str(),
+                    "replica: address belongs to another incarnation"
+                );
                 return;
             }
             Some(reply) if reply.status.is_success() => {
@@ -75,7 +78,8 @@
     let mut request = Request::get(&path);
     let host = replica.spec().address.to_string();
     request.headers.insert(http::header::HOST, HeaderValue::from_str(&host).ok()?);
-    // A node that starts while the store is away knows no other but those that ask it.
+    // A node that starts during a store outage only knows the nodes that contact it, so
+    // probes carry the address of the sender.
     let own = router.fleet.peer_address(&router.place.name);
     if let (PEER_SERVICE, Some(own)) = (service.as_str(), own) {
         let own = HeaderValue::from_str(&own.to_string()).ok()?;
@@ -90,7 +94,7 @@
     Some(answer.reply)
 }
 
-/// Whether a reply is that of this incarnation, as far as it tells.
+/// Whether a reply comes from this incarnation; true if it does not say.
 fn is_same_incarnation(router: &Router, replica: &Replica, reply: &Reply) -> bool {
     let told = reply.headers.get(&router.names.incarnation);
     told.is_none_or(|told| told.as_bytes() == replica.id.as_str().as_bytes())
--- a/crates/kumquatnotch-route/src/relay.rs
+++ b/crates/kumquatnotch-route/src/relay.rs
@@ -1,8 +1,9 @@
-//! Asking a node beside the replicas for the merged parts of several shards.
+//! Queries several shards through a relay node in the data centre of their replicas.
 //!
-//! Each part that leaves its data centre costs its head and its records. A node
-//! beside the replicas merges them, so that one short reply crosses instead of one
-//! for each shard: the greatest records of all, and the proofs of the parts.
+//! Every part that leaves its data centre adds headers and records to the traffic
+//! between data centres. The relay merges the parts, so that a single short reply is
+//! sent instead of one for each shard: the greatest records of all parts and the proofs
+//! of the parts.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -23,52 +24,52 @@
     router::Router,
 };
 
-/// Where nodes take what other nodes ask them to gather.
+/// Path of gather requests of other nodes.
 pub const RELAY_PATH: &str = "/v1/gather";
 
-/// Where nodes answer probes of other nodes.
+/// Path of probes of other nodes.
 pub const PROBE_PATH: &str = "/v1/health";
 
-/// Where nodes tell whether they have a request.
+/// Path at which a node tells whether it is running a request.
 pub const RUNNING_PATH: &str = "/v1/running";
 
-/// In which a node tells another one where it takes other nodes itself.
+/// Header with the address at which the sending node accepts other nodes.
 pub const PEER_ADDRESS_HEADER: &str = "x-kumquatnotch-node";
 
-/// How long a node may take to tell whether it has a request.
+/// Timeout of the check whether a relay is running a request.
 const RUNNING_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How often it is asked.
+/// Interval between these checks.
 const RUNNING_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a connection between nodes may be idle.
+/// Maximum idle time of a connection between nodes.
 const PEER_MAX_IDLE: Duration = Duration::from_secs(30);
 
-/// The time that both nodes take for a relayed gathering, besides the ways.
+/// Time that both nodes spend on a relayed gather, excluding the round trip.
 ///
-/// Measured on nodes with a quarter of a core.
+/// Sufficient for nodes with a quarter of a core.
 const RELAY_OVERHEAD: Duration = Duration::from_millis(8);
 
-/// The least time that the other node gets, as a multiple of the usual time.
+/// Minimum time given to the relay, as a multiple of the usual service time.
 const MIN_DUE_FACTOR: f64 = 2.5;
 
-/// How much later than due the reply of another node may come.
+/// How long past the due time the reply of a relay may arrive.
 ///
-/// Then it is asked whether it works on the request at all.
+/// After that, the relay is asked whether it is running the request at all.
 const REPLY_SLACK: Duration = Duration::from_millis(40);
 
-/// How a relayed group of shards ended.
+/// The outcome of a relayed group of shards.
 #[derive(Debug)]
 pub enum RelayOutcome {
-    /// The other node has gathered these parts.
+    /// The relay has gathered these parts.
     Gathered(RelayReply),
-    /// It did not run the request at all.
+    /// The relay did not run the request at all.
     NotRun,
-    /// Whether it has is unknown.
+    /// Whether the relay has run the request is unknown.
     Lost,
 }
 
-/// Asks a node to gather the parts of a group of shards.
+/// Asks a relay to gather the parts of a group of shards.
 pub async fn relay(router: &Rc<Router>, search: &Search<'_>, group: &Group) -> RelayOutcome {
     let peer = &group.peer;
     let sent = Cell::new(false);
@@ -100,11 +101,11 @@
     }
 }
 
-/// Completes if the other node doesn't work on the request.
+/// Completes when the relay is found not to be running the request.
 ///
-/// It replies when the answer is due unless too many parts are missing. One that
-/// is silent for longer may have ended, or the connection to it may be lost; so
-/// it is asked, on another connection, whether it has the request.
+/// A relay replies when the answer is due, unless too many parts are missing. If it is
+/// silent for longer, its process may have ended or the connection may be lost, so it is
+/// asked on another connection whether it is running the request.
 async fn wait_until_lost(router: &Router, search: &Search<'_>, peer: &Replica) {
     let clock = &*router.clock;
     let first = search.due + REPLY_SLACK;
@@ -119,7 +120,7 @@
     }
 }
 
-/// Whether a node has a request, by its own word.
+/// Asks a node whether it is running a request.
 async fn is_running(router: &Router, search: &Search<'_>, peer: &Replica) -> Result<bool> {
     let clock = &*router.clock;
     let mut link = peer.pool.open(clock, clock.now() + RUNNING_TIMEOUT).await?;
@@ -166,19 +167,19 @@
         peer.pool.put(link, clock.now(), keep.max(PEER_MAX_IDLE));
     }
     if answer.reply.status != StatusCode::OK {
-        // It refuses before it asks any replica.
+        // A relay that refuses has not queried any replica.
         sent.set(false);
         let status = answer.reply.status.as_u16();
-        return Err(Error::protocol(format!("a node replied with status {status}")));
+        return Err(Error::protocol(format!("relay replied with status {status}")));
     }
     let reply: RelayReply = codec::decode(&answer.reply.body)?;
-    // Connections are kept for long, so that few openings tell the way.
+    // Connections are long-lived, so connects alone give too few round-trip samples.
     let took = clock.now().saturating_duration_since(at);
     peer.observed.note_connect(took.saturating_sub(Duration::from_micros(reply.took_us)));
     Ok(reply)
 }
 
-/// Counts a request to a node for as long as it is open.
+/// Guard that counts a request to a node as open until it is dropped.
 struct OpenRequest<'a> {
     peer: &'a Replica,
     at: std::time::Instant,
@@ -193,7 +194,7 @@
 fn relay_request(router: &Router, search: &Search<'_>, group: &Group) -> RelayRequest {
     let now = router.clock.now();
     let left = search.deadline.saturating_duration_since(now);
-    // The reply needs its way back.
+    // Leaves time for the reply to travel back.
     let due = search.due.saturating_duration_since(now);
     let route = search.route;
     let due = due.saturating_sub(group.peer.observed.round_trip() + RELAY_OVERHEAD);
@@ -228,15 +229,15 @@
     }
 }
 
-/// How many parts of a group are enough when the answer is due.
+/// Number of parts of a group that are enough when the answer is due.
 ///
-/// With fewer, too many would be missing for an answer even if all others came.
+/// With fewer, too many parts would be missing even if all other shards replied.
 fn min_group_parts(set: &ShardSet, group: &Group) -> usize {
     let most_missing = set.shards.len() - set.min_parts().min(set.shards.len());
     group.shards.len().saturating_sub(most_missing).max(1)
 }
 
-/// Whether a node can be asked.
+/// Whether requests can be sent to a node.
 pub(crate) fn is_usable(peer: &Replica) -> bool {
     peer.observed.fitness() == Fitness::Fit && peer.takes_requests()
 }
--- a/crates/kumquatnotch-route/src/relay_front.rs
+++ b/crates/kumquatnotch-route/src/relay_front.rs
@@ -1,4 +1,4 @@
-//! What other nodes reach: gathers the parts of shards beside their replicas.
+//! Entry point for other nodes: gathers the parts of shards in this data centre.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -21,14 +21,14 @@
     router::Router,
 };
 
-/// What other nodes reach.
+/// Handles the requests of other nodes.
 pub struct RelayFront {
     router: Rc<Router>,
-    /// The identities of the requests in work.
+    /// The identities of the requests that are running.
     running: RefCell<Vec<HeaderValue>>,
 }
 
-/// Lists a request as in work for as long as it is.
+/// Guard that lists a request as running until it is dropped.
 struct RunningGuard<'a> {
     front: &'a RelayFront,
     identity: HeaderValue,
@@ -51,7 +51,7 @@
 }
 
 impl RelayFront {
-    /// A front for what `router` knows.
+    /// Creates a handler for the replicas of `router`.
     pub fn new(router: Rc<Router>) -> RelayFront {
         RelayFront { router, running: RefCell::default() }
     }
@@ -72,7 +72,7 @@
         let message: RelayRequest = codec::decode(&request.body)?;
         let route = message.route();
         let Destination::Shards(set) = &route.destination else {
-            return Err(Error::bad_request("no shards"));
+            return Err(Error::bad_request("the relay request has no shards"));
         };
         let request = message.request()?;
         let Some(identity) = request.headers.get(&router.names.request).cloned() else {
--- a/crates/kumquatnotch-route/src/relay_message.rs
+++ b/crates/kumquatnotch-route/src/relay_message.rs
@@ -1,4 +1,4 @@
-//! What a node asks another one to gather, and what that one replies.
+//! The messages between a node and a relay.
 
 use std::time::Duration;
 
@@ -13,54 +13,54 @@
     route::{Destination, Route, RouteKind, ShardSet},
 };
 
-/// What a node asks another one to gather.
+/// A request to gather the parts of several shards.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RelayRequest {
-    /// The route.
+    /// The name of the route.
     pub route: String,
-    /// The most replicas that may run the request, for each shard.
+    /// Maximum number of replicas of each shard that may run the request.
     pub attempts: u32,
-    /// The rank of the request.
+    /// The priority of the request; zero is the most urgent.
     pub priority: u32,
-    /// The time within which an answer is worth most, in microseconds.
+    /// The latency objective of the route, in microseconds.
     pub objective_us: u64,
-    /// The part of that which is left here, in microseconds.
+    /// The time left for the relay until the answer is due, in microseconds.
     pub due_us: u64,
-    /// The time left in all, in microseconds.
+    /// The time left until the deadline, in microseconds.
     pub left_us: u64,
-    /// How many of the greatest records are wanted.
+    /// Number of greatest records to return.
     pub top: usize,
-    /// How many parts are enough once the time in which they are worth most is over.
+    /// Number of parts that are enough once the answer is due.
     pub enough: usize,
-    /// The shards, each with the replicas that may be asked; none means any.
+    /// The shards, each with the replicas that may be used; an empty list allows any.
     pub shards: Vec<(String, Vec<String>)>,
     /// The method of the caller's request.
     pub method: String,
-    /// Its path and query.
+    /// The path and query of the caller's request.
     pub target: String,
-    /// Its headers.
+    /// The headers of the caller's request.
     pub headers: Vec<(String, Bytes)>,
-    /// Its body.
+    /// The body of the caller's request.
     pub body: Bytes,
 }
 
-/// What the other node has gathered.
+/// The reply of a relay.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct RelayReply {
-    /// The greatest records, falling.
+    /// The greatest records in descending order.
     pub records: Bytes,
     /// The proofs of the parts.
     pub proofs: Vec<Bytes>,
-    /// The shards that are missing, by their place in the request.
+    /// Indices into the shards of the request of those that are missing.
     pub missing: Vec<usize>,
     /// Whether a replica may have run the request.
     pub ran: bool,
-    /// How long the gathering took, in microseconds.
+    /// Time spent by the relay, in microseconds.
     pub took_us: u64,
 }
 
 impl RelayRequest {
-    /// The route, as far as the gathering needs it.
+    /// Builds a route with the settings that the relay needs.
     pub fn route(&self) -> Route {
         let shards = self.shards.iter().map(|(name, _)| ServiceName::from(&**name));
         let set = ShardSet { shards: shards.collect(), top: self.top, min_coverage: 0.0 };
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The caller's request.
+    /// Rebuilds the caller's request.
     pub fn request(&self) -> Result<Request> {
         let method = Method::from_bytes(self.method.as_bytes()).map_err(Error::bad_request)?;
         let mut request = Request::new(method, &self.target);
--- a/crates/kumquatnotch-route/src/relay_plan.rs
+++ b/crates/kumquatnotch-route/src/relay_plan.rs
@@ -1,4 +1,4 @@
-//! Which shards of a search are asked for from here, and through which nodes the others.
+//! Plans which shards of a search are queried directly and which through relays.
 
 use std::rc::Rc;
 
@@ -16,29 +16,29 @@
     router::Router,
 };
 
-/// A group of shards, and the node that is asked for them.
+/// A group of shards and the relay that gathers them.
 pub struct Group {
-    /// The node.
+    /// The relay.
     pub peer: Rc<Replica>,
-    /// The shards, by their place in the set.
+    /// Indices of the shards in the set.
     pub shards: Vec<usize>,
-    /// The replicas of each shard that may be asked; none means any.
+    /// The replicas of each shard that may be used; an empty list allows any.
     ///
-    /// If the other node is lost, the shards are asked for from here again. Both
-    /// must keep to the same few replicas then, or more of them than the route
-    /// allows would run the request.
+    /// If the relay is lost, this node queries the shards itself. Both nodes must use the
+    /// same replicas then, as otherwise more replicas than the route allows would run the
+    /// request.
     pub allowed: Vec<Vec<ReplicaId>>,
 }
 
-/// Which shards of a search are asked for, and by whom.
+/// The shards of a search by how they are queried.
 pub struct Plan {
-    /// The shards that are asked for from here, by their place in the set.
+    /// Indices of the shards that this node queries itself.
     pub direct: Vec<usize>,
-    /// The shards that are asked for through nodes of other data centres.
+    /// The shards that are queried through relays in other data centres.
     pub groups: Vec<Group>,
 }
 
-/// Plans a search over `shards`, by their place in the set.
+/// Plans a search over `shards`, given as indices into the set.
 pub fn plan(router: &Router, route: &Route, set: &ShardSet, shards: &[usize]) -> Plan {
     if !router.uses(Mechanism::Relays) {
         return Plan { direct: shards.to_vec(), groups: Vec::new() };
@@ -63,7 +63,7 @@
     Plan { direct, groups: groups.collect() }
 }
 
-/// The replicas of a shard that take requests, by their data centres.
+/// Rates the replicas of a shard that accept requests, with their data centres.
 fn rate_by_centre(
     router: &Router,
     route: &Route,
@@ -76,7 +76,7 @@
     open.map(|replica| (replica.spec().centre.clone(), replica.rate(need, now))).collect()
 }
 
-/// The replicas of a shard that one search may ask; none means any.
+/// Returns the replicas of a shard that one search may use; an empty list allows any.
 fn allowed_replicas(router: &Router, route: &Route, shard: &ServiceName) -> Vec<ReplicaId> {
     let replicas = router.directory.of(shard);
     if replicas.len() <= route.attempts as usize {
--- a/crates/kumquatnotch-route/src/replica.rs
+++ b/crates/kumquatnotch-route/src/replica.rs
@@ -1,5 +1,5 @@
-//! One incarnation of a replica: what it says of itself, the connections to it, and
-//! what was learned of it.
+//! One incarnation of a replica: its announced properties, the connections to it and its
+//! statistics.
 
 use std::{
     cell::{Cell, Ref, RefCell},
@@ -21,34 +21,34 @@
     semaphore::PrioritySemaphore,
 };
 
-/// What a replica says of itself.
+/// The properties that a replica announces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaSpec {
-    /// Its service.
+    /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its data centre.
     pub centre: DataCentre,
-    /// How many requests it runs at once.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Whether it ends what it runs and takes no new requests.
+    /// Whether it finishes running requests and accepts no new ones.
     pub draining: bool,
-    /// When it started, in milliseconds since 1970, if it tells.
+    /// When it started, in milliseconds since 1970, if it announces that.
     ///
-    /// It may start again under its name, and then knows nothing of before.
+    /// A replica may restart under the same name, without any state from before.
     pub born: Option<u64>,
 }
 
 /// One incarnation of a replica.
 pub struct Replica {
-    /// Its name.
+    /// Its identifier.
     pub id: ReplicaId,
-    /// The permits to be with it.
+    /// Limits concurrent requests to it.
     pub semaphore: Rc<PrioritySemaphore>,
-    /// The connections to it.
+    /// The idle connections to it.
     pub pool: ConnectionPool,
-    /// What was learned of it.
+    /// Its statistics.
     pub observed: Observed,
     spec: RefCell<ReplicaSpec>,
     gone: Cell<bool>,
@@ -56,7 +56,7 @@
 }
 
 impl Replica {
-    /// A replica of which nothing was learned yet.
+    /// Creates a replica without statistics.
     pub fn new(id: ReplicaId, spec: ReplicaSpec, distance: Rc<Distance>, now: Instant) -> Replica {
         Replica {
             id,
@@ -69,40 +69,40 @@
         }
     }
 
-    /// Takes over what the replica says of itself now.
+    /// Updates the announced properties.
     pub fn update(&self, spec: ReplicaSpec) {
         self.observed.set_slots(spec.slots);
         *self.spec.borrow_mut() = spec;
     }
 
-    /// What the replica says of itself.
+    /// The announced properties.
     pub fn spec(&self) -> Ref<'_, ReplicaSpec> {
         self.spec.borrow()
     }
 
-    /// Marks it as gone, so that nothing is sent any more.
+    /// Marks it as gone, so that no more requests are sent.
     pub fn set_gone(&self) {
         self.gone.set(true);
         self.pool.close();
     }
 
-    /// Whether it is gone from the directory.
+    /// Whether it was removed from the directory.
     pub fn is_gone(&self) -> bool {
         self.gone.get()
     }
 
-    /// Sets whether it has probably left, though it may still be back.
+    /// Sets whether it is presumed gone, although it may still come back.
     pub fn set_presumed_gone(&self, presumed_gone: bool) {
         self.presumed_gone.set(presumed_gone);
     }
 
-    /// Whether new requests may be sent to it at all.
+    /// Whether new requests may be sent to it.
     pub fn takes_requests(&self) -> bool {
         let is_replaced = self.observed.fitness() == Fitness::Replaced;
         !self.gone.get() && !self.spec.borrow().draining && !is_replaced
     }
 
-    /// What is to be expected of it.
+    /// Rates it for a request.
     pub fn rate(&self, need: Need, now: Instant) -> Rating {
         let (waiting, limit) = (self.semaphore.waiting(), self.semaphore.limit());
         let rating = Rating::new(Candidate { observed: &self.observed, waiting, limit }, need, now);
@@ -110,15 +110,15 @@
     }
 }
 
-/// A replica that was picked.
+/// A selected replica.
 pub struct Pick {
     /// The replica.
     pub replica: Rc<Replica>,
-    /// What is to be expected of it.
+    /// Its rating.
     pub rating: Rating,
 }
 
-/// The best of `replicas` that take requests, without those `tried`.
+/// Selects the best of `replicas` that accept requests, except those in `tried`.
 pub fn pick(
     replicas: &[Rc<Replica>],
     tried: &[ReplicaId],
--- a/crates/kumquatnotch-route/src/request_log.rs
+++ b/crates/kumquatnotch-route/src/request_log.rs
@@ -1,4 +1,4 @@
-//! The line that a request leaves in the log, and what it counts for.
+//! The log line and the metrics of a request.
 
 use std::{cell::Cell, rc::Rc, time::Instant};
 
@@ -6,20 +6,20 @@
 
 use crate::{call::CallStats, route::Route, router::Router};
 
-/// What is known of a request besides its bytes.
+/// The route, deadlines and identity of a request.
 pub(crate) struct RequestContext {
     pub(crate) identity: HeaderValue,
     pub(crate) route: Rc<Route>,
     pub(crate) version: u64,
     pub(crate) arrival: Instant,
-    /// Until when an answer is worth most.
+    /// The latest time at which an answer meets the objective.
     pub(crate) due: Instant,
     pub(crate) deadline: Instant,
-    /// Whether the caller comes again, so late that the answer can't be in time.
+    /// Whether the caller retries so late that the answer can't meet the objective.
     pub(crate) is_late_retry: bool,
 }
 
-/// Writes one line for a request, also if its caller goes away.
+/// Logs one line for each request, even if its caller disconnects.
 pub(crate) struct RequestLog<'a> {
     router: &'a Router,
     context: &'a RequestContext,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Writes it.
+    /// Writes the log line and updates the metrics.
     pub(crate) fn write(&self, status: StatusCode, reason: &'static str) {
         self.written.set(true);
         let context = self.context;
--- a/crates/kumquatnotch-route/src/route.rs
+++ b/crates/kumquatnotch-route/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which services a request may reach, and how.
+//! Routes: which services handle a request, and under which rules.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,42 +7,42 @@
 
 use crate::names::{RouteName, ServiceName};
 
-/// What may be done with a request of a route.
+/// Whether requests of a route may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// It runs at most once for each attempt of its caller.
+    /// A request runs at most once for each attempt of its caller.
     Exclusive,
 }
 
 /// Where the requests of a route go.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Destination {
-    /// To a replica of one service.
+    /// A replica of one service.
     Service(ServiceName),
-    /// To a replica of one of several services, in proportion to their weights.
+    /// A replica of one of several services, chosen in proportion to their weights.
     Weighted(Vec<WeightedService>),
-    /// To a replica of each shard; the answer merges their parts.
+    /// A replica of each shard; the answer merges their parts.
     Shards(ShardSet),
 }
 
-/// The shards of a route, and what an answer from them must hold.
+/// The shards of a route and the requirements on a merged answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardSet {
-    /// The services that hold a shard each.
+    /// The services, one for each shard.
     pub shards: Vec<ServiceName>,
-    /// How many of the greatest records an answer has.
+    /// Number of greatest records in an answer.
     pub top: usize,
-    /// The least share of the shards that must be covered, from zero to one.
+    /// Minimum share of the shards that an answer must cover, from zero to one.
     pub min_coverage: f64,
 }
 
 impl ShardSet {
-    /// How many parts an answer must have at least.
+    /// Minimum number of parts of an answer.
     pub fn min_parts(&self) -> usize {
-        // The share is a decimal fraction, whose product may lie a rounding
-        // error above the whole number that is meant.
+        // The product with a decimal fraction may exceed the intended whole number by a
+        // rounding error.
         let parts = (self.min_coverage * self.shards.len() as f64 - 1e-9).ceil();
         (parts as usize).max(1)
     }
@@ -55,17 +55,17 @@
     pub name: RouteName,
     /// The host that callers name.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// Whether its requests may run more than once.
     pub kind: RouteKind,
-    /// The longest time that a caller is kept waiting.
+    /// Maximum time until a reply.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// The latency objective.
     pub objective: Duration,
-    /// The most replicas that may run one request, for each service.
+    /// Maximum number of replicas of each service that may run one request.
     pub attempts: u32,
-    /// Its rank; zero is the most urgent.
+    /// The priority of its requests; zero is the most urgent.
     pub priority: u32,
     /// Where its requests go.
     pub destination: Destination,
@@ -76,33 +76,33 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Where its replicas answer probes.
+    /// The path on which its replicas answer probes.
     pub probe_path: String,
-    /// The most connections that a replica takes from all nodes together.
+    /// Maximum number of connections to a replica from all nodes together.
     pub connections: u32,
 }
 
-/// The bounds on what a caller may send.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body: usize,
 }
 
 /// One version of the operators' configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteConfig {
-    /// Its version, which only grows.
+    /// Its version, which increases monotonically.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: Vec<Service>,
-    /// The bounds on what a caller may send.
+    /// The limits on the requests of callers.
     pub limits: Limits,
 }
 
-/// The routes of one version, by host and prefix.
+/// The routes of one configuration version, indexed by host and prefix.
 #[derive(Debug)]
 pub struct RouteTable {
     version: u64,
@@ -112,7 +112,7 @@
 }
 
 impl RouteTable {
-    /// Sorts a configuration for lookups.
+    /// Builds the table from a configuration.
     pub fn new(config: RouteConfig) -> RouteTable {
         let RouteConfig { version, routes, services, limits } = config;
         let mut hosts: HashMap<String, Host> = HashMap::default();
@@ -123,12 +123,12 @@
         RouteTable { version, hosts, services: services.collect(), limits }
     }
 
-    /// The version.
+    /// The version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The bounds on what a caller may send.
+    /// The limits on the requests of callers.
     pub fn limits(&self) -> Limits {
         self.limits
     }
@@ -148,7 +148,7 @@
         self.hosts.get(&name.to_ascii_lowercase())
     }
 
-    /// The hosts with a route over shards.
+    /// The hosts with at least one sharded route.
     pub fn sharded_hosts(&self) -> impl Iterator<Item = &str> {
         let over_shards = |host: &Host| {
             host.routes.iter().any(|route| matches!(route.destination, Destination::Shards(_)))
@@ -166,20 +166,20 @@
 #[derive(Clone, Debug, Default)]
 struct Host {
     routes: Vec<Rc<Route>>,
-    /// The same by their prefixes, each of which ends with a slash.
+    /// The routes by prefix; each prefix ends with a slash.
     by_prefix: HashMap<String, Rc<Route>>,
 }
 
 impl Host {
     fn add(&mut self, route: Rc<Route>) {
-        // Of two with the same prefix, the first one is meant.
+        // Of two routes with the same prefix, the first one takes precedence.
         self.by_prefix.entry(route.prefix.clone()).or_insert_with(|| route.clone());
         self.routes.push(route);
     }
 
     /// The route with the longest prefix that `path` begins with.
     ///
-    /// It looks up a prefix for each slash of the path, whatever the number of routes.
+    /// Does one lookup for each slash of the path, independent of the number of routes.
     fn find(&self, path: &str) -> Option<&Rc<Route>> {
         let ends = path.rmatch_indices('/').map(|(index, _)| index + 1);
         ends.map(|end| &path[..end]).find_map(|prefix| self.by_prefix.get(prefix))
--- a/crates/kumquatnotch-route/src/schema.rs
+++ b/crates/kumquatnotch-route/src/schema.rs
@@ -1,11 +1,11 @@
-//! What the keys and values of the store are about.
+//! The interpretation of keys and values of the store.
 
 use kumquatnotch_core::{Result, ids::NodeName, store::StoreItem};
 use kumquatnotch_policy::crashes::Crash;
 
 use crate::{fleet::NodeRecord, names::ReplicaId, replica::ReplicaSpec, route::RouteConfig};
 
-/// What a key of the store holds.
+/// A decoded entry of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
     /// The operators' configuration.
@@ -14,11 +14,11 @@
     Replica(ReplicaId, ReplicaSpec),
     /// A node of this tier.
     Node(NodeName, NodeRecord),
-    /// The crashes that a node has seen.
+    /// The crashes that a node has detected.
     Crashes(NodeName, Vec<Crash>),
 }
 
-/// What a key is about.
+/// A decoded key of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum EntryKey {
     /// The operators' configuration.
@@ -27,21 +27,21 @@
     Replica(ReplicaId),
     /// A node of this tier.
     Node(NodeName),
-    /// The crashes that a node has seen.
+    /// The crashes that a node has detected.
     Crashes(NodeName),
 }
 
-/// How keys and values of the store are to be read.
+/// Decodes the keys and values of the store.
 pub trait Schema {
-    /// The prefix under which all that is mirrored lies.
+    /// The prefix of all mirrored keys.
     fn prefix(&self) -> &str;
 
-    /// The prefix under which the nodes of the tier lie.
+    /// The prefix of the keys of nodes of this tier.
     fn node_prefix(&self) -> &str;
 
-    /// What a key is about; `None` if it is nothing to this tier.
+    /// Decodes a key; `None` if it does not concern this tier.
     fn read_key(&self, key: &str) -> Option<EntryKey>;
 
-    /// What an item holds; `None` if it is nothing to this tier.
+    /// Decodes an item; `None` if it does not concern this tier.
     fn read(&self, item: &StoreItem) -> Result<Option<Entry>>;
 }
--- a/crates/kumquatnotch-route/src/semaphore.rs
+++ b/crates/kumquatnotch-route/src/semaphore.rs
@@ -1,7 +1,7 @@
-//! A bound on how many requests are with a replica at once.
+//! A semaphore with priorities, which limits concurrent requests.
 //!
-//! Whoever finds the bound reached waits, the more urgent first and in order of
-//! arrival among equals.
+//! When the limit is reached, further requests wait: the most urgent first, and in order
+//! of arrival among requests of the same priority.
 
 use std::{
     cell::{Cell, RefCell},
@@ -10,7 +10,7 @@
 
 use futures_channel::oneshot;
 
-/// A bound with those that wait for it.
+/// A semaphore whose waiters are ordered by priority.
 #[derive(Debug, Default)]
 pub struct PrioritySemaphore {
     in_use: Cell<u32>,
@@ -24,32 +24,32 @@
     sender: oneshot::Sender<Permit>,
 }
 
-/// The right to use the replica, until it is dropped.
+/// A permit of a [`PrioritySemaphore`], returned when dropped.
 #[derive(Debug)]
 pub struct Permit(Rc<PrioritySemaphore>);
 
 impl PrioritySemaphore {
-    /// Sets the bound.
+    /// Sets the maximum number of permits.
     pub fn set_limit(&self, limit: u32) {
         self.limit.set(limit);
     }
 
-    /// How many permits are out.
+    /// Number of permits in use.
     pub fn in_use(&self) -> u32 {
         self.in_use.get()
     }
 
-    /// How many wait.
+    /// Number of waiters.
     pub fn waiting(&self) -> usize {
         self.waiting.borrow().len()
     }
 
-    /// The bound.
+    /// The maximum number of permits.
     pub fn limit(&self) -> u32 {
         self.limit.get()
     }
 
-    /// Waits for a permit.
+    /// Waits for a permit; priority zero is the most urgent.
     pub async fn acquire(self: &Rc<PrioritySemaphore>, priority: u32) -> Permit {
         if self.in_use.get() < self.limit.get() {
             return self.issue_permit();
@@ -87,8 +87,8 @@
             if waiter.sender.is_canceled() {
                 continue;
             }
-            // A waiter that goes away in this moment drops the permit, which
-            // brings it back here.
+            // If the waiter is cancelled at this moment, the permit is dropped and
+            // passed on to the next waiter.
             let _ = waiter.sender.send(semaphore.issue_permit());
         }
     }
--- a/crates/kumquatnotch-route/src/store_retry.rs
+++ b/crates/kumquatnotch-route/src/store_retry.rs
@@ -1,8 +1,8 @@
-//! Calls to the store that are made again before the earlier ones have failed.
+//! Store calls that are repeated without waiting for earlier ones to fail.
 //!
-//! The store may swallow a call and be well a moment later. Whoever waits for such a call to
-//! its end hears nothing for seconds, while the store answers everybody else; so another
-//! call is made beside it.
+//! The store may lose a call and recover a moment later. Waiting for the timeout of the
+//! lost call would take seconds while the store answers other clients, so further calls
+//! are made concurrently.
 
 use std::time::{Duration, Instant};
 
@@ -11,26 +11,27 @@
 
 use crate::router::Router;
 
-/// The pauses between calls, before jitter.
+/// The delays between calls, before jitter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryDelays {
-    /// The first one; they double.
+    /// The first delay; it doubles with each call.
     pub(crate) initial: Duration,
-    /// The longest one.
+    /// The longest delay.
     pub(crate) max: Duration,
 }
 
-/// What the store answered.
+/// An answer of the store.
 pub(crate) struct Answer<T> {
     pub(crate) value: T,
-    /// When it was asked for that.
+    /// When the answered call was made.
     pub(crate) asked_at: Instant,
 }
 
-/// Makes a call until one is answered, however long that takes; earlier ones go on.
+/// Repeats a call until it is answered, with no limit on time; earlier calls keep running.
 ///
-/// Of the errors, only that the history is gone is an answer. `failures` is how many calls
-/// have failed before, as the first failure and the return of the store are told.
+/// The only error that counts as an answer is [`Error::VersionUnknown`], which means that
+/// the store no longer has the requested history. `failures` is the number of calls that
+/// have failed before; the first failure and the recovery of the store are logged.
 pub(crate) async fn call_until_answered<'a, T>(
     router: &Router,
     delays: RetryDelays,
