--- a/crates/kumquatnotch-route/tests/admission.rs
+++ b/crates/kumquatnotch-route/tests/admission.rs
@@ -75,14 +75,14 @@
 }
 
 /// Lets the replica tell that so many requests wait there, each of 20 ms.
-fn crowd(tier: &Tier, id: &ReplicaId, waiting: u32) {
+fn fill_queue(tier: &Tier, id: &ReplicaId, waiting: u32) {
     let replica = tier.router.directory.find(id).unwrap();
     (0..60).for_each(|_| replica.observed.note_work(Duration::from_millis(20)));
     replica.observed.note_load(waiting, RuntimeClock.now());
 }
 
 #[test]
-fn a_search_is_let_in_while_nothing_is_wrong() {
+fn a_search_is_admitted_when_all_shards_are_healthy() {
     run(async {
         let (tier, _) = tier(4);
 
@@ -97,7 +97,7 @@
     two_slow = { &[30, 20], 0.5 },
     one_of_two_is_needed = { &[30, 20], 0.75 },
 )]
-fn a_search_that_slow_shards_make_thinner_is_let_in(slowness: &[u32], min_coverage: f64) {
+fn a_search_with_slow_optional_shards_is_admitted(slowness: &[u32], min_coverage: f64) {
     run(async {
         let (tier, ids) = tier(4);
         slowness.iter().zip(&ids).for_each(|(times, id)| slow_down(&tier, id, *times));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_search_with_a_shard_that_answers_nothing_is_let_in() {
+fn a_search_with_a_suspected_shard_is_admitted() {
     run(async {
         let (tier, ids) = tier(4);
         tier.router.directory.find(&ids[0]).unwrap().observed.set_fitness(Fitness::Suspect);
@@ -142,7 +142,7 @@
 
 /// The same seen by the caller: 503 with the time to come back, and no replica has run it.
 #[test]
-fn a_search_refused_for_want_of_replicas_has_not_run() {
+fn a_search_refused_for_lack_of_replicas_has_not_run() {
     run(async {
         let tier = Tier::serving(shards(2, 1.0));
         let other = replica("p0", b"0123456789abcdef");
@@ -156,11 +156,11 @@
 }
 
 #[test]
-fn a_search_that_needs_a_crowded_shard_is_refused() {
+fn a_search_that_needs_an_overloaded_shard_is_refused() {
     run(async {
         let (tier, ids) = tier(4);
-        crowd(&tier, &ids[0], 40);
-        crowd(&tier, &ids[1], 40);
+        fill_queue(&tier, &ids[0], 40);
+        fill_queue(&tier, &ids[1], 40);
 
         let needed = try_admit(&tier, &shards(4, 0.75)).await;
         let spared = try_admit(&tier, &shards(4, 0.5)).await;
@@ -176,7 +176,7 @@
 /// A slow shard that is needed is asked, late as its part will be: callers get a late
 /// answer rather than none, as long as there is time for it.
 #[test]
-fn a_search_that_needs_a_slow_shard_is_served_late() {
+fn a_search_that_needs_a_slow_shard_is_admitted() {
     run(async {
         let (tier, ids) = tier(2);
         slow_down(&tier, &ids[1], 20);
@@ -189,10 +189,10 @@
 /// busy. It waits here, so that it makes none late that comes in time, and is let in
 /// when they have room to spare.
 #[test]
-fn a_search_that_comes_again_waits_until_replicas_have_room() {
+fn a_late_retry_waits_for_capacity() {
     run(async {
         let (tier, ids) = tier(2);
-        ids.iter().for_each(|id| crowd(&tier, id, 12));
+        ids.iter().for_each(|id| fill_queue(&tier, id, 12));
 
         let (has_room, took) = wait_for_capacity(&tier, &shards(2, 1.0)).await;
 
@@ -203,10 +203,10 @@
 }
 
 #[test]
-fn a_search_that_comes_again_finds_no_room_while_replicas_stay_busy() {
+fn a_late_retry_is_refused_while_replicas_stay_busy() {
     run(async {
         let (tier, ids) = tier(2);
-        ids.iter().for_each(|id| crowd(&tier, id, 800));
+        ids.iter().for_each(|id| fill_queue(&tier, id, 800));
 
         let (has_room, took) = wait_for_capacity(&tier, &shards(2, 1.0)).await;
 
@@ -218,10 +218,10 @@
 /// Replicas are crowded, and searches that come for the first time are refused. One
 /// that comes again is refused as well, at once: it would wait for what isn't there.
 #[test]
-fn a_search_that_comes_again_does_not_wait_while_others_are_refused() {
+fn a_late_retry_does_not_wait_while_other_searches_are_refused() {
     run(async {
         let (tier, ids) = tier(2);
-        ids.iter().for_each(|id| crowd(&tier, id, 800));
+        ids.iter().for_each(|id| fill_queue(&tier, id, 800));
         let route = shards(2, 1.0);
         (0..3)
             .for_each(|_| tier.router.strains.note(&route.name, Fate::Refused, RuntimeClock.now()));
@@ -236,7 +236,7 @@
 /// Two callers come again while replicas have room. The second one waits until the
 /// answer of the first one is given, and is refused if that takes too long.
 #[test]
-fn searches_that_come_again_are_let_in_one_after_the_other() {
+fn late_retries_are_admitted_one_at_a_time() {
     run(async {
         let (tier, _) = tier(2);
         let (semaphore, route) = (semaphore(), shards(2, 1.0));
@@ -259,7 +259,7 @@
 /// searches are in time, and refused once many that were let in were late: other nodes
 /// send to the same replicas, and what is known of their queues is old.
 #[test]
-fn searches_are_let_in_with_more_caution_while_many_are_late() {
+fn admission_is_stricter_while_many_searches_are_late() {
     run(async {
         let (tier, ids) = tier(2);
         let route = shards(2, 1.0);
@@ -267,19 +267,19 @@
             (0..count)
                 .for_each(|_| tier.router.strains.note(&route.name, fate, RuntimeClock.now()));
         };
-        let crowd_all = || ids.iter().for_each(|id| crowd(&tier, id, 3));
+        let fill_queues = || ids.iter().for_each(|id| fill_queue(&tier, id, 3));
 
-        crowd_all();
+        fill_queues();
         let before = try_admit(&tier, &route).await;
         note(20, Fate::Late);
-        crowd_all();
-        let pressed = try_admit(&tier, &route).await;
+        fill_queues();
+        let while_late = try_admit(&tier, &route).await;
         note(100, Fate::InTime);
-        crowd_all();
+        fill_queues();
         let after = try_admit(&tier, &route).await;
 
         assert_eq!(before, Ok(()));
-        assert!(pressed.is_err(), "{pressed:?}");
+        assert!(while_late.is_err(), "{while_late:?}");
         assert_eq!(after, before);
     });
 }
@@ -287,10 +287,10 @@
 /// Nearly all searches have been refused for a while. Callers come again later than
 /// after a single refusal, but sooner than a third of their time.
 #[test]
-fn the_longer_a_crowd_stays_the_later_callers_come_again() {
+fn retry_after_grows_while_overload_lasts() {
     run(async {
         let (tier, ids) = tier(2);
-        ids.iter().for_each(|id| crowd(&tier, id, 40));
+        ids.iter().for_each(|id| fill_queue(&tier, id, 40));
         let route = shards(2, 1.0);
         (0..80)
             .for_each(|_| tier.router.strains.note(&route.name, Fate::Refused, RuntimeClock.now()));
--- a/crates/kumquatnotch-route/tests/components.rs
+++ b/crates/kumquatnotch-route/tests/components.rs
@@ -39,7 +39,7 @@
 #[parameterized(
     longest = { "a.example", "/x/y/z", Some("long") },
     shorter = { "a.example", "/x/z", Some("short") },
-    not_a_whole_part = { "a.example", "/x/yy", Some("short") },
+    partial_segment = { "a.example", "/x/yy", Some("short") },
     other_host = { "b.example", "/x/y/z", Some("other") },
     with_port = { "a.example:80", "/x/z", Some("short") },
     in_capitals = { "A.Example", "/x/z", Some("short") },
@@ -56,33 +56,33 @@
 }
 
 #[parameterized(
-    whole = { 20, 1.0, 20 },
+    all = { 20, 1.0, 20 },
     rounds_up = { 20, 0.89, 18 },
     exact = { 20, 0.75, 15 },
-    never_none = { 20, 0.0, 1 },
+    at_least_one = { 20, 0.0, 1 },
     no_rounding_error = { 100, 0.29, 29 },
 )]
-fn the_least_share_is_a_number_of_parts(shards: usize, min_coverage: f64, parts: usize) {
+fn min_coverage_gives_the_number_of_parts(shards: usize, min_coverage: f64, parts: usize) {
     let shards = (0..shards).map(|index| ServiceName::from(&*format!("s{index}"))).collect();
 
     assert_eq!(ShardSet { shards, top: 1, min_coverage }.min_parts(), parts);
 }
 
-fn records(firsts: &[u8], rest: usize) -> Bytes {
+fn records(first_bytes: &[u8], trailing: usize) -> Bytes {
     let mut bytes = Vec::new();
-    for first in firsts {
+    for first in first_bytes {
         bytes.push(*first);
         bytes.extend([7; merge::RECORD_BYTES - 1]);
     }
-    bytes.extend(vec![255; rest]);
+    bytes.extend(vec![255; trailing]);
     bytes.into()
 }
 
 #[parameterized(
-    falling = { &[records(&[1, 3], 0), records(&[2], 0)], 10, &[3, 2, 1] },
-    cut = { &[records(&[1, 3], 0), records(&[2], 0)], 2, &[3, 2] },
-    equal_ones_count = { &[records(&[3, 3], 0), records(&[3], 0)], 3, &[3, 3, 3] },
-    remainders_are_no_records = { &[records(&[1], 15), records(&[2], 1)], 10, &[2, 1] },
+    descending = { &[records(&[1, 3], 0), records(&[2], 0)], 10, &[3, 2, 1] },
+    truncated = { &[records(&[1, 3], 0), records(&[2], 0)], 2, &[3, 2] },
+    duplicates_are_kept = { &[records(&[3, 3], 0), records(&[3], 0)], 3, &[3, 3, 3] },
+    trailing_bytes_are_ignored = { &[records(&[1], 15), records(&[2], 1)], 10, &[2, 1] },
     empty = { &[], 10, &[] },
 )]
 fn the_greatest_records_are_merged(parts: &[Bytes], top: usize, expected: &[u8]) {
@@ -90,23 +90,23 @@
 }
 
 #[test]
-fn the_more_urgent_waiter_goes_first_and_one_that_left_holds_nobody_up() {
+fn urgent_waiters_go_first_and_cancelled_ones_are_skipped() {
     let semaphore = Rc::new(PrioritySemaphore::default());
     semaphore.set_limit(1);
     let held = semaphore.acquire(1).now_or_never().unwrap();
-    let mut patient = Box::pin(semaphore.acquire(2));
-    let mut left = Box::pin(semaphore.acquire(0));
+    let mut normal = Box::pin(semaphore.acquire(2));
+    let mut cancelled = Box::pin(semaphore.acquire(0));
     let mut urgent = Box::pin(semaphore.acquire(1));
-    for waiter in [&mut patient, &mut left, &mut urgent] {
+    for waiter in [&mut normal, &mut cancelled, &mut urgent] {
         assert!(waiter.as_mut().now_or_never().is_none());
     }
 
-    drop(left);
+    drop(cancelled);
     drop(held);
 
-    assert!(patient.as_mut().now_or_never().is_none());
+    assert!(normal.as_mut().now_or_never().is_none());
     let held = urgent.now_or_never().unwrap();
     drop(held);
-    assert!(patient.now_or_never().is_some());
+    assert!(normal.now_or_never().is_some());
     assert_eq!(semaphore.in_use(), 0);
 }
--- a/crates/kumquatnotch-route/tests/crashes.rs
+++ b/crates/kumquatnotch-route/tests/crashes.rs
@@ -83,7 +83,7 @@
 /// A request was with two replicas that crashed for another reason. It is answered, and
 /// a third crash says as little of it as the first one did.
 #[test]
-fn an_answer_clears_a_request() {
+fn a_successful_answer_clears_the_suspicion() {
     let (crashes, (request, print)) = (Crashes::default(), suspect());
 
     crash(&crashes, print, 0, &[1]);
@@ -120,7 +120,7 @@
 
 /// A replica loses the answers to requests and lives on. Nobody is suspected.
 #[test]
-fn a_lost_answer_is_no_crash() {
+fn a_lost_reply_is_not_a_crash() {
     run(async {
         let tier = Tier::serving(exclusive());
         let replica = scripted_replica(|_| vec![Step::Close]);
--- a/crates/kumquatnotch-route/tests/forwarding.rs
+++ b/crates/kumquatnotch-route/tests/forwarding.rs
@@ -10,7 +10,7 @@
 use standins::scripted::{Scripted, Step, answer};
 
 #[test]
-fn a_request_passes_unchanged_but_for_the_headers_of_its_connection() {
+fn a_request_is_forwarded_unchanged_except_hop_by_hop_headers() {
     run(async {
         let tier = Tier::serving(single());
         let replica = replica("p", b"whole");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_failure_of_the_replica_passes_with_its_proof_and_status() {
+fn a_failed_reply_is_forwarded_with_its_proof_and_status() {
     run(async {
         let tier = Tier::serving(exclusive());
         let replica = scripted_replica(|_| vec![answer(500, &[("x-proof", "p")], b"broken")]);
@@ -99,7 +99,7 @@
 /// All replicas are full. The caller hears at once that nothing has run, and when
 /// to come back; the answer is not that of a replica.
 #[test]
-fn a_request_that_every_replica_rejects_is_refused_with_the_time_to_come_back() {
+fn a_request_that_every_replica_rejects_is_refused_with_retry_after() {
     run(async {
         let tier = Tier::serving(exclusive());
         let full =
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_replica_that_refuses_connections_costs_no_attempt() {
+fn a_refused_connection_does_not_count_as_an_attempt() {
     run(async {
         let tier = Tier::serving(exclusive());
         let other = replica("p", b"done");
@@ -136,7 +136,7 @@
 /// The replica sends each answer twice. The extra one stands before the answer to
 /// the next request on the connection, whose caller must not get it.
 #[test]
-fn an_extra_reply_is_never_given_to_another_request() {
+fn an_extra_reply_is_never_returned_for_another_request() {
     run(async {
         let tier = Tier::serving(single());
         let doubled = Scripted::start(|request| {
@@ -159,7 +159,7 @@
 
 /// The reply has no length and ends with its connection, which is how HTTP allows it.
 #[test]
-fn a_reply_without_length_is_whole_when_its_connection_ends() {
+fn a_reply_without_length_is_complete_when_its_connection_closes() {
     run(async {
         let tier = Tier::serving(single());
         let unframed = scripted_replica(|_| {
@@ -182,7 +182,7 @@
 /// The replica breaks off in the middle of its body. What came is a part, which
 /// must not reach the caller as a whole; another replica answers.
 #[test]
-fn a_reply_that_breaks_off_is_tried_elsewhere() {
+fn a_truncated_reply_is_retried_at_another_replica() {
     run(async {
         let tier = Tier::serving(single());
         let broken = scripted_replica(|_| {
@@ -204,7 +204,7 @@
 /// The address of a replica that ended belongs to another one by now, which says
 /// so. The request goes elsewhere, and the address is not used again.
 #[test]
-fn a_replica_whose_address_belongs_to_another_is_left_alone() {
+fn a_replaced_replica_gets_no_more_requests() {
     run(async {
         let tier = Tier::serving(exclusive());
         let replaced = scripted_replica(|_| vec![answer(421, &[("x-incarnation", "other")], b"")]);
@@ -242,7 +242,7 @@
 /// All nodes start at once, and each has heard of no other yet. If each took all
 /// connections of a replica for itself, the replica would reset most of them.
 #[test]
-fn a_node_that_has_just_started_leaves_room_for_others() {
+fn a_newly_started_node_takes_a_small_share() {
     run(async {
         let tier = Tier::serving(single());
 
@@ -255,15 +255,16 @@
 /// The caller goes away while a replica is at work. The replica learns it by the
 /// end of its connection, as soon as the node does.
 #[test]
-fn a_caller_that_leaves_ends_the_work_of_the_replica() {
+fn a_disconnect_of_the_caller_cancels_the_request_at_the_replica() {
     run(async {
         let tier = Tier::serving(single());
         let slow = scripted_replica(|_| vec![Step::Silence]);
         tier.add("s0", slow.address);
 
         let headers = [("host", HOST), ("x-request-id", "r1")];
-        let hasty = standins::http::Client::new(tier.server.address(), Duration::from_millis(100));
-        hasty.send("GET", "/a/", &headers, Bytes::new()).await.unwrap_err();
+        let impatient =
+            standins::http::Client::new(tier.server.address(), Duration::from_millis(100));
+        impatient.send("GET", "/a/", &headers, Bytes::new()).await.unwrap_err();
         pause(100).await;
 
         assert_eq!(slow.cut(), 1);
@@ -271,7 +272,7 @@
 }
 
 #[test]
-fn a_node_without_configuration_refuses_with_the_time_to_come_back() {
+fn a_node_without_configuration_refuses_with_retry_after() {
     run(async {
         let tier = Tier::new();
 
@@ -283,7 +284,7 @@
 }
 
 #[test]
-fn requests_that_no_configuration_allows_are_refused_for_good() {
+fn invalid_requests_are_rejected() {
     run(async {
         let tier = Tier::serving(single());
         let replica = replica("p", b"x");
@@ -292,11 +293,12 @@
         let named = [("host", HOST), ("x-request-id", "r1")];
 
         let unknown = tier.get("/b/", "r1").await;
-        let nameless = tier.client().send("GET", "/a/", &[("host", HOST)], Bytes::new()).await;
+        let without_identity =
+            tier.client().send("GET", "/a/", &[("host", HOST)], Bytes::new()).await;
         let too_large = tier.client().send("POST", "/a/", &named, large).await;
 
         assert_eq!(unknown.status, 404);
-        assert_eq!(nameless.unwrap().status, 400);
+        assert_eq!(without_identity.unwrap().status, 400);
         assert_eq!(too_large.unwrap().status, 413);
         assert!(replica.requests().is_empty());
     });
@@ -320,7 +322,7 @@
 /// A node has been without a configuration for over a second, as the store is away.
 /// Callers come again at the latest moment for which they wait: a third of their time.
 #[test]
-fn callers_of_a_node_that_waits_for_the_store_come_again_late() {
+fn retry_after_grows_while_a_node_waits_for_the_store() {
     run(async {
         let tier = Tier::new();
         let ask = async |identity: &str| {
--- a/crates/kumquatnotch-route/tests/hedging.rs
+++ b/crates/kumquatnotch-route/tests/hedging.rs
@@ -16,7 +16,7 @@
 /// A replica stands still. Its caller gets the answer of another one, and while
 /// it is silent the next requests go there at once.
 #[test]
-fn a_silent_replica_costs_one_copy_and_is_then_avoided() {
+fn a_silent_replica_is_hedged_once_and_then_avoided() {
     run(async {
         let tier = Tier::serving(single());
         let silent = scripted_replica(|_| vec![Step::Silence]);
@@ -38,7 +38,7 @@
 /// has its slots taken, with work for three seconds. A copy would make others wait longer;
 /// none is sent.
 #[test]
-fn a_late_request_gets_no_copy_at_a_replica_without_a_free_slot() {
+fn a_late_request_is_not_hedged_to_a_replica_without_a_free_slot() {
     run(async {
         let route = Route { objective: Duration::from_secs(1), ..single() };
         let tier = Tier::serving(route.clone());
@@ -71,7 +71,7 @@
 
 /// Without budget, a late request gets no copy: the caller waits for its time.
 #[test]
-fn a_request_is_not_repeated_without_budget() {
+fn a_request_is_not_hedged_without_budget() {
     run(async {
         let tier = Tier::with_slack(0.0);
         let mut route = single();
@@ -93,17 +93,17 @@
 /// A replica tells that all work takes nine times as long as usual on its machine at
 /// this moment. The next requests go to another one, until that is some time ago.
 #[test]
-fn a_replica_on_a_slow_machine_is_avoided_by_its_own_word() {
+fn a_replica_that_reports_a_slow_machine_is_avoided() {
     run(async {
         let route = single();
         let tier = Tier::serving(route.clone());
-        let telling = scripted_replica(|request| {
+        let reporting = scripted_replica(|request| {
             let identity = request.headers["x-request-id"].to_str().unwrap().to_owned();
             let headers =
                 [("x-request-id", identity.as_str()), ("x-proof", "p"), ("x-load", "0,0,2,900")];
             vec![answer(200, &headers, b"whole")]
         });
-        let slow = tier.add("s0", telling.address);
+        let slow = tier.add("s0", reporting.address);
         assert_eq!(tier.get("/a/", "r1").await.status, 200);
         let other = tier.add("s0", refusing_address());
         let pick = || {
@@ -124,7 +124,7 @@
 /// done: its connection is kept until its reply is in, as the next copy would otherwise
 /// have to open one first, which takes as long as the way to another region and back.
 #[test]
-fn a_copy_that_lost_keeps_its_connection() {
+fn a_hedged_request_that_lost_keeps_its_connection() {
     run(async {
         let tier = Tier::serving(single());
         // Whichever is asked first replies 20 ms before the other one would.
@@ -159,7 +159,7 @@
 /// The caller of a request goes away while a copy is on its way. Nobody needs either reply:
 /// both replicas learn it at once.
 #[test]
-fn a_caller_that_leaves_ends_the_copy_as_well() {
+fn a_disconnect_of_the_caller_cancels_the_hedged_request() {
     run(async {
         let tier = Tier::serving(single());
         let slow = |request: &standins::http::Request| {
--- a/crates/kumquatnotch-route/tests/scenarios.rs
+++ b/crates/kumquatnotch-route/tests/scenarios.rs
@@ -14,17 +14,17 @@
 use kumquatnotch_route::names::ReplicaId;
 use standins::scripted::{Scripted, Step};
 
-const ROOM: &[u8] = &[7; 16];
+const RECORD: &[u8] = &[7; 16];
 
 /// The clock of a VM that may be suspended: what its steady clock misses is added.
 #[derive(Default)]
-struct SuspendedClock {
-    missed: Cell<Duration>,
+struct SuspendableClock {
+    suspended_for: Cell<Duration>,
 }
 
-impl Clock for SuspendedClock {
+impl Clock for SuspendableClock {
     fn now(&self) -> Instant {
-        RuntimeClock.now() + self.missed.get()
+        RuntimeClock.now() + self.suspended_for.get()
     }
 
     fn sleep_until(&self, deadline: Instant) -> LocalFuture<'static, ()> {
@@ -38,10 +38,10 @@
 /// silent. The desk must hear in time that the check failed: an empty or thin list that
 /// looks whole would send the family away.
 #[test]
-fn a_check_whose_shards_hang_fails_in_time_and_is_never_empty() {
+fn a_search_with_hanging_shards_fails_in_time_and_is_never_empty() {
     run(async {
         let tier = Tier::serving(shards(4, 0.85));
-        let healthy: Vec<_> = (0..2).map(|_| replica("p", ROOM)).collect();
+        let healthy: Vec<_> = (0..2).map(|_| replica("p", RECORD)).collect();
         let silent: Vec<_> = (0..2).map(|_| scripted_replica(|_| vec![Step::Silence])).collect();
         for (index, replica) in healthy.iter().chain(&silent).enumerate() {
             tier.add(&format!("s{index}"), replica.address);
@@ -61,7 +61,7 @@
 /// answers, and wakes. A second copy elsewhere would hold the room twice. The desk hears that
 /// the outcome is unknown, and no other replica ever sees the hold.
 #[test]
-fn a_hold_at_a_replica_that_froze_is_sent_to_no_other() {
+fn an_exclusive_request_at_a_frozen_replica_is_not_sent_to_another() {
     run(async {
         let tier = Tier::serving(exclusive());
         let frozen = scripted_replica(|request| {
@@ -76,11 +76,11 @@
 
         assert_eq!(answer.status, 504);
         assert!(!answer.headers.contains_key("retry-after"), "it may have run");
-        let holds = |one: &Scripted| {
+        let count_holds = |one: &Scripted| {
             let seen = one.requests();
             seen.iter().filter(|request| request.path == "/a/hold").count()
         };
-        assert_eq!((holds(&frozen), holds(&other)), (1, 0));
+        assert_eq!((count_holds(&frozen), count_holds(&other)), (1, 0));
     });
 }
 
@@ -88,9 +88,9 @@
 /// turn at a replica. When the VM wakes, its steady clock tells of no time gone by, but the
 /// desk has given up and may have held another room. The hold must not go on to the replica.
 #[test]
-fn a_hold_that_waited_while_the_vm_was_suspended_is_not_passed_on() {
+fn a_request_that_waited_during_a_vm_suspension_is_not_forwarded() {
     run(async {
-        let clock = Rc::new(SuspendedClock::default());
+        let clock = Rc::new(SuspendableClock::default());
         let tier = Tier::with_clock("me", 100.0, "home", clock.clone());
         tier.put(1, vec![exclusive()]);
         let busy = scripted_replica(|request| {
@@ -111,7 +111,7 @@
             pause(50).await;
             join(tier.post("/a/hold", "r2", b"room 4"), async {
                 pause(100).await;
-                clock.missed.set(Duration::from_secs(60));
+                clock.suspended_for.set(Duration::from_secs(60));
             })
             .await
             .0
@@ -119,8 +119,9 @@
         let (_, second) = join(first, second).await;
 
         let seen = busy.requests();
-        let held: Vec<&str> = seen.iter().map(|request| header(request, "x-request-id")).collect();
-        assert!(!held.contains(&"r2"), "{held:?}");
+        let seen_ids: Vec<&str> =
+            seen.iter().map(|request| header(request, "x-request-id")).collect();
+        assert!(!seen_ids.contains(&"r2"), "{seen_ids:?}");
         assert!(second.status >= 500, "{}", second.status);
     });
 }
@@ -128,12 +129,12 @@
 /// A report comes without whole offices. Two of ten shards have nobody that answers, which
 /// the route allows: the answer says how many are missing, and proves the others.
 #[test]
-fn a_report_says_how_many_offices_it_leaves_out() {
+fn an_answer_reports_the_number_of_missing_shards() {
     run(async {
         let tier = Tier::serving(shards(10, 0.75));
-        let offices: Vec<_> = (0..8).map(|_| replica("p", ROOM)).collect();
+        let replicas: Vec<_> = (0..8).map(|_| replica("p", RECORD)).collect();
         let silent: Vec<_> = (0..2).map(|_| scripted_replica(|_| vec![Step::Silence])).collect();
-        for (index, replica) in offices.iter().chain(&silent).enumerate() {
+        for (index, replica) in replicas.iter().chain(&silent).enumerate() {
             tier.add(&format!("s{index}"), replica.address);
         }
 
--- a/crates/kumquatnotch-route/tests/searches.rs
+++ b/crates/kumquatnotch-route/tests/searches.rs
@@ -37,7 +37,7 @@
 /// One shard has no replica that answers. The answer comes when waiting longer
 /// would make it late, and says that a shard is missing.
 #[test]
-fn a_shard_that_is_late_is_left_out_and_told() {
+fn a_late_shard_is_left_out_and_reported_missing() {
     run(async {
         let tier = Tier::serving(shards(3, 0.6));
         let replicas = [replica("a", TWO), replica("b", THREE)];
@@ -60,7 +60,7 @@
 /// The replica of a shard was twenty times slower than usual a moment ago, and is well again.
 /// It is asked although its part was expected late, and the answer is whole.
 #[test]
-fn a_shard_that_was_slow_is_asked() {
+fn a_recently_slow_shard_is_queried() {
     run(async {
         let tier = Tier::serving(shards(3, 0.6));
         let replicas = [replica("a", TWO), replica("b", THREE), replica("c", TWO)];
@@ -83,7 +83,7 @@
 /// A caller counts its time from before it asked which node to use and opened its
 /// connection. The first request on a connection must be answered sooner for that.
 #[test]
-fn the_first_request_on_a_connection_is_waited_for_less() {
+fn the_first_request_on_a_connection_is_due_sooner() {
     run(async {
         let tier = Tier::serving(shards(3, 0.6));
 
@@ -116,7 +116,7 @@
 
 /// No shard has a replica. Nothing has run, and the caller hears when to come back.
 #[test]
-fn a_search_that_nobody_took_is_refused_as_not_run() {
+fn a_search_without_any_replica_is_refused_as_not_run() {
     run(async {
         let tier = Tier::serving(shards(2, 0.5));
 
@@ -130,7 +130,7 @@
 /// A replica fails with a proof. That is no part: its shard is asked once more,
 /// and the part of the sound replica is the one in the answer.
 #[test]
-fn a_failure_with_a_proof_is_no_part() {
+fn a_failed_reply_with_a_proof_is_not_a_part() {
     run(async {
         let tier = Tier::serving(shards(1, 1.0));
         let failing = scripted_replica(|_| vec![answer(500, &[("x-proof", "bad")], ONE)]);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn shards_of_another_region_are_gathered_by_a_node_there() {
+fn shards_of_another_region_are_gathered_by_a_relay() {
     run(async {
         let world = TwoRegions::new();
 
@@ -196,7 +196,7 @@
 /// The node beside the replicas is gone, and its address refuses connections. The
 /// replicas are asked from here, and the caller notices nothing.
 #[test]
-fn a_node_that_is_gone_is_replaced_by_asking_from_here() {
+fn shards_are_queried_directly_if_the_relay_is_gone() {
     run(async {
         let world = TwoRegions::new();
         world.home.add_node("a1", "away", refusing_address());
@@ -211,7 +211,7 @@
 /// The node beside the replicas takes the request and says nothing any more, not
 /// even to the question whether it has the request. The answer is late, but whole.
 #[test]
-fn a_node_that_falls_silent_is_replaced_late() {
+fn shards_are_queried_directly_if_the_relay_is_silent() {
     run(async {
         let world = TwoRegions::new();
         let silent = Scripted::start(|_| vec![Step::Silence]).unwrap();
@@ -227,16 +227,16 @@
 /// The connection to the node is lost on the way although the node lives: it has
 /// never got the request, and says so on a new connection.
 #[test]
-fn a_request_that_a_node_never_got_is_asked_for_from_here() {
+fn shards_are_queried_directly_if_the_relay_never_got_the_request() {
     run(async {
         let world = TwoRegions::new();
-        let forgetful = Scripted::start(|request| match request.path.as_str() {
+        let unaware = Scripted::start(|request| match request.path.as_str() {
             "/v1/running" => vec![answer(404, &[], b"")],
             PROBE_PATH => vec![answer(200, &[], b"")],
             _ => vec![Step::Silence],
         })
         .unwrap();
-        world.home.add_node("a1", "away", forgetful.address);
+        world.home.add_node("a1", "away", unaware.address);
 
         let start = RuntimeClock.now();
         let answer = world.home.get("/a/", "r1").await;
@@ -250,7 +250,7 @@
 /// the request, asks two of them and is lost; asked from here, the third one must
 /// not run the request as well.
 #[test]
-fn a_lost_node_does_not_let_more_replicas_run_a_request_than_its_route_allows() {
+fn a_lost_relay_does_not_exceed_the_attempts_of_the_route() {
     run(async {
         let home = Tier::at(100.0, "home");
         home.put(1, vec![shards(2, 0.6)]);
