--- a/crates/kumquatnotch-route/src/admission.rs
+++ b/crates/kumquatnotch-route/src/admission.rs
@@ -116,9 +116,12 @@
     };
     let route = &search.route.name;
     router.strains.note(route, Fate::Refused, now);
-    let crowd = router.random.jitter(router.strains.retry(route, terms.time, now));
-    let retry_after =
-        if router.uses(Mechanism::RetryTimes) { retry_after.max(crowd) } else { FIXED_RETRY_AFTER };
+    let backoff = router.random.jitter(router.strains.retry(route, terms.time, now));
+    let retry_after = if router.uses(Mechanism::RetryTimes) {
+        retry_after.max(backoff)
+    } else {
+        FIXED_RETRY_AFTER
+    };
     log_refusal(search, &forecast, &terms, retry_after);
     Err(Refused { retry_after, reason: "replicas are crowded" })
 }
--- a/crates/kumquatnotch-route/src/attempt.rs
+++ b/crates/kumquatnotch-route/src/attempt.rs
@@ -190,11 +190,11 @@
 /// Reads the load that a replica reports in a reply.
 fn reported_load(names: &HeaderNames, reply: &Reply) -> Option<Load> {
     let text = reply.headers.get(&names.load)?.to_str().ok()?;
-    let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
-    let running = figures.next()?.ok()?;
-    let waiting = figures.next()?.ok()?;
+    let mut values = text.split(',').map(|value| value.trim().parse::<u32>());
+    let running = values.next()?.ok()?;
+    let waiting = values.next()?.ok()?;
     // Replicas that share their machine report a percentage after the slots.
-    let slowdown = figures.nth(1).and_then(|percent| percent.ok());
+    let slowdown = values.nth(1).and_then(|percent| percent.ok());
     Some(Load { running, waiting, slowdown: slowdown.map(|percent| f64::from(percent) / 100.0) })
 }
 
--- a/crates/kumquatnotch-route/src/front.rs
+++ b/crates/kumquatnotch-route/src/front.rs
@@ -119,8 +119,8 @@
         }
         let log = RequestLog::new(&self.router, &context);
         let request = strip_hop_headers(request);
-        if let Some(span) = self.refused_for(&request, arrival) {
-            let refusal = Refusal::not_run("the request has crashed replicas", span);
+        if let Some(retry_after) = self.refused_for(&request, arrival) {
+            let refusal = Refusal::not_run("the request has crashed replicas", retry_after);
             log.write(refusal.status, refusal.reason);
             return refusal.reply();
         }
--- a/crates/kumquatnotch-route/src/gather.rs
+++ b/crates/kumquatnotch-route/src/gather.rs
@@ -270,8 +270,8 @@
                 self.ran |= reply.ran;
                 self.parts.add_gathered(&reply);
                 let missing = reply.missing;
-                let came = |position: &usize| !missing.contains(position);
-                let positions = (0..group.shards.len()).filter(came);
+                let received = |position: &usize| !missing.contains(position);
+                let positions = (0..group.shards.len()).filter(received);
                 self.covered.extend(positions.map(|position| group.shards[position]));
                 missing.into_iter().filter(|position| *position < group.shards.len()).collect()
             }
--- a/crates/kumquatnotch-route/src/in_flight.rs
+++ b/crates/kumquatnotch-route/src/in_flight.rs
@@ -106,5 +106,5 @@
 /// Replicas echo the identity of the request. A reply without one is accepted, since any
 /// earlier request on this connection was answered before this one was sent.
 pub(crate) fn is_reply_to(router: &Router, identity: &HeaderValue, reply: &Reply) -> bool {
-    reply.headers.get(&router.names.request).is_none_or(|told| told == identity)
+    reply.headers.get(&router.names.request).is_none_or(|echoed| echoed == identity)
 }
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -19,9 +19,9 @@
     pub(crate) fn limit_connections(&self, replica: &Replica, service: &ServiceName) {
         let table = self.table();
         let service = table.as_ref().and_then(|table| table.service(service));
-        let part = if self.uses(Mechanism::ConnectionShares) { self.own_share() } else { 1.0 };
+        let share = if self.uses(Mechanism::ConnectionShares) { self.own_share() } else { 1.0 };
         let all = service.map_or(DEFAULT_CONNECTIONS, |service| service.connections);
-        replica.semaphore.set_limit(shares::connections(all, part));
+        replica.semaphore.set_limit(shares::connections(all, share));
     }
 
     /// The share of this node in what all nodes share, from zero to one.
@@ -37,13 +37,13 @@
     fn cached_share(&self) -> f64 {
         let Some(table) = self.table() else { return 1.0 };
         let valid_for = self.valid_for(&table);
-        let (known_for, part) = self.part.get();
-        if known_for == valid_for {
-            return part;
+        let (cached_for, share) = self.part.get();
+        if cached_for == valid_for {
+            return share;
         }
-        let part = self.compute_share(&table);
-        self.part.set((valid_for, part));
-        part
+        let share = self.compute_share(&table);
+        self.part.set((valid_for, share));
+        share
     }
 
     fn compute_share(&self, table: &RouteTable) -> f64 {
--- a/crates/kumquatnotch-route/src/probe.rs
+++ b/crates/kumquatnotch-route/src/probe.rs
@@ -96,6 +96,6 @@
 
 /// Whether a reply comes from this incarnation; true if it does not say.
 fn is_same_incarnation(router: &Router, replica: &Replica, reply: &Reply) -> bool {
-    let told = reply.headers.get(&router.names.incarnation);
-    told.is_none_or(|told| told.as_bytes() == replica.id.as_str().as_bytes())
+    let reported = reply.headers.get(&router.names.incarnation);
+    reported.is_none_or(|reported| reported.as_bytes() == replica.id.as_str().as_bytes())
 }
--- a/crates/kumquatnotch-route/src/relay.rs
+++ b/crates/kumquatnotch-route/src/relay.rs
@@ -233,8 +233,8 @@
 ///
 /// With fewer, too many parts would be missing even if all other shards replied.
 fn min_group_parts(set: &ShardSet, group: &Group) -> usize {
-    let most_missing = set.shards.len() - set.min_parts().min(set.shards.len());
-    group.shards.len().saturating_sub(most_missing).max(1)
+    let max_missing = set.shards.len() - set.min_parts().min(set.shards.len());
+    group.shards.len().saturating_sub(max_missing).max(1)
 }
 
 /// Whether requests can be sent to a node.
--- a/crates/kumquatnotch-route/src/relay_plan.rs
+++ b/crates/kumquatnotch-route/src/relay_plan.rs
@@ -72,8 +72,8 @@
     let now = router.clock.now();
     let need = router.need_at(route, shard);
     let replicas = router.directory.of(shard);
-    let open = replicas.iter().filter(|replica| replica.takes_requests());
-    open.map(|replica| (replica.spec().centre.clone(), replica.rate(need, now))).collect()
+    let available = replicas.iter().filter(|replica| replica.takes_requests());
+    available.map(|replica| (replica.spec().centre.clone(), replica.rate(need, now))).collect()
 }
 
 /// Returns the replicas of a shard that one search may use; an empty list allows any.
--- a/crates/kumquatnotch-route/src/replica.rs
+++ b/crates/kumquatnotch-route/src/replica.rs
@@ -125,9 +125,10 @@
     need: Need,
     now: Instant,
 ) -> Option<Pick> {
-    let open = replicas.iter().filter(|replica| replica.takes_requests());
-    let open: Vec<&Rc<Replica>> = open.filter(|replica| !tried.contains(&replica.id)).collect();
-    let ratings: Vec<Rating> = open.iter().map(|replica| replica.rate(need, now)).collect();
+    let available = replicas.iter().filter(|replica| replica.takes_requests());
+    let available: Vec<&Rc<Replica>> =
+        available.filter(|replica| !tried.contains(&replica.id)).collect();
+    let ratings: Vec<Rating> = available.iter().map(|replica| replica.rate(need, now)).collect();
     let best = quickest::best(&ratings)?;
-    Some(Pick { replica: open[best].clone(), rating: ratings[best] })
+    Some(Pick { replica: available[best].clone(), rating: ratings[best] })
 }
