--- a/crates/kumquatnotch-route/tests/admission.rs
+++ b/crates/kumquatnotch-route/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which searches are let in, and when one is refused.
+//! Admission of searches: which are admitted, delayed or refused.
 
 mod common;
 
@@ -19,7 +19,7 @@
 };
 use yare::parameterized;
 
-/// A search that has just come, of a caller that comes for the first time.
+/// A search that has just arrived from a first-time caller.
 fn search<'a>(route: &'a Route, request: &'a Request, identity: &'a HeaderValue) -> Search<'a> {
     let Destination::Shards(set) = &route.destination else { panic!() };
     let now = RuntimeClock.now();
@@ -28,21 +28,21 @@
     Search { route, set, request, identity, due, deadline, is_late_retry: false }
 }
 
-/// Whether a tier lets in a search that has just come; if not, when it may come again.
+/// Tries to admit a search that has just arrived; returns the `Retry-After` if refused.
 async fn try_admit(tier: &Tier, route: &Route) -> Result<(), Duration> {
     let (request, identity) = (Request::get("/a/"), HeaderValue::from_static("r1"));
     let admitted = admission::admit(&tier.router, &search(route, &request, &identity));
     admitted.map_err(|refused| refused.retry_after)
 }
 
-/// A gate that lets in one at a time.
+/// A semaphore with a single permit.
 fn semaphore() -> Rc<PrioritySemaphore> {
     let semaphore = Rc::new(PrioritySemaphore::default());
     semaphore.set_limit(1);
     semaphore
 }
 
-/// Whether a tier lets in a search whose caller comes again, and how long it waited.
+/// Tries to admit a late retry; returns whether it was admitted and how long it waited.
 async fn wait_for_capacity(tier: &Tier, route: &Route) -> (bool, Duration) {
     let (permit, took) = await_permit(tier, &semaphore(), route).await;
     (permit.is_some(), took)
@@ -60,21 +60,21 @@
     (permit, RuntimeClock.now() - start)
 }
 
-/// A tier with a replica for each of `count` shards.
+/// Creates a tier with one replica for each of `count` shards.
 fn tier(count: usize) -> (Tier, Vec<ReplicaId>) {
     let tier = Tier::new();
     let ids = (0..count).map(|index| tier.add(&format!("s{index}"), refusing_address())).collect();
     (tier, ids)
 }
 
-/// Lets the replica be known as `times` slower than usual.
+/// Records that the replica is `times` slower than usual.
 fn slow_down(tier: &Tier, id: &ReplicaId, times: u32) {
     let replica = tier.router.directory.find(id).unwrap();
     let usual = Duration::from_millis(10);
     (0..60).for_each(|_| replica.observed.note_speed(usual * times, usual, RuntimeClock.now()));
 }
 
-/// Lets the replica tell that so many requests wait there, each of 20 ms.
+/// Records that `waiting` requests of 20 ms each are queued at the replica.
 fn fill_queue(tier: &Tier, id: &ReplicaId, waiting: u32) {
     let replica = tier.router.directory.find(id).unwrap();
     (0..60).for_each(|_| replica.observed.note_work(Duration::from_millis(20)));
@@ -90,8 +90,8 @@
     });
 }
 
-/// Shards are slow or answer nothing, but the answer can do without them. The search is let
-/// in, and asks them all the same: what is known of them may be old.
+/// Some shards are slow or silent, but the answer does not need them. The search is admitted
+/// and still queries them, as their statistics may be outdated.
 #[parameterized(
     one_slow = { &[20], 0.5 },
     two_slow = { &[30, 20], 0.5 },
@@ -116,12 +116,10 @@
     });
 }
 
-/// Too many shards are crowded for an answer in time. Starting the search would make
-/// the ones that wait later still; it is refused while that is true of it.
-/// The store was away, and the entries of replicas lapsed. A node that starts then knows
-/// those of some shards only, and each second more. A search needs 19 of 20 shards: it
-/// can't be answered yet, so it is refused before anything runs, and its caller comes again
-/// as late as it will. Before, it ran on the others and failed, of unknown outcome.
+/// The entries of replicas expired during a store outage. A node that starts then knows the
+/// replicas of some shards only, and of more shards each second. A search that needs 19 of 20
+/// shards can't be answered yet. It must be refused before anything runs, with the longest
+/// `Retry-After`, instead of running on the known shards and failing with an unknown outcome.
 #[test]
 fn a_search_without_replicas_of_too_many_shards_is_refused_until_they_are_back() {
     run(async {
@@ -140,7 +138,7 @@
     });
 }
 
-/// The same seen by the caller: 503 with the time to come back, and no replica has run it.
+/// The same for the caller: it gets 503 with `Retry-After`, and no replica has run the request.
 #[test]
 fn a_search_refused_for_lack_of_replicas_has_not_run() {
     run(async {
@@ -155,6 +153,8 @@
     });
 }
 
+/// Too many shards are overloaded for an answer in time. Starting the search would delay the
+/// requests in their queues even more, so it is refused while it needs such a shard.
 #[test]
 fn a_search_that_needs_an_overloaded_shard_is_refused() {
     run(async {
@@ -173,8 +173,8 @@
     });
 }
 
-/// A slow shard that is needed is asked, late as its part will be: callers get a late
-/// answer rather than none, as long as there is time for it.
+/// A search that needs a slow shard is admitted although its part will be late: callers get a
+/// late answer rather than none, as long as the deadline allows it.
 #[test]
 fn a_search_that_needs_a_slow_shard_is_admitted() {
     run(async {
@@ -185,9 +185,9 @@
     });
 }
 
-/// The caller of a search comes again long after the objective while replicas are
-/// busy. It waits here, so that it makes none late that comes in time, and is let in
-/// when they have room to spare.
+/// A caller retries a search long after the objective while replicas are busy. The search
+/// waits at the node, so that it does not delay searches that can be in time, and is admitted
+/// once replicas have spare capacity.
 #[test]
 fn a_late_retry_waits_for_capacity() {
     run(async {
@@ -196,7 +196,7 @@
 
         let (has_room, took) = wait_for_capacity(&tier, &shards(2, 1.0)).await;
 
-        // Each works off twelve requests of 20 ms two at a time.
+        // Each replica works off twelve requests of 20 ms, two at a time.
         assert!(has_room);
         assert!(took > Duration::from_millis(20) && took < Duration::from_millis(700));
     });
@@ -215,8 +215,8 @@
     });
 }
 
-/// Replicas are crowded, and searches that come for the first time are refused. One
-/// that comes again is refused as well, at once: it would wait for what isn't there.
+/// Replicas are overloaded and first-time searches are refused. A late retry is refused at
+/// once as well, as waiting would be in vain.
 #[test]
 fn a_late_retry_does_not_wait_while_other_searches_are_refused() {
     run(async {
@@ -233,8 +233,8 @@
     });
 }
 
-/// Two callers come again while replicas have room. The second one waits until the
-/// answer of the first one is given, and is refused if that takes too long.
+/// Two callers retry late while replicas have capacity. The second search waits until the
+/// first one is answered, and is refused if that takes too long.
 #[test]
 fn late_retries_are_admitted_one_at_a_time() {
     run(async {
@@ -255,9 +255,9 @@
     });
 }
 
-/// The queues at the replicas would just let a search be in time. It is let in while
-/// searches are in time, and refused once many that were let in were late: other nodes
-/// send to the same replicas, and what is known of their queues is old.
+/// With the known queue lengths, a search would just be in time. It is admitted while other
+/// searches are in time, and refused once many admitted searches were late: other nodes send
+/// to the same replicas, so the known queue lengths are outdated.
 #[test]
 fn admission_is_stricter_while_many_searches_are_late() {
     run(async {
@@ -284,8 +284,8 @@
     });
 }
 
-/// Nearly all searches have been refused for a while. Callers come again later than
-/// after a single refusal, but sooner than a third of their time.
+/// Nearly all searches have been refused for a while. `Retry-After` is longer than after a
+/// single refusal, but shorter than a third of the caller's timeout.
 #[test]
 fn retry_after_grows_while_overload_lasts() {
     run(async {
--- a/crates/kumquatnotch-route/tests/common/mod.rs
+++ b/crates/kumquatnotch-route/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a tier of routes over scripted replicas, on real sockets.
+//! Fixtures: a node with routes to scripted replicas, on real sockets.
 
 #![allow(dead_code)]
 
@@ -37,7 +37,7 @@
     scripted::{Scripted, Step, answer},
 };
 
-/// The host of every route here.
+/// The host of all routes in the tests.
 pub const HOST: &str = "rooms.example";
 
 pub fn run<T>(test: impl Future<Output = T>) -> T {
@@ -91,7 +91,7 @@
     RouteConfig { version, routes, services: services.collect(), limits: Limits { body: 1_000 } }
 }
 
-/// A node with its front, in the region `home`.
+/// A node with its servers for callers and for other nodes.
 pub struct Tier {
     pub router: Rc<Router>,
     pub server: Server,
@@ -104,22 +104,22 @@
         Tier::with_slack(100.0)
     }
 
-    /// With so many repeats allowed.
+    /// Creates a node whose retry budget has this slack.
     pub fn with_slack(slack: f64) -> Tier {
         Tier::at(slack, "home")
     }
 
-    /// In data centre `centre`, which is a region of the same name.
+    /// Creates a node in data centre `centre`, in the region of the same name.
     pub fn at(slack: f64, centre: &str) -> Tier {
         Tier::named("me", slack, centre)
     }
 
-    /// The same under a name of its own.
+    /// Creates a node with this name.
     pub fn named(name: &str, slack: f64, centre: &str) -> Tier {
         Tier::with_clock(name, slack, centre, Rc::new(RuntimeClock))
     }
 
-    /// The same with a clock of its own.
+    /// Creates a node with this clock.
     pub fn with_clock(name: &str, slack: f64, centre: &str, clock: Rc<dyn Clock>) -> Tier {
         let registry = Registry::default();
         registry.register::<Rc<dyn Clock>>(services::CLOCK, clock.clone());
@@ -148,14 +148,14 @@
         Tier { router, server, peer, next: std::cell::Cell::new(0) }
     }
 
-    /// A tier with one route in force.
+    /// Creates a node with one configured route.
     pub fn serving(route: Route) -> Tier {
         let tier = Tier::new();
         tier.put(1, vec![route]);
         tier
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration; returns false if it is outdated.
     pub fn put(&self, version: u64, routes: Vec<Route>) -> bool {
         self.router.set_synced();
         self.router.put_in_force(RouteTable::new(config(version, routes)))
@@ -166,7 +166,7 @@
         self.add_in(name, address, "home")
     }
 
-    /// Adds a replica of a service.
+    /// Adds a replica of a service in data centre `centre`.
     pub fn add_in(&self, name: &str, address: SocketAddr, centre: &str) -> ReplicaId {
         let id = ReplicaId::from(&*format!("{name}-{}", self.next.get()));
         self.next.set(self.next.get() + 1);
@@ -174,12 +174,12 @@
         id
     }
 
-    /// Adds a replica under a name that others know too.
+    /// Adds a replica with an ID that other nodes use as well.
     pub fn add_as(&self, id: &ReplicaId, name: &str, address: SocketAddr, centre: &str) {
         self.router.directory.put(id, spec(name, address, centre, false), Instant::now());
     }
 
-    /// Lets another node be known.
+    /// Adds another node to the known ones.
     pub fn add_node(&self, name: &str, centre: &str, peer: SocketAddr) {
         let record = NodeRecord {
             entry: peer,
@@ -195,13 +195,13 @@
         Client::new(self.server.address(), Duration::from_secs(5))
     }
 
-    /// Sends a `GET` with an identity of its own.
+    /// Sends a `GET` with this request identity.
     pub async fn get(&self, path: &str, identity: &str) -> Answer {
         let headers = [("host", HOST), ("x-request-id", identity)];
         self.client().send("GET", path, &headers, Bytes::new()).await.unwrap()
     }
 
-    /// Sends a `POST` with an identity of its own.
+    /// Sends a `POST` with this request identity.
     pub async fn post(&self, path: &str, identity: &str, body: &'static [u8]) -> Answer {
         let headers = [("host", HOST), ("x-request-id", identity)];
         self.client().send("POST", path, &headers, Bytes::from_static(body)).await.unwrap()
@@ -223,7 +223,7 @@
     request.headers.get(name).map_or("", |value| value.to_str().unwrap())
 }
 
-/// The reply of a sound replica: repeats the identity, and proves itself.
+/// A successful reply, which echoes the request identity and carries a proof.
 pub fn proven_reply(request: &Request, proof: &str, body: &[u8]) -> Step {
     answer(200, &[("x-request-id", header(request, "x-request-id")), ("x-proof", proof)], body)
 }
@@ -237,7 +237,7 @@
     .unwrap()
 }
 
-/// A replica that plays `steps` for each request, and answers no probe.
+/// A replica that runs `steps` for each request and does not answer probes.
 pub fn scripted_replica(steps: impl Fn(&Request) -> Vec<Step> + 'static) -> Scripted {
     Scripted::start(move |request| match request.path.as_str() {
         "/probe" => vec![Step::Silence],
@@ -246,10 +246,10 @@
     .unwrap()
 }
 
-/// An address at which nothing listens.
+/// An address that refuses connections.
 ///
-/// No server of a test gets this port, which a port that was free a moment ago could
-/// be given to.
+/// The port is fixed and never assigned to a test server, unlike a port that was free a moment
+/// ago.
 pub fn refusing_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
@@ -261,12 +261,12 @@
     record
 }
 
-/// What a node in data centre `home` tells of itself.
+/// The encoded record of a node in data centre `home`.
 pub fn node_entry(peer: SocketAddr, capacity: f64) -> Vec<u8> {
     node_entry_in("home", peer, capacity)
 }
 
-/// What a node in data centre `centre`, which is a region of the same name, tells of itself.
+/// The encoded record of a node in data centre `centre`, in the region of the same name.
 pub fn node_entry_in(centre: &str, peer: SocketAddr, capacity: f64) -> Vec<u8> {
     let record = NodeRecord {
         entry: peer,
--- a/crates/kumquatnotch-route/tests/common/schema.rs
+++ b/crates/kumquatnotch-route/tests/common/schema.rs
@@ -1,4 +1,4 @@
-//! How the fake store's keys and values are read.
+//! Schema of the keys and values in the fake store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,10 +12,14 @@
 
 use crate::common::{config, single, spec};
 
-/// `c` holds the version of the configuration, `r/ID` the address of a replica, with `!`
-/// after it if it drains and `@` and a number for its start, and of service `SERVICE` if its
-/// ID is `SERVICE.REST`; `n/NAME` a node, `x/NAME` the
-/// crashes that it has seen.
+/// Decodes the entries of the fake store.
+///
+/// - `c`: the version of the configuration.
+/// - `r/ID`: the address of a replica, followed by `!` if it is draining, and by `@` and a
+///   number for its start time. Its service is `SERVICE` if the ID is `SERVICE.REST`, and
+///   `s0` otherwise.
+/// - `n/NAME`: the record of a node.
+/// - `x/NAME`: the crashes that a node has detected.
 pub struct TestSchema;
 
 impl Schema for TestSchema {
--- a/crates/kumquatnotch-route/tests/components.rs
+++ b/crates/kumquatnotch-route/tests/components.rs
@@ -1,4 +1,4 @@
-//! The small decisions, each by itself.
+//! Components without I/O: route lookup, coverage, merging and the semaphore.
 
 use std::{rc::Rc, time::Duration};
 
--- a/crates/kumquatnotch-route/tests/crashes.rs
+++ b/crates/kumquatnotch-route/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash replicas: who is suspected, and what is refused.
+//! Requests that crash replicas: which are suspected, and which are refused.
 
 mod common;
 
@@ -11,14 +11,14 @@
 use kumquatnotch_route::crash_check::fingerprint;
 use standins::scripted::{Scripted, Step};
 
-/// The request that the tests suspect, with its fingerprint.
+/// The suspected request of the tests, with its fingerprint.
 fn suspect() -> (Request, Fingerprint) {
     let request = Request::get("/a/crash");
     let print = fingerprint(&request);
     (request, print)
 }
 
-/// Lets a request be with replicas that crash, in these attempts and after this time.
+/// Records crashes with a request, in these attempts and `seconds` from now.
 fn crash(crashes: &Crashes, print: Fingerprint, seconds: u64, attempts: &[u64]) {
     let now = RuntimeClock.now() + Duration::from_secs(seconds);
     for attempt in attempts {
@@ -26,14 +26,15 @@
     }
 }
 
-/// Whether a request is refused after this time.
+/// Whether a request is refused `seconds` from now.
 fn is_refused(crashes: &Crashes, request: &Request, seconds: u64) -> bool {
     let now = RuntimeClock.now() + Duration::from_secs(seconds);
     crashes.refused_for(fingerprint(request), now).is_some()
 }
 
-/// A request is there when replicas crash, three times some seconds apart. It is refused
-/// for fifteen seconds then. The next one that is let in crashes another: thirty.
+/// Replicas crash with the same request three times, a few seconds apart. It is refused for
+/// 15 seconds then. It is admitted once more and crashes another replica: it is refused for
+/// 30 seconds.
 #[test]
 fn a_request_is_refused_after_three_crashes() {
     let (crashes, (request, print)) = (Crashes::default(), suspect());
@@ -50,8 +51,9 @@
     assert_eq!([before, refused, let_in, again], [false, true, false, true]);
 }
 
-/// Many callers send the same request, and all of them wait for a replica that crashes.
-/// Other nodes tell of it a moment later, and tell it again with each further crash.
+/// Many callers have the same request running at a replica that crashes. Other nodes report
+/// the crash a moment later, and report it again with each later crash. All of these reports
+/// count as one crash.
 #[test]
 fn a_request_of_many_callers_is_not_refused_for_one_crash() {
     let (crashes, (request, print)) = (Crashes::default(), suspect());
@@ -80,8 +82,8 @@
     assert!(others.iter().all(|other| !is_refused(&crashes, other, 9)));
 }
 
-/// A request was with two replicas that crashed for another reason. It is answered, and
-/// a third crash says as little of it as the first one did.
+/// A request was running at two replicas that crashed for another reason. A successful answer
+/// clears it, so that a third crash counts as its first.
 #[test]
 fn a_successful_answer_clears_the_suspicion() {
     let (crashes, (request, print)) = (Crashes::default(), suspect());
@@ -95,8 +97,8 @@
     assert!(!is_refused(&crashes, &request, 6));
 }
 
-/// A caller sends a request that crashes each replica which runs it, four times some
-/// seconds apart. The fourth attempt reaches none, and is told so with the time to come back.
+/// A caller sends a request that crashes every replica that runs it, four times, a few
+/// seconds apart. The fourth attempt reaches no replica and gets 503 with `Retry-After`.
 #[test]
 fn a_request_that_crashes_replicas_reaches_three_of_them() {
     run(async {
@@ -109,7 +111,7 @@
             let answer = tier.post("/a/crash", &format!("r{attempt}"), b"body").await;
             statuses.push((answer.status, answer.headers.contains_key("retry-after")));
             reached += replica.requests().len();
-            // It is gone with the request, and back under another name at best.
+            // A crashed replica only comes back under another ID.
             remove_crashed(&tier, replica).await;
         }
 
@@ -118,7 +120,8 @@
     });
 }
 
-/// A replica loses the answers to requests and lives on. Nobody is suspected.
+/// A replica closes connections without a reply but keeps running. The requests are not
+/// suspected.
 #[test]
 fn a_lost_reply_is_not_a_crash() {
     run(async {
@@ -136,7 +139,7 @@
     });
 }
 
-/// Ends a replica, waits until its end was noticed, and takes it out of the directory.
+/// Stops a replica, waits until the crash is detected, and removes it from the directory.
 async fn remove_crashed(tier: &Tier, replica: Scripted) {
     let address = replica.address;
     drop(replica);
--- a/crates/kumquatnotch-route/tests/forwarding.rs
+++ b/crates/kumquatnotch-route/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests to one service: what reaches a replica, and what reaches the caller.
+//! Requests to one service: what replicas receive and what callers get back.
 
 mod common;
 
@@ -56,8 +56,8 @@
     });
 }
 
-/// The replica runs the request and closes without an answer. The caller must not
-/// be told that it has not run, and no other replica may run it.
+/// The replica runs the request and closes the connection without a reply. The caller must
+/// not be told that the request has not run, and no other replica may run it.
 #[test]
 fn a_lost_reply_to_an_exclusive_request_is_an_unknown_outcome() {
     run(async {
@@ -75,8 +75,8 @@
     });
 }
 
-/// A full replica says that it did not run the request, so that another one may,
-/// also if the request must run only once.
+/// A full replica replies that it did not run the request, so another replica may run it,
+/// even if the request is exclusive.
 #[test]
 fn a_rejected_exclusive_request_goes_to_another_replica() {
     run(async {
@@ -96,8 +96,8 @@
     });
 }
 
-/// All replicas are full. The caller hears at once that nothing has run, and when
-/// to come back; the answer is not that of a replica.
+/// All replicas are full. The caller is told at once that nothing has run, with
+/// `Retry-After`; the reply of the replica is not forwarded.
 #[test]
 fn a_request_that_every_replica_rejects_is_refused_with_retry_after() {
     run(async {
@@ -133,8 +133,8 @@
     });
 }
 
-/// The replica sends each answer twice. The extra one stands before the answer to
-/// the next request on the connection, whose caller must not get it.
+/// The replica sends each reply twice. The extra reply precedes the reply to the next request
+/// on the connection and must not be returned to its caller.
 #[test]
 fn an_extra_reply_is_never_returned_for_another_request() {
     run(async {
@@ -157,7 +157,7 @@
     });
 }
 
-/// The reply has no length and ends with its connection, which is how HTTP allows it.
+/// The reply has no length and is delimited by the end of its connection, as HTTP allows.
 #[test]
 fn a_reply_without_length_is_complete_when_its_connection_closes() {
     run(async {
@@ -179,8 +179,8 @@
     });
 }
 
-/// The replica breaks off in the middle of its body. What came is a part, which
-/// must not reach the caller as a whole; another replica answers.
+/// The replica closes the connection in the middle of the body. The truncated reply must not
+/// be returned as a complete one; another replica answers.
 #[test]
 fn a_truncated_reply_is_retried_at_another_replica() {
     run(async {
@@ -201,8 +201,8 @@
     });
 }
 
-/// The address of a replica that ended belongs to another one by now, which says
-/// so. The request goes elsewhere, and the address is not used again.
+/// The address of a stopped replica now belongs to another one, which replies with 421. The
+/// request goes to another replica, and the address is not used again.
 #[test]
 fn a_replaced_replica_gets_no_more_requests() {
     run(async {
@@ -239,8 +239,8 @@
     });
 }
 
-/// All nodes start at once, and each has heard of no other yet. If each took all
-/// connections of a replica for itself, the replica would reset most of them.
+/// All nodes start at the same time, and none knows the others yet. If each of them opened all
+/// connections that a replica accepts, the replica would reset most of them.
 #[test]
 fn a_newly_started_node_takes_a_small_share() {
     run(async {
@@ -252,8 +252,8 @@
     });
 }
 
-/// The caller goes away while a replica is at work. The replica learns it by the
-/// end of its connection, as soon as the node does.
+/// The caller disconnects while a replica runs the request. The node closes its connection to
+/// the replica at once, which tells the replica to stop.
 #[test]
 fn a_disconnect_of_the_caller_cancels_the_request_at_the_replica() {
     run(async {
@@ -319,8 +319,8 @@
     });
 }
 
-/// A node has been without a configuration for over a second, as the store is away.
-/// Callers come again at the latest moment for which they wait: a third of their time.
+/// A node has been without configuration for over a second during a store outage.
+/// `Retry-After` grows to its maximum, a third of the caller's timeout.
 #[test]
 fn retry_after_grows_while_a_node_waits_for_the_store() {
     run(async {
--- a/crates/kumquatnotch-route/tests/hedging.rs
+++ b/crates/kumquatnotch-route/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Which replica is asked, and which gets a copy of a request that is late.
+//! Replica selection and hedged requests.
 
 mod common;
 
@@ -13,8 +13,8 @@
 };
 use standins::scripted::{Step, answer};
 
-/// A replica stands still. Its caller gets the answer of another one, and while
-/// it is silent the next requests go there at once.
+/// One replica never replies. The first request is hedged to the other replica, and while
+/// the first one is silent, later requests go to the other one directly.
 #[test]
 fn a_silent_replica_is_hedged_once_and_then_avoided() {
     run(async {
@@ -34,9 +34,9 @@
     });
 }
 
-/// A reply is late at a replica that answers others, and the one that could run a copy
-/// has its slots taken, with work for three seconds. A copy would make others wait longer;
-/// none is sent.
+/// A reply is late at a replica that answers other requests, and all slots of the only
+/// other replica are taken, with three seconds of work queued. A hedged request would only
+/// delay the requests in that queue, so none is sent.
 #[test]
 fn a_late_request_is_not_hedged_to_a_replica_without_a_free_slot() {
     run(async {
@@ -69,7 +69,8 @@
     });
 }
 
-/// Without budget, a late request gets no copy: the caller waits for its time.
+/// Without retry budget, a late request is not hedged: the caller waits until the timeout
+/// and gets 504.
 #[test]
 fn a_request_is_not_hedged_without_budget() {
     run(async {
@@ -90,8 +91,8 @@
     });
 }
 
-/// A replica tells that all work takes nine times as long as usual on its machine at
-/// this moment. The next requests go to another one, until that is some time ago.
+/// A replica reports that work currently takes nine times as long as usual on its machine.
+/// Requests go to another replica until the report has expired.
 #[test]
 fn a_replica_that_reports_a_slow_machine_is_avoided() {
     run(async {
@@ -120,14 +121,14 @@
     });
 }
 
-/// A reply is late, a copy is sent, and the reply comes after all. The copy is as good as
-/// done: its connection is kept until its reply is in, as the next copy would otherwise
-/// have to open one first, which takes as long as the way to another region and back.
+/// A reply is late, a hedged request is sent, and then the first reply arrives after all.
+/// The connection of the hedged request is kept until its reply is in. Otherwise the next
+/// hedged request would have to open a new one, which takes a round trip to another region.
 #[test]
 fn a_hedged_request_that_lost_keeps_its_connection() {
     run(async {
         let tier = Tier::serving(single());
-        // Whichever is asked first replies 20 ms before the other one would.
+        // The replica that is called first replies 20 ms before the other one would.
         let asked = Rc::new(Cell::new(0));
         let start = |tier: &Tier| {
             let asked = asked.clone();
@@ -156,8 +157,8 @@
     });
 }
 
-/// The caller of a request goes away while a copy is on its way. Nobody needs either reply:
-/// both replicas learn it at once.
+/// The caller disconnects while a hedged request is in flight. Neither reply is needed, so
+/// both connections are closed at once.
 #[test]
 fn a_disconnect_of_the_caller_cancels_the_hedged_request() {
     run(async {
--- a/crates/kumquatnotch-route/tests/scenarios.rs
+++ b/crates/kumquatnotch-route/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! What users told of their days, each as a test of what the caller must see.
+//! Failure scenarios from the point of view of the caller.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const RECORD: &[u8] = &[7; 16];
 
-/// The clock of a VM that may be suspended: what its steady clock misses is added.
+/// The clock of a VM that may be suspended: the monotonic clock plus the time suspended.
 #[derive(Default)]
 struct SuspendableClock {
     suspended_for: Cell<Duration>,
@@ -33,10 +33,10 @@
     }
 }
 
-/// A family waits at a desk while a check of free rooms hangs, and it comes back empty
-/// though rooms are free. Half of the shards answer, the others took the request and went
-/// silent. The desk must hear in time that the check failed: an empty or thin list that
-/// looks whole would send the family away.
+/// Half of the shards reply; the others accept the request and never reply. Too few parts are
+/// in for an answer. The caller must get a failure in time, and never an empty or incomplete
+/// answer that looks complete, as it would take shards without a reply for shards without
+/// results.
 #[test]
 fn a_search_with_hanging_shards_fails_in_time_and_is_never_empty() {
     run(async {
@@ -50,16 +50,16 @@
         let began = Instant::now();
         let answer = tier.get("/a/rooms", "r1").await;
 
-        // Its shards may have run it, so that it is no refusal.
+        // Shards may have run the request, so it must not be a 503.
         assert!([502, 504].contains(&answer.status), "{}", answer.status);
         assert!(!answer.headers.contains_key("x-proofs"));
         assert!(began.elapsed() < Duration::from_millis(3_500), "after {:?}", began.elapsed());
     });
 }
 
-/// The last room of a guesthouse is held, the replica that holds it freezes before it
-/// answers, and wakes. A second copy elsewhere would hold the room twice. The desk hears that
-/// the outcome is unknown, and no other replica ever sees the hold.
+/// A replica freezes after it received an exclusive request and resumes later. Sent to a
+/// second replica, the request would run twice. The caller gets an unknown outcome (504
+/// without `Retry-After`), and no other replica receives the request.
 #[test]
 fn an_exclusive_request_at_a_frozen_replica_is_not_sent_to_another() {
     run(async {
@@ -84,9 +84,9 @@
     });
 }
 
-/// The same room, and it is the VM of the node that stands still: a hold waits there for its
-/// turn at a replica. When the VM wakes, its steady clock tells of no time gone by, but the
-/// desk has given up and may have held another room. The hold must not go on to the replica.
+/// The VM of the node is suspended while an exclusive request waits for a connection permit.
+/// The monotonic clock does not advance during the suspension, but the caller has timed out
+/// and may have sent another request. The request must not be forwarded when the VM resumes.
 #[test]
 fn a_request_that_waited_during_a_vm_suspension_is_not_forwarded() {
     run(async {
@@ -97,7 +97,7 @@
             vec![Step::Wait(Duration::from_millis(300)), proven_reply(request, "p", b"held")]
         });
         let id = tier.add("s0", busy.address);
-        // All but one of the connections that this node may have are taken.
+        // Takes all but one of the connection permits.
         let replica = tier.router.directory.find(&id).unwrap();
         tier.post("/a/hold", "r0", b"room 2").await;
         let limit = replica.semaphore.limit();
@@ -126,8 +126,9 @@
     });
 }
 
-/// A report comes without whole offices. Two of ten shards have nobody that answers, which
-/// the route allows: the answer says how many are missing, and proves the others.
+/// Two of ten shards never reply, which the route allows. An answer that did not say so would
+/// be taken for a complete one: it must give the number of missing shards and carry the proofs
+/// of the others.
 #[test]
 fn an_answer_reports_the_number_of_missing_shards() {
     run(async {
@@ -146,7 +147,7 @@
     });
 }
 
-/// Lets a replica be known as the quicker one, so that it is asked first.
+/// Records short service times for a replica, so that it is selected first.
 fn make_fastest(tier: &Tier, id: &ReplicaId) {
     let replica = tier.router.directory.find(id).unwrap();
     (0..20).for_each(|_| replica.observed.note_work(Duration::from_millis(1)));
--- a/crates/kumquatnotch-route/tests/searches.rs
+++ b/crates/kumquatnotch-route/tests/searches.rs
@@ -1,4 +1,4 @@
-//! Searches over shards: what an answer holds, and what it says is missing.
+//! Searches over shards: merged answers, missing shards and relays.
 
 mod common;
 
@@ -34,8 +34,8 @@
     });
 }
 
-/// One shard has no replica that answers. The answer comes when waiting longer
-/// would make it late, and says that a shard is missing.
+/// The replica of one shard never replies. The answer is given when waiting longer would make
+/// it late, and reports one missing shard.
 #[test]
 fn a_late_shard_is_left_out_and_reported_missing() {
     run(async {
@@ -57,8 +57,8 @@
     });
 }
 
-/// The replica of a shard was twenty times slower than usual a moment ago, and is well again.
-/// It is asked although its part was expected late, and the answer is whole.
+/// The replica of a shard was twenty times slower than usual a moment ago and has recovered.
+/// It is queried although its part is expected to be late, and the answer is complete.
 #[test]
 fn a_recently_slow_shard_is_queried() {
     run(async {
@@ -80,8 +80,8 @@
     });
 }
 
-/// A caller counts its time from before it asked which node to use and opened its
-/// connection. The first request on a connection must be answered sooner for that.
+/// A caller's timeout starts before it looks up a node and opens a connection. The first
+/// request on a connection must therefore be answered sooner.
 #[test]
 fn the_first_request_on_a_connection_is_due_sooner() {
     run(async {
@@ -95,8 +95,8 @@
     });
 }
 
-/// Too few shards can answer. That is a failure at once, not an empty answer, and
-/// no promise that nothing has run.
+/// Too few shards can answer. The caller gets a failure at once instead of an empty answer,
+/// and is not told that nothing has run.
 #[test]
 fn a_search_with_too_few_parts_fails() {
     run(async {
@@ -114,7 +114,7 @@
     });
 }
 
-/// No shard has a replica. Nothing has run, and the caller hears when to come back.
+/// No shard has a replica. Nothing has run, and the caller gets `Retry-After`.
 #[test]
 fn a_search_without_any_replica_is_refused_as_not_run() {
     run(async {
@@ -127,8 +127,8 @@
     });
 }
 
-/// A replica fails with a proof. That is no part: its shard is asked once more,
-/// and the part of the sound replica is the one in the answer.
+/// A failed reply with a proof is not a part: the shard is queried again, and the answer
+/// contains the part of the healthy replica.
 #[test]
 fn a_failed_reply_with_a_proof_is_not_a_part() {
     run(async {
@@ -149,7 +149,7 @@
     });
 }
 
-/// A tier in region `home` whose shards lie in region `away`, and a node there.
+/// A node in region `home`, and shards and a second node in region `away`.
 struct TwoRegions {
     home: Tier,
     away: Tier,
@@ -185,7 +185,7 @@
         assert_eq!(&answer.body[..], [THREE, TWO, ONE].concat());
         assert_eq!(answer.headers["x-missing"], "0");
         assert!(world.replicas.iter().all(|replica| replica.requests().len() == 1));
-        // The node at home has no connection to any of them.
+        // The node in `home` has no connection to any of the replicas.
         let direct = world.home.router.directory.all();
         assert!(direct.iter().all(|replica| replica.observed.known_trip().is_none()));
         assert_eq!(header(&world.replicas[0].requests()[0], "x-request-id"), "r1");
@@ -193,8 +193,8 @@
     });
 }
 
-/// The node beside the replicas is gone, and its address refuses connections. The
-/// replicas are asked from here, and the caller notices nothing.
+/// The relay is gone and its address refuses connections. The replicas are queried directly,
+/// and the caller gets a complete answer.
 #[test]
 fn shards_are_queried_directly_if_the_relay_is_gone() {
     run(async {
@@ -208,8 +208,8 @@
     });
 }
 
-/// The node beside the replicas takes the request and says nothing any more, not
-/// even to the question whether it has the request. The answer is late, but whole.
+/// The relay accepts the request and then never replies, not even when asked whether it is
+/// running the request. The answer is late but complete.
 #[test]
 fn shards_are_queried_directly_if_the_relay_is_silent() {
     run(async {
@@ -224,8 +224,8 @@
     });
 }
 
-/// The connection to the node is lost on the way although the node lives: it has
-/// never got the request, and says so on a new connection.
+/// The connection to the relay breaks although the relay is running: it never received the
+/// request, and reports so on a new connection.
 #[test]
 fn shards_are_queried_directly_if_the_relay_never_got_the_request() {
     run(async {
@@ -246,9 +246,9 @@
     });
 }
 
-/// A shard has three replicas and its route allows two. The node beside them takes
-/// the request, asks two of them and is lost; asked from here, the third one must
-/// not run the request as well.
+/// Each shard has three replicas and its route allows two. The relay accepts the request,
+/// queries two of them and is lost. When the shards are queried directly after that, the
+/// third replica must not run the request as well.
 #[test]
 fn a_lost_relay_does_not_exceed_the_attempts_of_the_route() {
     run(async {
