--- a/crates/kumquatnotch-route/src/relay_front.rs
+++ b/crates/kumquatnotch-route/src/relay_front.rs
@@ -72,7 +72,7 @@
         let message: RelayRequest = codec::decode(&request.body)?;
         let route = message.route();
         let Destination::Shards(set) = &route.destination else {
-            return Err(Error::bad_request("the relay request has no shards"));
+            return Err(Error::bad_request("no shards"));
         };
         let request = message.request()?;
         let Some(identity) = request.headers.get(&router.names.request).cloned() else {
