--- a/crates/kumquatnotch-route/src/attempt.rs
+++ b/crates/kumquatnotch-route/src/attempt.rs
@@ -59,7 +59,7 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub enum AttemptOutcome {
+pub enum AttemptResult {
     /// The replica replied.
     Replied(Reply),
     /// The replica replied that it did not run the request.
@@ -81,19 +81,19 @@
     call: &Call<'_>,
     replica: &Rc<Replica>,
     sent: &Cell<bool>,
-) -> AttemptOutcome {
+) -> AttemptResult {
     let clock = &*router.clock;
     router.limit_connections(replica, call.service);
     let permit = replica.semaphore.acquire(call.route.priority).await;
     if !replica.takes_requests() {
-        return AttemptOutcome::NotSent;
+        return AttemptResult::NotSent;
     }
     let Some(link) = connect(router, call, replica).await else {
-        return AttemptOutcome::NotSent;
+        return AttemptResult::NotSent;
     };
     // The replica may have started draining while the connection was opened.
     if !replica.takes_requests() || clock.now() >= call.deadline {
-        return AttemptOutcome::NotSent;
+        return AttemptResult::NotSent;
     }
     let at = clock.now();
     let request = build_request(router, call, replica, at);
@@ -120,7 +120,7 @@
             // The idle connections to this replica are probably broken too.
             replica.pool.drop_idle();
             crash_check::check(router, call, replica);
-            AttemptOutcome::Lost(error)
+            AttemptResult::Lost(error)
         }
     }
 }
@@ -205,7 +205,7 @@
     replica: &Rc<Replica>,
     reply: Reply,
     took: Duration,
-) -> AttemptOutcome {
+) -> AttemptResult {
     let now = router.clock.now();
     let load = reported_load(&router.names, &reply);
     if let Some(Load { running, waiting, slowdown }) = load {
@@ -221,12 +221,12 @@
         // get, an entry of its own in the directory. This one never comes back.
         replica.observed.set_fitness(Fitness::Replaced);
         replica.pool.drop_idle();
-        return AttemptOutcome::Replaced;
+        return AttemptResult::Replaced;
     }
     if reply.headers.contains_key(&router.names.rejected) {
         replica.observed.note_outcome(true, now);
         replica.observed.note_failed_after(took);
-        return AttemptOutcome::Rejected;
+        return AttemptResult::Rejected;
     }
     replica.observed.note_outcome(reply.status.is_server_error(), now);
     if reply.status.is_success() {
@@ -242,5 +242,5 @@
         replica.observed.note_speed(service_time, router.need(call.route).usual, now);
         router.paces.note(&call.route.name, call.route.objective, service_time);
     }
-    AttemptOutcome::Replied(reply)
+    AttemptResult::Replied(reply)
 }
--- a/crates/kumquatnotch-route/src/call.rs
+++ b/crates/kumquatnotch-route/src/call.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    attempt::{self, AttemptOutcome, Call},
+    attempt::{self, AttemptResult, Call},
     names::ReplicaId,
     replica::{self, Pick, Replica},
     route::RouteKind,
@@ -96,7 +96,7 @@
         select_biased! {
             (replica, outcome) = running.select_next_some() => {
                 match outcome {
-                    AttemptOutcome::Replied(reply) if !reply.status.is_server_error() => {
+                    AttemptResult::Replied(reply) if !reply.status.is_server_error() => {
                         call.is_answered.set(true);
                         return Ok(reply);
                     }
@@ -141,7 +141,7 @@
     call: &Call<'_>,
     replica: Rc<Replica>,
     sent: &Cell<bool>,
-) -> (Rc<Replica>, AttemptOutcome) {
+) -> (Rc<Replica>, AttemptResult) {
     let outcome = attempt::attempt(router, call, &replica, sent).await;
     (replica, outcome)
 }
@@ -241,15 +241,15 @@
         copies::delay(&replica.observed, other, usual, left, now)
     }
 
-    fn record_failure(&mut self, replica: &Rc<Replica>, outcome: AttemptOutcome) {
+    fn record_failure(&mut self, replica: &Rc<Replica>, outcome: AttemptResult) {
         let ending = match outcome {
-            AttemptOutcome::Replied(reply) => {
+            AttemptResult::Replied(reply) => {
                 self.failed = Some(reply);
                 Ending::Failed
             }
-            AttemptOutcome::Rejected | AttemptOutcome::Replaced => Ending::Rejected,
-            AttemptOutcome::NotSent => Ending::NotSent,
-            AttemptOutcome::Lost(error) => {
+            AttemptResult::Rejected | AttemptResult::Replaced => Ending::Rejected,
+            AttemptResult::NotSent => Ending::NotSent,
+            AttemptResult::Lost(error) => {
                 tracing::info!(
                     request = self.call.identity.to_str().unwrap_or_default(),
                     replica = replica.id.as_str(),
