--- a/crates/kumquatnotch-route/src/admission.rs
+++ b/crates/kumquatnotch-route/src/admission.rs
@@ -1,4 +1,4 @@
-//! Letting searches in: at once, after waiting for room, or not at all.
+//! Admission control of searches: at once, after waiting for capacity, or not at all.
 
 use std::{
     rc::Rc,
@@ -14,51 +14,51 @@
 };
 
 use crate::{
-    gate::{Gate, Permit},
     gather::Search,
     replica,
     router::Router,
+    semaphore::{Permit, PrioritySemaphore},
 };
 
-/// By how much more room there must be for a search whose caller comes again.
+/// Factor by which the safety margin is larger for late retries.
 ///
-/// Its answer is worth less than one that is in time.
-const RETURNING_TIMES: f64 = 2.0;
+/// Their answers are late in any case, so searches that can be in time go first.
+const LATE_RETRY_FACTOR: f64 = 2.0;
 
-/// The part of its time that such a search waits for room at most.
-const ROOM_PART: f64 = 0.4;
+/// Maximum share of the remaining time that a late retry waits for capacity.
+const MAX_WAIT_SHARE: f64 = 0.4;
 
-/// How often it looks for room, before jitter.
-const ROOM_PERIOD: Duration = Duration::from_millis(30);
+/// Interval between checks for capacity, before jitter.
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// When refused callers come again where this isn't worked out.
-const FIXED_RETRY: Duration = Duration::from_millis(300);
+/// `Retry-After` of refusals when [`Mechanism::RetryTimes`] is off.
+const FIXED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Waits until replicas have room; `None` if there is none.
+/// Waits until replicas have capacity for a late retry; `None` if they have none.
 ///
-/// This is for a search whose caller comes again after the objective, so that its
-/// answer is late in any case. It waits for a part of its time, but not while searches
-/// that come for the first time are refused: it would only make more of them late.
+/// The caller of such a search retries after the objective has passed, so the answer is
+/// late in any case. It waits for a share of its remaining time, but not while first-time
+/// searches are being refused, as it would make more of them late.
 ///
-/// After an outage such callers come all at once. If all that wait were let in as soon
-/// as there is room, there would be none for those that come first; so `gate` lets in
-/// a few at a time, each for as long as its permit is held.
-pub async fn await_room(
+/// After an outage many callers retry at the same time. If all of them were admitted as
+/// soon as there is capacity, none would be left for first-time searches. `semaphore`
+/// therefore admits only a few at a time, each until its permit is dropped.
+pub async fn wait_for_capacity(
     router: &Router,
-    gate: &Rc<Gate>,
+    semaphore: &Rc<PrioritySemaphore>,
     search: &mut Search<'_>,
 ) -> Option<Permit> {
     let clock = &*router.clock;
     let start = clock.now();
     let wait = search.due.saturating_duration_since(start);
     let time = search.deadline.saturating_duration_since(start);
-    let until = start + time.mul_f64(ROOM_PART);
+    let until = start + time.mul_f64(MAX_WAIT_SHARE);
     let mut permit = None;
     if !router.strains.is_refusing(&search.route.name, start) {
-        let acquire = gate.acquire(search.route.priority);
+        let acquire = semaphore.acquire(search.route.priority);
         permit = clock::timeout_at(clock, until, acquire).await.ok();
     }
-    let has_room = permit.is_some() && finds_room(router, search, wait, until).await;
+    let has_room = permit.is_some() && poll_capacity(router, search, wait, until).await;
     tracing::info!(
         request = search.identity.to_str().unwrap_or_default(),
         ms = clock.now().saturating_duration_since(start).as_millis() as u64,
@@ -68,10 +68,10 @@
     permit.filter(|_| has_room)
 }
 
-/// Looks for room now and then; false if there is none by `until`.
+/// Checks periodically for capacity; returns false if there is none by `until`.
 ///
-/// The search has `wait` for its answer from when there is.
-async fn finds_room(
+/// The answer is due `wait` after capacity is found.
+async fn poll_capacity(
     router: &Router,
     search: &mut Search<'_>,
     wait: Duration,
@@ -82,48 +82,57 @@
         let now = clock.now();
         search.due = now + wait;
         let terms = terms(router, search, now);
-        if foretell(router, search, &terms, now).overload_retry(&terms).is_none() {
+        if predict(router, search, &terms, now).overload_retry(&terms).is_none() {
             return true;
         }
         if now >= until || router.strains.is_refusing(&search.route.name, now) {
             return false;
         }
-        clock::sleep(clock, router.random.jitter(ROOM_PERIOD)).await;
+        clock::sleep(clock, router.random.jitter(POLL_INTERVAL)).await;
     }
 }
 
-/// Why a search was not let in, so that nothing of it has run.
+/// A refusal of a search, of which no part has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// When its caller is to come again.
-    pub retry: Duration,
-    /// Why, for the log.
+    /// When the caller may retry.
+    pub retry_after: Duration,
+    /// The reason, for the log and the body of the refusal.
     pub reason: &'static str,
 }
 
-/// Lets a search in, or tells when its caller is to come again.
+/// Admits a search, or returns when its caller may retry.
 pub fn admit(router: &Router, search: &Search<'_>) -> Result<(), Refused> {
     let now = router.clock.now();
     let terms = terms(router, search, now);
-    let forecast = foretell(router, search, &terms, now);
-    if let Some(retry) = forecast.unavailable_retry(&terms) {
-        tell_refusal(search, &forecast, &terms, retry);
-        return Err(Refused { retry, reason: "shards without replicas" });
+    let forecast = predict(router, search, &terms, now);
+    if let Some(retry_after) = forecast.unavailable_retry(&terms) {
+        log_refusal(search, &forecast, &terms, retry_after);
+        return Err(Refused { retry_after, reason: "shards without replicas" });
     }
     let refusal = forecast.overload_retry(&terms).filter(|_| router.uses(Mechanism::Refusals));
-    let Some(retry) = refusal else {
+    let Some(retry_after) = refusal else {
         return Ok(());
     };
     let route = &search.route.name;
     router.strains.note(route, SearchOutcome::Refused, now);
-    let crowd = router.random.jitter(router.strains.retry(route, terms.time_left, now));
-    let retry = if router.uses(Mechanism::RetryTimes) { retry.max(crowd) } else { FIXED_RETRY };
-    tell_refusal(search, &forecast, &terms, retry);
-    Err(Refused { retry, reason: "replicas are crowded" })
+    let backoff = router.random.jitter(router.strains.retry(route, terms.time_left, now));
+    let retry_after = if router.uses(Mechanism::RetryTimes) {
+        retry_after.max(backoff)
+    } else {
+        FIXED_RETRY_AFTER
+    };
+    log_refusal(search, &forecast, &terms, retry_after);
+    Err(Refused { retry_after, reason: "replicas are crowded" })
 }
 
-/// Writes a line for a refusal, with what decided it.
-fn tell_refusal(search: &Search<'_>, forecast: &Forecast, terms: &Requirements, retry: Duration) {
+/// Logs a refusal and the figures behind the decision.
+fn log_refusal(
+    search: &Search<'_>,
+    forecast: &Forecast,
+    terms: &Requirements,
+    retry_after: Duration,
+) {
     let Forecast { needed, optional, .. } = forecast;
     let slowest = needed.last();
     tracing::info!(
@@ -135,13 +144,13 @@
         crowded = needed.iter().filter(|late| late.is_crowded).count(),
         margin = terms.margin,
         due_ms = terms.objective_left.as_millis() as u64,
-        retry_ms = retry.as_millis() as u64,
+        retry_ms = retry_after.as_millis() as u64,
         "forecast: refused"
     );
 }
 
-/// Foretells when the parts of a search would come.
-fn foretell(router: &Router, search: &Search<'_>, terms: &Requirements, now: Instant) -> Forecast {
+/// Predicts when the parts of a search would arrive.
+fn predict(router: &Router, search: &Search<'_>, terms: &Requirements, now: Instant) -> Forecast {
     let best = search.set.shards.iter().map(|shard| -> Option<Rating> {
         let need = router.need_at(search.route, shard);
         Some(replica::pick(&router.directory.of(shard), &[], need, now)?.rating)
@@ -157,7 +166,7 @@
     Requirements {
         objective_left: search.due.saturating_duration_since(now),
         time_left: search.deadline.saturating_duration_since(now),
-        min_parts: search.set.least_parts(),
-        margin: if search.returning { margin * RETURNING_TIMES } else { margin },
+        min_parts: search.set.min_parts(),
+        margin: if search.is_late_retry { margin * LATE_RETRY_FACTOR } else { margin },
     }
 }
--- a/crates/kumquatnotch-route/src/attempt.rs
+++ b/crates/kumquatnotch-route/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to one replica.
+//! A single attempt: sends a request to one replica.
 
 use std::{
     cell::Cell,
@@ -26,77 +26,77 @@
     router::Router,
 };
 
-/// How long a connection may have been idle before an exclusive request.
+/// Maximum idle time of a connection that is reused for an exclusive request.
 ///
-/// A replica closes idle connections, and a request that crosses the close can't
-/// be told from one that ran. Opening a connection costs a few milliseconds.
-const EXCLUSIVE_IDLE: Duration = Duration::from_millis(500);
+/// Replicas close idle connections. If a request races with the close, whether it ran is
+/// unknown, while opening a new connection takes only a few milliseconds.
+const EXCLUSIVE_MAX_IDLE: Duration = Duration::from_millis(500);
 
-/// The same for a request that may be repeated.
-const IDEMPOTENT_IDLE: Duration = Duration::from_secs(30);
+/// Maximum idle time of a connection that is reused for an idempotent request.
+const IDEMPOTENT_MAX_IDLE: Duration = Duration::from_secs(30);
 
-/// A request to one service, of which each attempt is a copy.
+/// A request to one service; each attempt sends a copy of it.
 pub struct Call<'a> {
     /// The route.
     pub route: &'a Route,
-    /// The service that is asked.
+    /// The service to call.
     pub service: &'a ServiceName,
-    /// The request, without headers that concern one connection.
+    /// The request, without hop-by-hop headers.
     pub request: &'a Request,
-    /// The identity that the caller gave it.
+    /// The request identity that the caller set.
     pub identity: &'a HeaderValue,
-    /// Until when a reply is worth most.
+    /// The latest time at which a reply meets the objective.
     pub due: Instant,
-    /// When its time is over.
+    /// The deadline.
     pub deadline: Instant,
-    /// The replicas that may be asked; none means any.
+    /// The replicas that may be used; an empty list allows any.
     pub allowed: Vec<ReplicaId>,
-    /// Whether even the first attempt is a repeat.
-    pub repeat: bool,
-    /// Whether it has its reply, so that attempts which still run may end by themselves.
-    pub is_settled: Cell<bool>,
+    /// Whether even the first attempt counts as a retry.
+    pub is_retry: bool,
+    /// Whether a reply was received, so that attempts still running may end by themselves.
+    pub is_answered: Cell<bool>,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub enum Ended {
+pub enum AttemptResult {
     /// The replica replied.
     Replied(Reply),
-    /// The replica did not run the request, by its own word.
+    /// The replica replied that it did not run the request.
     Rejected,
-    /// Another replica has the address, and did not run the request.
+    /// The address belongs to another replica now, which did not run the request.
     Replaced,
     /// Nothing was sent.
     NotSent,
-    /// It was sent, and whether it has run is unknown.
+    /// The request was sent; whether it has run is unknown.
     Lost(Error),
 }
 
 /// Sends a request to `replica` and waits for its reply.
 ///
-/// Dropping it closes the connection, by which the replica learns that nobody
-/// waits any more. `sent` is set as soon as the replica may have got it.
+/// Dropping the future closes the connection, which tells the replica to stop working on
+/// the request. `sent` is set once the replica may have received the request.
 pub async fn attempt(
     router: &Rc<Router>,
     call: &Call<'_>,
     replica: &Rc<Replica>,
     sent: &Cell<bool>,
-) -> Ended {
+) -> AttemptResult {
     let clock = &*router.clock;
-    router.bound_connections(replica, call.service);
-    let permit = replica.gate.acquire(call.route.priority).await;
+    router.limit_connections(replica, call.service);
+    let permit = replica.semaphore.acquire(call.route.priority).await;
     if !replica.takes_requests() {
-        return Ended::NotSent;
+        return AttemptResult::NotSent;
     }
     let Some(link) = connect(router, call, replica).await else {
-        return Ended::NotSent;
+        return AttemptResult::NotSent;
     };
-    // It may have begun to drain while the connection was opened.
+    // The replica may have started draining while the connection was opened.
     if !replica.takes_requests() || clock.now() >= call.deadline {
-        return Ended::NotSent;
+        return AttemptResult::NotSent;
     }
     let at = clock.now();
-    let request = prepare(router, call, replica, at);
+    let request = build_request(router, call, replica, at);
     sent.set(true);
     replica.observed.note_sent(at);
     let usual = router.need(call.route).usual;
@@ -107,20 +107,20 @@
     };
     match reply {
         Ok(OpaqueReply { reply, idle_limit: keep }) => {
-            let (link, took) = flight.replied();
+            let (link, took) = flight.record_reply();
             if let (Some(link), Some(keep)) = (link, keep) {
-                replica.links.put(link, clock.now(), keep);
+                replica.pool.put(link, clock.now(), keep);
             }
-            judge(router, call, replica, reply, took)
+            process_reply(router, call, replica, reply, took)
         }
         Err(error) => {
-            flight.broke();
+            flight.record_broken();
             replica.observed.note_outcome(true, clock.now());
             replica.observed.note_failed_after(clock.now().saturating_duration_since(at));
-            // Whatever broke this connection has broken idle ones as well.
-            replica.links.drop_idle();
+            // The idle connections to this replica are probably broken too.
+            replica.pool.drop_idle();
             crash_check::check(router, call, replica);
-            Ended::Lost(error)
+            AttemptResult::Lost(error)
         }
     }
 }
@@ -131,22 +131,22 @@
     replica: &Rc<Replica>,
 ) -> Option<OpaqueLink> {
     let clock = &*router.clock;
-    let most_idle = match call.route.kind {
-        RouteKind::Idempotent => IDEMPOTENT_IDLE,
-        RouteKind::Exclusive => EXCLUSIVE_IDLE,
+    let max_idle = match call.route.kind {
+        RouteKind::Idempotent => IDEMPOTENT_MAX_IDLE,
+        RouteKind::Exclusive => EXCLUSIVE_MAX_IDLE,
     };
-    if let Some(link) = replica.links.take(clock.now(), most_idle) {
+    if let Some(link) = replica.pool.take(clock.now(), max_idle) {
         return Some(link);
     }
     let start = clock.now();
-    match replica.links.open(clock, call.deadline).await {
+    match replica.pool.open(clock, call.deadline).await {
         Ok(link) => {
             replica.observed.note_connect(clock.now().saturating_duration_since(start));
             metrics::counter!("kumquatnotch_connections_opened_total").increment(1);
             Some(link)
         }
         Err(_) => {
-            // If the caller's time was over first, that says nothing of the replica.
+            // If the deadline of the caller passed first, the replica is not at fault.
             if clock.now() < call.deadline {
                 probe::suspect(router, replica, "no connection");
             }
@@ -155,8 +155,8 @@
     }
 }
 
-/// The copy of the request for one replica.
-fn prepare(router: &Router, call: &Call<'_>, replica: &Replica, now: Instant) -> Request {
+/// Builds the copy of the request for one replica.
+fn build_request(router: &Router, call: &Call<'_>, replica: &Replica, now: Instant) -> Request {
     let mut request = call.request.clone();
     let left = call.deadline.saturating_duration_since(now).as_millis() as u64;
     let names = &router.names;
@@ -175,71 +175,72 @@
     request: &Request,
 ) -> Result<OpaqueReply, Error> {
     link.send(request).await?;
-    link.receive(&|reply| in_flight::belongs(router, call.identity, reply)).await
+    link.receive(&|reply| in_flight::is_reply_to(router, call.identity, reply)).await
 }
 
-/// The load of a replica.
+/// The load that a replica reports.
 #[derive(Clone, Copy)]
 struct Load {
     running: u32,
     waiting: u32,
-    /// How many times as long as usual its machine takes for all work, if it tells.
-    burden: Option<f64>,
+    /// Slowdown of its machine as a multiple of the usual service time, if reported.
+    slowdown: Option<f64>,
 }
 
-/// The load of a replica, by its own word.
-fn told_load(names: &HeaderNames, reply: &Reply) -> Option<Load> {
+/// Reads the load that a replica reports in a reply.
+fn reported_load(names: &HeaderNames, reply: &Reply) -> Option<Load> {
     let text = reply.headers.get(&names.load)?.to_str().ok()?;
-    let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
-    let running = figures.next()?.ok()?;
-    let waiting = figures.next()?.ok()?;
-    // After the slots comes a percentage, from replicas that share their machine.
-    let burden = figures.nth(1).and_then(|percent| percent.ok());
-    Some(Load { running, waiting, burden: burden.map(|percent| f64::from(percent) / 100.0) })
+    let mut values = text.split(',').map(|value| value.trim().parse::<u32>());
+    let running = values.next()?.ok()?;
+    let waiting = values.next()?.ok()?;
+    // Replicas that share their machine report a percentage after the slots.
+    let slowdown = values.nth(1).and_then(|percent| percent.ok());
+    Some(Load { running, waiting, slowdown: slowdown.map(|percent| f64::from(percent) / 100.0) })
 }
 
-/// What a reply says of the request and of its replica.
-fn judge(
+/// Classifies a reply and updates the statistics of its replica.
+fn process_reply(
     router: &Rc<Router>,
     call: &Call<'_>,
     replica: &Rc<Replica>,
     reply: Reply,
     took: Duration,
-) -> Ended {
+) -> AttemptResult {
     let now = router.clock.now();
-    let load = told_load(&router.names, &reply);
-    if let Some(Load { running, waiting, burden }) = load {
+    let load = reported_load(&router.names, &reply);
+    if let Some(Load { running, waiting, slowdown }) = load {
         if router.uses(Mechanism::ToldLoad) {
             replica.observed.note_load(running + waiting, now);
         }
         if router.uses(Mechanism::ToldBurden) {
-            replica.observed.note_machine_slowdown(burden.unwrap_or(1.0), now);
+            replica.observed.note_machine_slowdown(slowdown.unwrap_or(1.0), now);
         }
     }
     if reply.status.as_u16() == 421 {
-        // Another replica has the address by now. Its own entry is, or will be,
-        // in the directory; this one never comes back.
+        // 421 Misdirected Request: another replica has the address now and has, or will
+        // get, an entry of its own in the directory. This one never comes back.
         replica.observed.set_fitness(Fitness::Replaced);
-        replica.links.drop_idle();
-        return Ended::Replaced;
+        replica.pool.drop_idle();
+        return AttemptResult::Replaced;
     }
     if reply.headers.contains_key(&router.names.rejected) {
         replica.observed.note_outcome(true, now);
         replica.observed.note_failed_after(took);
-        return Ended::Rejected;
+        return AttemptResult::Rejected;
     }
     replica.observed.note_outcome(reply.status.is_server_error(), now);
     if reply.status.is_success() {
-        let way = replica.observed.measured_round_trip().unwrap_or_default();
+        let round_trip = replica.observed.measured_round_trip().unwrap_or_default();
         let queue = load.map_or(0.0, |load| f64::from(load.waiting));
-        // What waits there now waited before this request when it came.
+        // Assumes that the queue was as long when this request arrived as it is now.
         let slots = replica.observed.slots();
-        let work = took.saturating_sub(way).div_f64(1.0 + queue / slots);
-        replica.observed.note_service_time(work);
-        // What comes of its machine is told anew with each reply; the rest is its own.
-        let work = work.div_f64(replica.observed.machine_slowdown(now));
-        replica.observed.note_speed(work, router.need(call.route).usual, now);
-        router.paces.note(&call.route.name, call.route.objective, work);
+        let service_time = took.saturating_sub(round_trip).div_f64(1.0 + queue / slots);
+        replica.observed.note_service_time(service_time);
+        // Each reply reports the slowdown of the machine anew, so it is divided out; the
+        // rest is the speed of the replica itself.
+        let service_time = service_time.div_f64(replica.observed.machine_slowdown(now));
+        replica.observed.note_speed(service_time, router.need(call.route).usual, now);
+        router.paces.note(&call.route.name, call.route.objective, service_time);
     }
-    Ended::Replied(reply)
+    AttemptResult::Replied(reply)
 }
--- a/crates/kumquatnotch-route/src/call.rs
+++ b/crates/kumquatnotch-route/src/call.rs
@@ -1,5 +1,5 @@
-//! One request to one service: the first attempt, a second copy if it is late,
-//! and another try if it failed.
+//! One request to one service: the first attempt, a hedged request if the reply is
+//! late, and retries after failures.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -13,46 +13,46 @@
 };
 
 use crate::{
-    attempt::{self, Call, Ended},
+    attempt::{self, AttemptResult, Call},
     names::ReplicaId,
     replica::{self, Pick, Replica},
     route::RouteKind,
     router::Router,
 };
 
-/// How often a late call looks again for a replica that could run a copy.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+/// Interval at which a late call looks again for a replica to hedge to.
+const HEDGE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// When to come back if no replica is known.
-const NO_REPLICA_RETRY: Duration = Duration::from_millis(300);
+/// `Retry-After` when no replica is known.
+const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When to come back if all replicas were full.
-const FULL_RETRY: Duration = Duration::from_millis(60);
+/// `Retry-After` when no replica ran the request, as all of them were full.
+const ALL_FULL_RETRY_AFTER: Duration = Duration::from_millis(60);
 
-/// Why a call has no reply that a caller can use.
+/// Why a call has no usable reply.
 #[derive(Debug)]
-pub enum CallFault {
+pub enum CallError {
     /// No replica has run the request or ever will.
     NotRun {
-        /// When it may be worth another try.
-        retry: Duration,
-        /// Why.
+        /// When the caller may retry.
+        retry_after: Duration,
+        /// The reason, for the log and the body of the refusal.
         reason: &'static str,
     },
-    /// A replica ran the request and failed; this is its reply.
+    /// A replica ran the request and failed, with this reply.
     Failed(Reply),
     /// A replica may have run the request; its reply was lost.
     Unknown,
-    /// The time was over while a replica was at work.
+    /// The deadline passed while a replica was running the request.
     TimedOut,
 }
 
-/// What a call did besides its outcome.
+/// Counters of a call.
 #[derive(Debug, Default)]
-pub struct CallTrace {
-    /// Copies that were sent because a reply was late.
+pub struct CallStats {
+    /// Hedged requests sent because a reply was late.
     pub hedges: Cell<u32>,
-    /// Further tries after a failure.
+    /// Retries after a failure.
     pub retries: Cell<u32>,
 }
 
@@ -65,82 +65,85 @@
     failed: Option<Reply>,
 }
 
-/// Sends a request to a replica of a service, and again as far as its kind, the
-/// attempts of its route and the budget allow.
+/// Sends a request to a replica of a service, with retries and hedged requests as far as
+/// its kind, the attempts of its route and the retry budget allow.
 pub async fn call(
     router: &Rc<Router>,
     call: &Call<'_>,
-    trace: &CallTrace,
-) -> Result<Reply, CallFault> {
+    stats: &CallStats,
+) -> Result<Reply, CallError> {
     let (tried, attempts) = (Vec::new(), Attempts::default());
     let mut progress = Progress { router, call, tried, attempts, failed: None };
     let clock = &*router.clock;
     let sent = Cell::new(false);
     let mut running = FuturesUnordered::new();
     let Some(first) = progress.pick() else {
-        return Err(CallFault::NotRun { retry: NO_REPLICA_RETRY, reason: "no replica" });
+        return Err(CallError::NotRun {
+            retry_after: NO_REPLICA_RETRY_AFTER,
+            reason: "no replica",
+        });
     };
-    let mut over = clock.sleep_until(call.deadline).fuse();
-    let mut late = clock::sleep(clock, progress.copy_delay(&first)).fuse();
-    router.budget.set_part(router.own_part());
-    if !call.repeat {
+    let mut deadline_timer = clock.sleep_until(call.deadline).fuse();
+    let mut hedge_timer = clock::sleep(clock, progress.hedge_delay(&first)).fuse();
+    router.budget.set_part(router.own_share());
+    if !call.is_retry {
         router.budget.note_first(call.service, clock.now());
-    } else if !progress.spend() {
-        return Err(progress.fault());
+    } else if !progress.spend_budget() {
+        return Err(progress.final_error());
     }
-    running.push(run(router, call, first, &sent));
+    running.push(run_attempt(router, call, first, &sent));
     loop {
         select_biased! {
-            (replica, ended) = running.select_next_some() => {
-                match ended {
-                    Ended::Replied(reply) if !reply.status.is_server_error() => {
-                        call.is_settled.set(true);
+            (replica, outcome) = running.select_next_some() => {
+                match outcome {
+                    AttemptResult::Replied(reply) if !reply.status.is_server_error() => {
+                        call.is_answered.set(true);
                         return Ok(reply);
                     }
-                    ended => progress.note(&replica, ended),
+                    outcome => progress.record_failure(&replica, outcome),
                 }
                 if !running.is_empty() {
                     continue;
                 }
-                let Some(next) = progress.next_try() else {
-                    return Err(progress.fault());
+                let Some(next) = progress.next_retry() else {
+                    return Err(progress.final_error());
                 };
-                trace.retries.set(trace.retries.get() + 1);
-                late = clock::sleep(clock, progress.copy_delay(&next)).fuse();
-                running.push(run(router, call, next, &sent));
+                stats.retries.set(stats.retries.get() + 1);
+                hedge_timer = clock::sleep(clock, progress.hedge_delay(&next)).fuse();
+                running.push(run_attempt(router, call, next, &sent));
             }
-            () = late => {
-                let may_copy = router.uses(Mechanism::Copies);
-                if !may_copy || !progress.attempts.may_hedge(progress.allowance(), running.len() as u32) {
+            () = hedge_timer => {
+                let may_hedge = router.uses(Mechanism::Copies);
+                if !may_hedge || !progress.attempts.may_hedge(progress.allowance(), running.len() as u32) {
                     continue;
                 }
-                match progress.copy_target() {
-                    Some(next) if progress.spend() => {
-                        progress.tell_copy(&next);
-                        trace.hedges.set(trace.hedges.get() + 1);
-                        running.push(run(router, call, next, &sent));
+                match progress.hedge_target() {
+                    Some(next) if progress.spend_budget() => {
+                        progress.log_hedge(&next);
+                        stats.hedges.set(stats.hedges.get() + 1);
+                        running.push(run_attempt(router, call, next, &sent));
                     }
-                    // Nothing that could run it now, or no budget: later perhaps.
-                    _ => late = clock::sleep(clock, LOOK_AGAIN).fuse(),
+                    // No suitable replica or no budget at the moment.
+                    _ => hedge_timer = clock::sleep(clock, HEDGE_RETRY_INTERVAL).fuse(),
                 }
             }
-            () = over => {
-                let at_work = sent.get() && !running.is_empty();
-                return Err(progress.timeout(at_work));
+            () = deadline_timer => {
+                let in_progress = sent.get() && !running.is_empty();
+                return Err(progress.timeout_error(in_progress));
             }
         }
     }
 }
 
-/// Runs an attempt, and tells which replica it was.
-async fn run(
+/// Runs an attempt and returns its outcome together with the replica.
+async fn run_attempt(
     router: &Rc<Router>,
     call: &Call<'_>,
     replica: Rc<Replica>,
     sent: &Cell<bool>,
-) -> (Rc<Replica>, Ended) {
-    let ended = attempt::attempt(router, call, &replica, sent).await;
-    (replica, ended)
+) -> (Rc<Replica>, AttemptResult) {
+    let outcome = attempt::attempt(router, call, &replica, sent).await;
+    (replica, outcome)
 }
 
 impl Progress<'_> {
@@ -167,53 +170,53 @@
         replica::pick(&allowed, &self.tried, need, now)
     }
 
-    /// The replica that gets the next attempt.
+    /// Picks the replica for the next attempt.
     fn pick(&mut self) -> Option<Rc<Replica>> {
         let Pick { replica, .. } = self.best()?;
         self.tried.push(replica.id.clone());
         Some(replica)
     }
 
-    /// The replica that gets another try after a failure, if there may be one.
-    fn next_try(&mut self) -> Option<Rc<Replica>> {
+    /// Picks the replica for a retry after a failure, if a retry is allowed.
+    fn next_retry(&mut self) -> Option<Rc<Replica>> {
         if !self.attempts.may_try_again(self.allowance(), self.router.clock.now()) {
             return None;
         }
         let next = self.pick()?;
-        if self.attempts.has_arrived() && !self.spend() {
+        if self.attempts.has_arrived() && !self.spend_budget() {
             metrics::counter!("kumquatnotch_budget_refusals_total").increment(1);
             return None;
         }
         Some(next)
     }
 
-    /// Pays for a repeat.
-    fn spend(&self) -> bool {
+    /// Takes a retry or hedged request from the budget; false if it is exhausted.
+    fn spend_budget(&self) -> bool {
         self.router.budget.spend(self.call.service, self.router.clock.now())
     }
 
-    /// The replica that gets a copy; only one against which nothing speaks.
-    fn copy_target(&mut self) -> Option<Rc<Replica>> {
+    /// Picks the replica for a hedged request; only one in a healthy state.
+    fn hedge_target(&mut self) -> Option<Rc<Replica>> {
         let Pick { replica, rating } = self.best()?;
         let now = self.router.clock.now();
         let left = self.call.due.saturating_duration_since(now);
-        if !hedge_timing::is_worthwhile(&rating, left, || self.are_lost()) {
+        if !hedge_timing::is_worthwhile(&rating, left, || self.all_silent()) {
             return None;
         }
         self.tried.push(replica.id.clone());
         Some(replica)
     }
 
-    /// Whether all replicas that were asked answer nothing.
-    fn are_lost(&self) -> bool {
+    /// Whether all replicas tried so far have stopped responding.
+    fn all_silent(&self) -> bool {
         let now = self.router.clock.now();
         let usual = self.router.need(self.call.route).usual;
         let mut sent = self.tried.iter().filter_map(|id| self.router.directory.find(id));
         sent.all(|replica| lateness::is_silent(&replica.observed, usual, now))
     }
 
-    /// Writes a line for a copy, with what decided it.
-    fn tell_copy(&self, next: &Replica) {
+    /// Logs a hedged request and the figures behind the decision.
+    fn log_hedge(&self, next: &Replica) {
         let now = self.router.clock.now();
         let need = self.router.need(self.call.route);
         tracing::info!(
@@ -228,7 +231,7 @@
         );
     }
 
-    fn copy_delay(&self, replica: &Replica) -> Duration {
+    fn hedge_delay(&self, replica: &Replica) -> Duration {
         let now = self.router.clock.now();
         let usual = self.router.need(self.call.route).usual;
         let other = self.best().filter(|pick| pick.rating.is_healthy());
@@ -238,15 +241,15 @@
         hedge_timing::delay(&replica.observed, other, usual, left, now)
     }
 
-    fn note(&mut self, replica: &Rc<Replica>, ended: Ended) {
-        let ending = match ended {
-            Ended::Replied(reply) => {
+    fn record_failure(&mut self, replica: &Rc<Replica>, outcome: AttemptResult) {
+        let ending = match outcome {
+            AttemptResult::Replied(reply) => {
                 self.failed = Some(reply);
                 AttemptOutcome::Failed
             }
-            Ended::Rejected | Ended::Replaced => AttemptOutcome::Rejected,
-            Ended::NotSent => AttemptOutcome::NotSent,
-            Ended::Lost(error) => {
+            AttemptResult::Rejected | AttemptResult::Replaced => AttemptOutcome::Rejected,
+            AttemptResult::NotSent => AttemptOutcome::NotSent,
+            AttemptResult::Lost(error) => {
                 tracing::info!(
                     request = self.call.identity.to_str().unwrap_or_default(),
                     replica = replica.id.as_str(),
@@ -260,23 +263,25 @@
         self.attempts.note(ending);
     }
 
-    /// Why the call has no reply when its time is over.
-    fn timeout(&mut self, at_work: bool) -> CallFault {
-        match self.fault() {
-            CallFault::NotRun { .. } if at_work => CallFault::TimedOut,
-            CallFault::NotRun { retry, .. } => {
-                CallFault::NotRun { retry, reason: "expired in queue" }
+    /// Returns the error for a call that reaches its deadline.
+    fn timeout_error(&mut self, in_progress: bool) -> CallError {
+        match self.final_error() {
+            CallError::NotRun { .. } if in_progress => CallError::TimedOut,
+            CallError::NotRun { retry_after, .. } => {
+                CallError::NotRun { retry_after, reason: "expired in queue" }
             }
-            fault => fault,
+            error => error,
         }
     }
 
-    fn fault(&mut self) -> CallFault {
+    fn final_error(&mut self) -> CallError {
         match (self.attempts.verdict(), self.failed.take()) {
-            (Verdict::Failed, Some(reply)) => CallFault::Failed(reply),
-            (Verdict::NotRun, _) => CallFault::NotRun { retry: FULL_RETRY, reason: "rejected" },
-            // A reply that failed is there whenever the verdict says so.
-            (Verdict::Failed | Verdict::Unknown, _) => CallFault::Unknown,
+            (Verdict::Failed, Some(reply)) => CallError::Failed(reply),
+            (Verdict::NotRun, _) => {
+                CallError::NotRun { retry_after: ALL_FULL_RETRY_AFTER, reason: "rejected" }
+            }
+            // `Verdict::Failed` implies that a failed reply is present.
+            (Verdict::Failed | Verdict::Unknown, _) => CallError::Unknown,
         }
     }
 }
--- a/crates/kumquatnotch-route/src/entries.rs
+++ b/crates/kumquatnotch-route/src/entries.rs
@@ -181,7 +181,7 @@
             let mut others = others.iter().filter(|other| other.takes_requests());
             let has_other =
                 others.any(|other| !vanished.contains_key(&EntryKey::Replica(other.id.clone())));
-            replica.set_left(!expired && has_other);
+            replica.set_presumed_gone(!expired && has_other);
         }
     }
 
@@ -217,7 +217,7 @@
         if self.vanished.borrow_mut().remove(&key).is_some()
             && let Some(replica) = self.replica(&key)
         {
-            replica.set_left(false);
+            replica.set_presumed_gone(false);
         }
         self.apply_entry(entry, item.revision);
         Some(key)
@@ -280,7 +280,7 @@
                     "mirror: crash reports received"
                 );
                 let refused = router.crashes.merge(&crashes, router.clock.now());
-                refused.iter().for_each(crash_check::tell);
+                refused.iter().for_each(crash_check::log_refused);
             }
         }
     }
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -158,9 +158,9 @@
 ) -> Result<FollowReply> {
     let clock = &*router.clock;
     let now = clock.now();
-    let mut link = match peer.links.take(now, FOLLOW_WAIT) {
+    let mut link = match peer.pool.take(now, FOLLOW_WAIT) {
         Some(link) => link,
-        None => peer.links.open(clock, now + CHANGES_TIMEOUT).await?,
+        None => peer.pool.open(clock, now + CHANGES_TIMEOUT).await?,
     };
     let wait_ms = wait.as_millis();
     let mut request = Request::get(&format!("{FOLLOW_PATH}?after={after}&wait_ms={wait_ms}"));
@@ -169,7 +169,7 @@
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
     if let Some(keep) = answer.idle_limit {
-        peer.links.put(link, clock.now(), keep);
+        peer.pool.put(link, clock.now(), keep);
     }
     match answer.reply.status {
         StatusCode::OK => codec::decode(&answer.reply.body),
--- a/crates/kumquatnotch-route/src/gather.rs
+++ b/crates/kumquatnotch-route/src/gather.rs
@@ -1,7 +1,7 @@
-//! One search: a call to each shard, and an answer from the parts that came.
+//! Scatter-gather: calls each shard of a search and merges the parts received.
 //!
-//! Shards whose replicas are in another region are asked for through a node
-//! there ([`relay`](crate::relay)), and from here if that node fails.
+//! Shards whose replicas are in another data centre are queried through a node there
+//! ([`relay`](crate::relay)), and directly if that node fails.
 
 use std::{
     cell::Cell,
@@ -18,127 +18,129 @@
 use crate::{
     admission::{self, Refused},
     attempt::Call,
-    call::{self, CallFault, CallTrace},
+    call::{self, CallError, CallStats},
     names::ReplicaId,
     parts::Parts,
-    relay::{self, Relayed},
+    relay::{self, RelayOutcome},
     relay_plan::{self, Group, Plan},
     route::{Route, ShardSet},
     router::Router,
 };
 
-/// A search.
+/// A search over the shards of a route.
 pub struct Search<'a> {
     /// The route.
     pub route: &'a Route,
-    /// The shards, fixed for this answer.
+    /// The shards; they do not change during the search.
     pub set: &'a ShardSet,
     /// The request.
     pub request: &'a Request,
     /// The identity that the caller gave it.
     pub identity: &'a HeaderValue,
-    /// Until when an answer is worth most.
+    /// The latest time at which an answer meets the objective.
     pub due: Instant,
-    /// When its time is over.
+    /// The deadline.
     pub deadline: Instant,
-    /// Whether its caller comes again, so late that the answer can't be in time.
-    pub returning: bool,
+    /// Whether the caller retries so late that the answer can't meet the objective.
+    pub is_late_retry: bool,
 }
 
 /// How a search ended.
 pub struct Gathered {
-    /// The answer, if enough parts came.
-    pub answer: Result<Reply, CallFault>,
-    /// The parts in it, or that there were.
+    /// The merged answer, or why too few parts were received.
+    pub answer: Result<Reply, CallError>,
+    /// Number of parts received.
     pub parts: usize,
-    /// The shards that it leaves out.
+    /// Number of shards missing from the answer.
     pub missing: usize,
-    /// The shards that were asked for through other nodes.
+    /// Number of shards queried through other nodes.
     pub relayed: usize,
 }
 
-/// What comes of a part of a search.
-enum Piece {
-    Shard(usize, Result<Reply, CallFault>),
-    Group(Group, Relayed),
+/// The outcome of one sub-request of a search.
+enum PartOutcome {
+    Shard(usize, Result<Reply, CallError>),
+    Group(Group, RelayOutcome),
 }
 
-type Running<'a> = FuturesUnordered<LocalFuture<'a, Piece>>;
+type Running<'a> = FuturesUnordered<LocalFuture<'a, PartOutcome>>;
 
-/// What has come of a search so far.
+/// The results of a search so far.
 #[derive(Default)]
 struct Progress {
     parts: Parts,
     /// Whether a replica may have run the request.
     ran: bool,
-    /// When to come back, by the replicas that did not take it.
-    retry: Duration,
-    /// The shards whose parts are in, by their place in the set.
+    /// The longest `Retry-After` of the shards that did not run the request.
+    retry_after: Duration,
+    /// Indices into the set of the shards whose parts were received.
     covered: HashSet<usize>,
 }
 
-/// Asks a replica of each shard and merges their parts.
-pub async fn gather(router: &Rc<Router>, search: &Search<'_>, trace: &CallTrace) -> Gathered {
+/// Queries one replica of each shard and merges the parts.
+pub async fn gather(router: &Rc<Router>, search: &Search<'_>, stats: &CallStats) -> Gathered {
     let clock = &*router.clock;
     let total = search.set.shards.len();
-    let least = search.set.least_parts();
+    let min_parts = search.set.min_parts();
     let mut running = Running::default();
-    if let Err(Refused { retry, reason }) = admission::admit(router, search) {
-        let answer = Err(CallFault::NotRun { retry, reason });
+    if let Err(Refused { retry_after, reason }) = admission::admit(router, search) {
+        let answer = Err(CallError::NotRun { retry_after, reason });
         return Gathered { answer, parts: 0, missing: total, relayed: 0 };
     }
     let shards: Vec<usize> = (0..total).collect();
     let mut outstanding = total;
-    let Plan { here, groups } = relay_plan::plan(router, search.route, search.set, &shards);
-    let relayed = outstanding - here.len();
+    let Plan { direct, groups } = relay_plan::plan(router, search.route, search.set, &shards);
+    let relayed = outstanding - direct.len();
     for group in groups {
         running.push(Box::pin(async move {
             let ended = relay::relay(router, search, &group).await;
-            Piece::Group(group, ended)
+            PartOutcome::Group(group, ended)
         }));
     }
-    for index in here {
-        running.push(ask(router, search, index, Vec::new(), false, trace));
+    for index in direct {
+        running.push(call_shard(router, search, index, Vec::new(), false, stats));
     }
-    let mut stop = clock.sleep_until(search.due).fuse();
-    let mut over = clock.sleep_until(search.deadline).fuse();
+    let mut due_timer = clock.sleep_until(search.due).fuse();
+    let mut deadline_timer = clock.sleep_until(search.deadline).fuse();
     let mut progress = Progress::default();
-    let mut completion = Completion::new(total, least);
+    let mut completion = Completion::new(total, min_parts);
     let mut timed_out = false;
     loop {
         match completion.next(progress.parts.len()) {
             Next::Wait => {}
-            Next::Grace(span) => stop = clock::sleep(clock, span).fuse(),
+            Next::Grace(span) => due_timer = clock::sleep(clock, span).fuse(),
             Next::Answer => break,
         }
         select_biased! {
-            piece = running.next() => match piece {
-                Some(Piece::Shard(index, result)) => {
+            outcome = running.next() => match outcome {
+                Some(PartOutcome::Shard(index, result)) => {
                     outstanding -= 1;
-                    progress.add(router, index, result);
+                    progress.record_shard(router, index, result);
                 }
-                Some(Piece::Group(group, ended)) => {
+                Some(PartOutcome::Group(group, ended)) => {
                     outstanding -= group.shards.len();
-                    // The replicas that the other node may have asked get repeats.
-                    let repeat = !matches!(ended, Relayed::NotRun);
-                    let again = progress.add_group(ended, &group);
-                    // What the other node misses is asked for from here only if
-                    // there is no answer without it: it comes too late to be worth more.
+                    // The relay may have queried replicas already, so asking again
+                    // counts against the retry budget.
+                    let is_retry = !matches!(ended, RelayOutcome::NotRun);
+                    let retry_positions = progress.record_group(ended, &group);
+                    // Shards that the relay could not cover are queried directly only if
+                    // the answer is impossible without them, as their parts arrive too
+                    // late to make an answer in time more complete.
                     let enough = !completion.needs_retry(progress.parts.len(), outstanding);
-                    if repeat && enough {
+                    if is_retry && enough {
                         continue;
                     }
-                    for place in again {
+                    for position in retry_positions {
                         outstanding += 1;
-                        let index = group.shards[place];
-                        let allowed = group.allowed[place].clone();
-                        running.push(ask(router, search, index, allowed, repeat, trace));
+                        let index = group.shards[position];
+                        let allowed = group.allowed[position].clone();
+                        running.push(call_shard(router, search, index, allowed, is_retry, stats));
                     }
                 }
                 None => break,
             },
-            () = stop => completion.note_due(progress.parts.len()),
-            () = over => {
+            () = due_timer => completion.note_due(progress.parts.len()),
+            () = deadline_timer => {
                 timed_out = true;
                 break;
             }
@@ -146,73 +148,73 @@
     }
     progress.ran |= !running.is_empty();
     drop(running);
-    progress.tell_missing(search);
+    progress.log_missing(search);
     let covered = progress.parts.len();
-    let answer = if covered >= least {
+    let answer = if covered >= min_parts {
         Ok(progress.parts.merge(router, search.set))
     } else if timed_out {
-        Err(CallFault::TimedOut)
+        Err(CallError::TimedOut)
     } else if progress.ran {
-        Err(CallFault::Unknown)
+        Err(CallError::Unknown)
     } else {
-        Err(CallFault::NotRun { retry: progress.retry, reason: "no shard took it" })
+        Err(CallError::NotRun { retry_after: progress.retry_after, reason: "no shard took it" })
     };
     Gathered { answer, parts: covered, missing: total - covered, relayed }
 }
 
-/// Asks a replica of each shard from here, until all parts are in, or the answer is
-/// due and `enough` of them are.
+/// Queries one replica of each shard directly, without relays.
 ///
-/// `allowed` names the replicas of each shard that may be asked; none means any.
-/// Gives the parts, the places of the missing shards, and whether a replica may
-/// have run the request.
-pub async fn gather_here(
+/// Ends when all parts were received, or when the answer is due and at least `enough`
+/// parts were received. `allowed` lists the replicas of each shard that may be queried;
+/// an empty list allows any. Returns the parts, the indices of the missing shards, and
+/// whether a replica may have run the request.
+pub async fn gather_direct(
     router: &Rc<Router>,
     search: &Search<'_>,
     allowed: &[Vec<ReplicaId>],
     enough: usize,
-    trace: &CallTrace,
+    stats: &CallStats,
 ) -> (Parts, Vec<usize>, bool) {
     let clock = &*router.clock;
     let mut running = Running::default();
     for (index, allowed) in allowed.iter().enumerate() {
-        running.push(ask(router, search, index, allowed.clone(), false, trace));
+        running.push(call_shard(router, search, index, allowed.clone(), false, stats));
     }
-    let mut stop = clock.sleep_until(search.due).fuse();
-    let mut over = clock.sleep_until(search.deadline).fuse();
-    let mut stopping = false;
+    let mut due_timer = clock.sleep_until(search.due).fuse();
+    let mut deadline_timer = clock.sleep_until(search.deadline).fuse();
+    let mut is_due = false;
     let mut progress = Progress::default();
     let mut missing: Vec<usize> = (0..allowed.len()).collect();
-    while !(stopping && progress.parts.len() >= enough) {
+    while !(is_due && progress.parts.len() >= enough) {
         select_biased! {
-            piece = running.next() => match piece {
-                Some(Piece::Shard(index, result)) => {
+            outcome = running.next() => match outcome {
+                Some(PartOutcome::Shard(index, result)) => {
                     let before = progress.parts.len();
-                    progress.add(router, index, result);
+                    progress.record_shard(router, index, result);
                     if progress.parts.len() > before {
                         missing.retain(|other| *other != index);
                     }
                 }
-                Some(Piece::Group(..)) => {}
+                Some(PartOutcome::Group(..)) => {}
                 None => break,
             },
-            () = stop => stopping = true,
-            () = over => break,
+            () = due_timer => is_due = true,
+            () = deadline_timer => break,
         }
     }
     let ran = progress.ran || !running.is_empty();
     (progress.parts, missing, ran)
 }
 
-/// Asks a replica of one shard.
-fn ask<'a>(
+/// Queries one replica of a shard.
+fn call_shard<'a>(
     router: &'a Rc<Router>,
     search: &'a Search<'a>,
     index: usize,
     allowed: Vec<ReplicaId>,
-    repeat: bool,
-    trace: &'a CallTrace,
-) -> LocalFuture<'a, Piece> {
+    is_retry: bool,
+    stats: &'a CallStats,
+) -> LocalFuture<'a, PartOutcome> {
     Box::pin(async move {
         let call = Call {
             route: search.route,
@@ -222,31 +224,31 @@
             due: search.due,
             deadline: search.deadline,
             allowed,
-            repeat,
-            is_settled: Cell::new(false),
+            is_retry,
+            is_answered: Cell::new(false),
         };
-        Piece::Shard(index, call::call(router, &call, trace).await)
+        PartOutcome::Shard(index, call::call(router, &call, stats).await)
     })
 }
 
 impl Progress {
-    /// Writes a line that names the shards which are missing, if there are any.
-    fn tell_missing(&self, search: &Search<'_>) {
+    /// Logs the names of the missing shards, if any.
+    fn log_missing(&self, search: &Search<'_>) {
         let shards = search.set.shards.iter().enumerate();
         let missing = shards.filter(|(index, _)| !self.covered.contains(index));
-        let late: Vec<&str> = missing.map(|(_, shard)| shard.as_str()).collect();
-        if late.is_empty() {
+        let names: Vec<&str> = missing.map(|(_, shard)| shard.as_str()).collect();
+        if names.is_empty() {
             return;
         }
         tracing::info!(
             request = search.identity.to_str().unwrap_or_default(),
-            late = late.join(" "),
+            late = names.join(" "),
             "gather: shards are missing"
         );
     }
 
-    /// Notes what came of a shard.
-    fn add(&mut self, router: &Router, index: usize, result: Result<Reply, CallFault>) {
+    /// Records the result of one shard.
+    fn record_shard(&mut self, router: &Router, index: usize, result: Result<Reply, CallError>) {
         match result {
             Ok(reply) => {
                 self.ran = true;
@@ -254,25 +256,27 @@
                     self.covered.insert(index);
                 }
             }
-            Err(CallFault::NotRun { retry, .. }) => self.retry = self.retry.max(retry),
+            Err(CallError::NotRun { retry_after, .. }) => {
+                self.retry_after = self.retry_after.max(retry_after)
+            }
             Err(_) => self.ran = true,
         }
     }
 
-    /// Notes what came of a group of shards; gives the places of those that did not come.
-    fn add_group(&mut self, ended: Relayed, group: &Group) -> Vec<usize> {
+    /// Records the result of a group; returns the positions in it of missing shards.
+    fn record_group(&mut self, ended: RelayOutcome, group: &Group) -> Vec<usize> {
         match ended {
-            Relayed::Gathered(reply) => {
+            RelayOutcome::Gathered(reply) => {
                 self.ran |= reply.ran;
                 self.parts.add_gathered(&reply);
                 let missing = reply.missing;
-                let came = |place: &usize| !missing.contains(place);
-                let places = (0..group.shards.len()).filter(came);
-                self.covered.extend(places.map(|place| group.shards[place]));
-                missing.into_iter().filter(|place| *place < group.shards.len()).collect()
+                let received = |position: &usize| !missing.contains(position);
+                let positions = (0..group.shards.len()).filter(received);
+                self.covered.extend(positions.map(|position| group.shards[position]));
+                missing.into_iter().filter(|position| *position < group.shards.len()).collect()
             }
-            Relayed::NotRun => (0..group.shards.len()).collect(),
-            Relayed::Lost => {
+            RelayOutcome::NotRun => (0..group.shards.len()).collect(),
+            RelayOutcome::Lost => {
                 self.ran = true;
                 (0..group.shards.len()).collect()
             }
--- a/crates/kumquatnotch-route/src/in_flight.rs
+++ b/crates/kumquatnotch-route/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request that is with a replica, and what becomes of it if nobody waits any more.
+//! A request that was sent to a replica, and its handling after cancellation.
 
 use std::{
     rc::Rc,
@@ -10,31 +10,31 @@
 use kumquatnotch_net::{OpaqueLink, message::Reply, opaque_link::OpaqueReply};
 use kumquatnotch_policy::{hedge_timing, lateness, mechanisms::Mechanism};
 
-use crate::{attempt::Call, gate::Permit, probe, replica::Replica, router::Router};
+use crate::{attempt::Call, probe, replica::Replica, router::Router, semaphore::Permit};
 
-/// A request that a replica has, until its reply is in.
+/// A request that was sent to a replica and has no reply yet.
 pub(crate) struct InFlight<'a> {
     pub(crate) router: &'a Rc<Router>,
     pub(crate) replica: &'a Rc<Replica>,
     pub(crate) call: &'a Call<'a>,
-    /// The connection that it was sent on, and the permit for it.
+    /// The connection that the request was sent on, and its permit.
     pub(crate) held: Option<(OpaqueLink, Permit)>,
     pub(crate) usual: Duration,
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) at: Instant,
 }
 
 impl InFlight<'_> {
-    /// Notes that a reply has come, whatever it says; gives how long it took.
-    pub(crate) fn replied(&mut self) -> (Option<OpaqueLink>, Duration) {
+    /// Records a reply of any status; returns the connection and the elapsed time.
+    pub(crate) fn record_reply(&mut self) -> (Option<OpaqueLink>, Duration) {
         let now = self.router.clock.now();
         self.replica.observed.note_end(self.at, Some(now));
         let link = self.held.take().map(|(link, _)| link);
         (link, now.saturating_duration_since(self.at))
     }
 
-    /// Notes that the connection broke.
-    pub(crate) fn broke(&mut self) {
+    /// Records that the connection broke.
+    pub(crate) fn record_broken(&mut self) {
         self.held = None;
         self.replica.observed.note_end(self.at, None);
     }
@@ -45,8 +45,8 @@
         let Some((link, permit)) = self.held.take() else {
             return;
         };
-        // Another replica was sooner, or the time was over. If this one has
-        // answered nothing meanwhile, the next requests would wait for it too.
+        // Another replica replied first, the deadline passed, or the caller left. If this
+        // replica has stopped responding, later requests must not wait for it as well.
         let observed = &self.replica.observed;
         let now = self.router.clock.now();
         if lateness::is_silent(observed, self.usual, now) {
@@ -55,30 +55,30 @@
         let took = now.saturating_duration_since(self.at);
         let late = lateness::late_after(observed, self.usual, now);
         if took > late {
-            let way = observed.measured_round_trip().unwrap_or_default();
-            observed.note_unanswered(took.saturating_sub(way), self.usual, now);
+            let round_trip = observed.measured_round_trip().unwrap_or_default();
+            observed.note_unanswered(took.saturating_sub(round_trip), self.usual, now);
         }
-        let may_end = self.router.uses(Mechanism::KeptConnections)
-            && self.call.is_settled.get()
+        let may_drain = self.router.uses(Mechanism::KeptConnections)
+            && self.call.is_answered.get()
             && link.awaits_first_byte();
-        if may_end && hedge_timing::should_await_loser(observed, self.usual, took, now) {
-            let linger = Linger {
+        if may_drain && hedge_timing::should_await_loser(observed, self.usual, took, now) {
+            let drain = ReplyDrain {
                 router: self.router.clone(),
                 replica: self.replica.clone(),
                 identity: self.call.identity.clone(),
                 at: self.at,
                 until: self.at + late,
             };
-            monoio::spawn(linger.run(link, permit));
+            monoio::spawn(drain.run(link, permit));
             return;
         }
         observed.note_end(self.at, None);
-        // Dropping the connection tells the replica that nobody waits any more.
+        // Dropping the connection tells the replica that the request was cancelled.
     }
 }
 
-/// A request whose reply nobody needs any more.
-struct Linger {
+/// Reads the reply to a request that was answered elsewhere, to keep its connection.
+struct ReplyDrain {
     router: Rc<Router>,
     replica: Rc<Replica>,
     identity: HeaderValue,
@@ -86,25 +86,25 @@
     until: Instant,
 }
 
-impl Linger {
-    /// Waits for the reply for as long as it isn't late, to keep the connection.
+impl ReplyDrain {
+    /// Waits for the reply until it is late, then returns the connection to the pool.
     async fn run(self, mut link: OpaqueLink, _permit: Permit) {
         let clock = &*self.router.clock;
-        let belongs = |reply: &Reply| belongs(&self.router, &self.identity, reply);
-        let reply = clock::timeout_at(clock, self.until, link.receive(&belongs)).await;
+        let is_reply_to = |reply: &Reply| is_reply_to(&self.router, &self.identity, reply);
+        let reply = clock::timeout_at(clock, self.until, link.receive(&is_reply_to)).await;
         let now = clock.now();
-        let replied = matches!(reply, Ok(Ok(_))).then_some(now);
-        self.replica.observed.note_end(self.at, replied);
+        let record_reply = matches!(reply, Ok(Ok(_))).then_some(now);
+        self.replica.observed.note_end(self.at, record_reply);
         if let Ok(Ok(OpaqueReply { idle_limit: Some(keep), .. })) = reply {
-            self.replica.links.put(link, now, keep);
+            self.replica.pool.put(link, now, keep);
         }
     }
 }
 
-/// Whether a reply is the one to a request of this identity.
+/// Whether a reply belongs to the request with this identity.
 ///
-/// A replica repeats the identity of the request. One without it is believed, as
-/// an earlier request on this connection has been answered by then.
-pub(crate) fn belongs(router: &Router, identity: &HeaderValue, reply: &Reply) -> bool {
-    reply.headers.get(&router.names.request).is_none_or(|told| told == identity)
+/// Replicas echo the identity of the request. A reply without one is accepted, since any
+/// earlier request on this connection was answered before this one was sent.
+pub(crate) fn is_reply_to(router: &Router, identity: &HeaderValue, reply: &Reply) -> bool {
+    reply.headers.get(&router.names.request).is_none_or(|echoed| echoed == identity)
 }
--- a/crates/kumquatnotch-route/src/initial_sync.rs
+++ b/crates/kumquatnotch-route/src/initial_sync.rs
@@ -21,10 +21,10 @@
     advice::Candidate,
     entries::Entries,
     follow::{self, PeerUpdate},
-    insist::{Answer, Pauses, insist},
     journal::StoreUpdate,
     mirror::NO_WAIT,
     router::Router,
+    store_retry::{Answer, RetryDelays, call_until_answered},
 };
 
 /// Pause before the store is called a second time; it doubles.
@@ -100,11 +100,11 @@
 
 /// Reads the nodes of the tier from the store, and retries until it answers.
 async fn find_nodes(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> StoreScan {
-    let pauses = Pauses { first: INITIAL_PAUSE, most: MAX_PAUSE };
+    let pauses = RetryDelays { initial: INITIAL_PAUSE, max: MAX_PAUSE };
     loop {
         let call = || store.snapshot(entries.node_prefix());
         // A snapshot needs no history, so it can't fail for lack of it.
-        if let Ok(Answer { value, .. }) = insist(router, pauses, 0, call).await {
+        if let Ok(Answer { value, .. }) = call_until_answered(router, pauses, 0, call).await {
             entries.apply_items(&value.items);
             router.set_nodes_known();
             return value;
--- a/crates/kumquatnotch-route/src/outage.rs
+++ b/crates/kumquatnotch-route/src/outage.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     follow::{self, PeerUpdate},
-    insist::{Pauses, insist},
     mirror::{Mirror, MirrorOptions, NO_WAIT},
+    store_retry::{RetryDelays, call_until_answered},
 };
 
 /// Backoff of a follower before it calls the store again, before jitter.
@@ -43,19 +43,20 @@
     pub(crate) async fn retry_until_answered(&self, failures: u32) -> Result<()> {
         let MirrorOptions { backoff, max_backoff, .. } = self.options;
         let pauses = match follow::is_follower(&self.router) {
-            true => Pauses { first: FOLLOWER_BACKOFF, most: FOLLOWER_BACKOFF },
-            false => Pauses { first: backoff, most: max_backoff },
+            true => RetryDelays { initial: FOLLOWER_BACKOFF, max: FOLLOWER_BACKOFF },
+            false => RetryDelays { initial: backoff, max: max_backoff },
         };
         let (store, prefix) = (&self.store, self.entries.prefix());
         let Some(after) = self.revision.get() else {
-            let scan = insist(&self.router, pauses, failures, || store.scan(prefix)).await?;
-            self.apply_scan(&scan.value, scan.asked);
+            let scan =
+                call_until_answered(&self.router, pauses, failures, || store.scan(prefix)).await?;
+            self.apply_scan(&scan.value, scan.asked_at);
             return Ok(());
         };
         let watch = || store.watch(prefix, after, NO_WAIT);
-        let changes = insist(&self.router, pauses, failures, watch).await?;
+        let changes = call_until_answered(&self.router, pauses, failures, watch).await?;
         self.note_store_answer();
-        self.apply_changes(&changes.value, changes.asked);
+        self.apply_changes(&changes.value, changes.asked_at);
         Ok(())
     }
 
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -1,4 +1,4 @@
-//! What part of the things that all nodes share this one takes.
+//! The share of this node in connections and retry budget, which all nodes share.
 
 use kumquatnotch_core::{collections::HashSet, ids::NodeName};
 use kumquatnotch_policy::{
@@ -8,54 +8,54 @@
 
 use crate::{names::ServiceName, replica::Replica, route::RouteTable, router::Router};
 
-/// The connections to a replica of a service that the configuration doesn't name.
-const UNKNOWN_CONNECTIONS: u32 = 8;
+/// Connection limit for replicas of services that are not in the configuration.
+const DEFAULT_CONNECTIONS: u32 = 8;
 
-/// The most hosts that are looked at to find these nodes.
-const MOST_HOSTS: usize = 16;
+/// Maximum number of hosts whose advice is read to find the serving nodes.
+const MAX_HOSTS: usize = 16;
 
 impl Router {
-    /// Sets how many connections this node may have to `replica`.
-    pub(crate) fn bound_connections(&self, replica: &Replica, service: &ServiceName) {
+    /// Limits the connections of this node to `replica` to its share.
+    pub(crate) fn limit_connections(&self, replica: &Replica, service: &ServiceName) {
         let table = self.table();
         let service = table.as_ref().and_then(|table| table.service(service));
-        let part = if self.uses(Mechanism::ConnectionShares) { self.own_part() } else { 1.0 };
-        let all = service.map_or(UNKNOWN_CONNECTIONS, |service| service.connections);
-        replica.gate.set_limit(shares::connections(all, part));
+        let share = if self.uses(Mechanism::ConnectionShares) { self.own_share() } else { 1.0 };
+        let all = service.map_or(DEFAULT_CONNECTIONS, |service| service.connections);
+        replica.semaphore.set_limit(shares::connections(all, share));
     }
 
-    /// The part of what all nodes share that this one may use, from zero to one.
-    pub fn own_part(&self) -> f64 {
+    /// The share of this node in what all nodes share, from zero to one.
+    pub fn own_share(&self) -> f64 {
         let now = self.clock.now();
         let known_for = self.synced_at.get().map(|at| now.saturating_duration_since(at));
         if !self.uses(Mechanism::SettleTime) {
-            return self.known_part();
+            return self.cached_share();
         }
-        shares::capped_part(self.known_part(), known_for)
+        shares::capped_part(self.cached_share(), known_for)
     }
 
-    fn known_part(&self) -> f64 {
+    fn cached_share(&self) -> f64 {
         let Some(table) = self.table() else { return 1.0 };
         let valid_for = self.input_versions(&table);
-        let (known_for, part) = self.cached_share.get();
-        if known_for == valid_for {
-            return part;
+        let (cached_for, share) = self.cached_share.get();
+        if cached_for == valid_for {
+            return share;
         }
-        let part = self.work_out_part(&table);
-        self.cached_share.set((valid_for, part));
-        part
+        let share = self.compute_share(&table);
+        self.cached_share.set((valid_for, share));
+        share
     }
 
-    fn work_out_part(&self, table: &RouteTable) -> f64 {
+    fn compute_share(&self, table: &RouteTable) -> f64 {
         let mut serving: HashSet<NodeName> = HashSet::default();
-        for host in table.hosts_of_shards().take(MOST_HOSTS) {
+        for host in table.sharded_hosts().take(MAX_HOSTS) {
             if let Some(advice) = self.advice(host) {
                 serving.extend(advice.advised_nodes().cloned());
             }
         }
         if self.is_standby() && !self.fleet.knows(&self.place.name) {
-            // There may be any number of nodes that the others don't know, so none of them
-            // takes anything of what all share.
+            // Any number of standby nodes may be unknown to the other nodes, so none of them
+            // takes a share.
             return 0.0;
         }
         let is_serving = serving.contains(&self.place.name);
--- a/crates/kumquatnotch-route/src/relay_front.rs
+++ b/crates/kumquatnotch-route/src/relay_front.rs
@@ -1,4 +1,4 @@
-//! What other nodes reach: gathers the parts of shards beside their replicas.
+//! Entry point for other nodes: gathers the parts of shards in this data centre.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -11,37 +11,37 @@
 };
 
 use crate::{
-    call::CallTrace,
+    call::CallStats,
     follow::{self, FOLLOW_PATH},
     gather::{self, Search},
     names::ReplicaId,
-    relay::{PROBE_PATH, RELAY_PATH, RUNNING_PATH, VISITOR_HEADER},
+    relay::{PEER_ADDRESS_HEADER, PROBE_PATH, RELAY_PATH, RUNNING_PATH},
     relay_message::{RelayReply, RelayRequest},
     route::Destination,
     router::Router,
 };
 
-/// What other nodes reach.
+/// Handles the requests of other nodes.
 pub struct RelayFront {
     router: Rc<Router>,
-    /// The identities of the requests in work.
+    /// The identities of the requests that are running.
     running: RefCell<Vec<HeaderValue>>,
 }
 
-/// Lists a request as in work for as long as it is.
-struct Running<'a> {
+/// Guard that lists a request as running until it is dropped.
+struct RunningGuard<'a> {
     front: &'a RelayFront,
     identity: HeaderValue,
 }
 
-impl<'a> Running<'a> {
-    fn new(front: &'a RelayFront, identity: &HeaderValue) -> Running<'a> {
+impl<'a> RunningGuard<'a> {
+    fn new(front: &'a RelayFront, identity: &HeaderValue) -> RunningGuard<'a> {
         front.running.borrow_mut().push(identity.clone());
-        Running { front, identity: identity.clone() }
+        RunningGuard { front, identity: identity.clone() }
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         let mut running = self.front.running.borrow_mut();
         if let Some(index) = running.iter().position(|other| *other == self.identity) {
@@ -51,7 +51,7 @@
 }
 
 impl RelayFront {
-    /// A front for what `router` knows.
+    /// Creates a handler for the replicas of `router`.
     pub fn new(router: Rc<Router>) -> RelayFront {
         RelayFront { router, running: RefCell::default() }
     }
@@ -69,17 +69,17 @@
             return Err(Error::NotReady);
         }
         let now = router.clock.now();
-        let asked: RelayRequest = codec::decode(&request.body)?;
-        let route = asked.route();
+        let message: RelayRequest = codec::decode(&request.body)?;
+        let route = message.route();
         let Destination::Shards(set) = &route.destination else {
             return Err(Error::bad_request("no shards"));
         };
-        let request = asked.request()?;
+        let request = message.request()?;
         let Some(identity) = request.headers.get(&router.names.request).cloned() else {
             return Err(Error::bad_request("the request has no identity"));
         };
-        let _running = Running::new(self, &identity);
-        let allowed: Vec<Vec<ReplicaId>> = asked
+        let _running = RunningGuard::new(self, &identity);
+        let allowed: Vec<Vec<ReplicaId>> = message
             .shards
             .iter()
             .map(|(_, ids)| ids.iter().map(|id| ReplicaId::from(&**id)).collect())
@@ -89,21 +89,21 @@
             set,
             request: &request,
             identity: &identity,
-            due: now + Duration::from_micros(asked.due_us),
-            deadline: now + Duration::from_micros(asked.left_us),
-            returning: false,
+            due: now + Duration::from_micros(message.due_us),
+            deadline: now + Duration::from_micros(message.left_us),
+            is_late_retry: false,
         };
-        let trace = CallTrace::default();
+        let stats = CallStats::default();
         let (parts, missing, ran) =
-            gather::gather_here(router, &search, &allowed, asked.enough, &trace).await;
+            gather::gather_direct(router, &search, &allowed, message.enough, &stats).await;
         let took = router.clock.now().saturating_duration_since(now);
         tracing::info!(
             request = identity.to_str().unwrap_or_default(),
-            route = asked.route,
+            route = message.route,
             shards = set.shards.len(),
             parts = parts.len(),
-            hedges = trace.hedges.get(),
-            retries = trace.retries.get(),
+            hedges = stats.hedges.get(),
+            retries = stats.retries.get(),
             ms = took.as_millis() as u64,
             "relay: gathered"
         );
@@ -121,7 +121,8 @@
 
 impl Handler for RelayFront {
     fn start(&self, request: Request) -> Work<'_> {
-        let visitor = request.headers.get(VISITOR_HEADER).and_then(|value| value.to_str().ok());
+        let visitor =
+            request.headers.get(PEER_ADDRESS_HEADER).and_then(|value| value.to_str().ok());
         if let Some(address) = visitor.and_then(|text| text.parse().ok()) {
             self.router.note_inbound_peer(address);
         }
--- a/crates/kumquatnotch-route/src/relay_plan.rs
+++ b/crates/kumquatnotch-route/src/relay_plan.rs
@@ -1,4 +1,4 @@
-//! Which shards of a search are asked for from here, and through which nodes the others.
+//! Plans which shards of a search are queried directly and which through relays.
 
 use std::rc::Rc;
 
@@ -16,61 +16,68 @@
     router::Router,
 };
 
-/// A group of shards, and the node that is asked for them.
+/// A group of shards and the relay that gathers them.
 pub struct Group {
-    /// The node.
+    /// The relay.
     pub peer: Rc<Replica>,
-    /// The shards, by their place in the set.
+    /// Indices of the shards in the set.
     pub shards: Vec<usize>,
-    /// The replicas of each shard that may be asked; none means any.
+    /// The replicas of each shard that may be used; an empty list allows any.
     ///
-    /// If the other node is lost, the shards are asked for from here again. Both
-    /// must keep to the same few replicas then, or more of them than the route
-    /// allows would run the request.
+    /// If the relay is lost, this node queries the shards itself. Both nodes must use the
+    /// same replicas then, as otherwise more replicas than the route allows would run the
+    /// request.
     pub allowed: Vec<Vec<ReplicaId>>,
 }
 
-/// Which shards of a search are asked for, and by whom.
+/// The shards of a search by how they are queried.
 pub struct Plan {
-    /// The shards that are asked for from here, by their place in the set.
-    pub here: Vec<usize>,
-    /// The shards that are asked for through nodes of other data centres.
+    /// Indices of the shards that this node queries itself.
+    pub direct: Vec<usize>,
+    /// The shards that are queried through relays in other data centres.
     pub groups: Vec<Group>,
 }
 
-/// Plans a search over `shards`, by their place in the set.
+/// Plans a search over `shards`, given as indices into the set.
 pub fn plan(router: &Router, route: &Route, set: &ShardSet, shards: &[usize]) -> Plan {
     if !router.uses(Mechanism::Relays) {
-        return Plan { here: shards.to_vec(), groups: Vec::new() };
+        return Plan { direct: shards.to_vec(), groups: Vec::new() };
     }
-    let rated: Vec<(usize, Vec<(DataCentre, Rating)>)> =
-        shards.iter().map(|index| (*index, rate(router, route, &set.shards[*index]))).collect();
-    let places = rated.iter().map(|(index, rated)| {
-        let rated: Vec<(&DataCentre, Rating)> =
-            rated.iter().map(|(centre, rating)| (centre, *rating)).collect();
-        ShardLocation { index: *index, centres: plan::nearest_centres(&rated) }
+    let ratings: Vec<(usize, Vec<(DataCentre, Rating)>)> = shards
+        .iter()
+        .map(|index| (*index, rate_by_centre(router, route, &set.shards[*index])))
+        .collect();
+    let places = ratings.iter().map(|(index, ratings)| {
+        let ratings: Vec<(&DataCentre, Rating)> =
+            ratings.iter().map(|(centre, rating)| (centre, *rating)).collect();
+        ShardLocation { index: *index, centres: plan::nearest_centres(&ratings) }
     });
     let peer_in = |centre: &DataCentre| router.peer_in(&route.host, centre);
-    let plan::Plan { here, groups } =
+    let plan::Plan { here: direct, groups } =
         plan::Plan::new(places.collect(), &router.place.centre, &router.random, peer_in);
     let groups = groups.into_iter().map(|plan::Group { peer, shards }| {
-        let allowed = shards.iter().map(|index| allowed(router, route, &set.shards[*index]));
+        let allowed =
+            shards.iter().map(|index| allowed_replicas(router, route, &set.shards[*index]));
         Group { peer, allowed: allowed.collect(), shards }
     });
-    Plan { here, groups: groups.collect() }
+    Plan { direct, groups: groups.collect() }
 }
 
-/// The replicas of a shard that take requests, by their data centres.
-fn rate(router: &Router, route: &Route, shard: &ServiceName) -> Vec<(DataCentre, Rating)> {
+/// Rates the replicas of a shard that accept requests, with their data centres.
+fn rate_by_centre(
+    router: &Router,
+    route: &Route,
+    shard: &ServiceName,
+) -> Vec<(DataCentre, Rating)> {
     let now = router.clock.now();
     let need = router.need_at(route, shard);
     let replicas = router.directory.of(shard);
-    let open = replicas.iter().filter(|replica| replica.takes_requests());
-    open.map(|replica| (replica.spec().centre.clone(), replica.rate(need, now))).collect()
+    let available = replicas.iter().filter(|replica| replica.takes_requests());
+    available.map(|replica| (replica.spec().centre.clone(), replica.rate(need, now))).collect()
 }
 
-/// The replicas of a shard that one search may ask; none means any.
-fn allowed(router: &Router, route: &Route, shard: &ServiceName) -> Vec<ReplicaId> {
+/// Returns the replicas of a shard that one search may use; an empty list allows any.
+fn allowed_replicas(router: &Router, route: &Route, shard: &ServiceName) -> Vec<ReplicaId> {
     let replicas = router.directory.of(shard);
     if replicas.len() <= route.attempts as usize {
         return Vec::new();
--- a/crates/kumquatnotch-route/tests/copies.rs
+++ b/crates/kumquatnotch-route/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Which replica is asked, and which gets a copy of a request that is late.
+//! Replica selection and hedged requests.
 
 mod common;
 
@@ -13,13 +13,13 @@
 };
 use standins::scripted::{Step, answer};
 
-/// A replica stands still. Its caller gets the answer of another one, and while
-/// it is silent the next requests go there at once.
+/// One replica never replies. The first request is hedged to the other replica, and while
+/// the first one is silent, later requests go to the other one directly.
 #[test]
-fn a_silent_replica_costs_one_copy_and_is_then_avoided() {
+fn a_silent_replica_is_hedged_once_and_then_avoided() {
     run(async {
         let tier = Tier::serving(single());
-        let silent = playing(|_| vec![Step::Silence]);
+        let silent = scripted_replica(|_| vec![Step::Silence]);
         let other = replica("q", b"whole");
         tier.add("s0", silent.address);
         tier.add("s0", other.address);
@@ -34,20 +34,20 @@
     });
 }
 
-/// A reply is late at a replica that answers others, and the one that could run a copy
-/// has its slots taken, with work for three seconds. A copy would make others wait longer;
-/// none is sent.
+/// A reply is late at a replica that answers other requests, and all slots of the only
+/// other replica are taken, with three seconds of work queued. A hedged request would only
+/// delay the requests in that queue, so none is sent.
 #[test]
-fn a_late_request_gets_no_copy_at_a_replica_without_a_free_slot() {
+fn a_late_request_is_not_hedged_to_a_replica_without_a_free_slot() {
     run(async {
         let route = Route { objective: Duration::from_secs(1), ..single() };
         let tier = Tier::serving(route.clone());
         (0..200).for_each(|_| {
             tier.router.paces.note(&route.name, route.objective, Duration::from_millis(5))
         });
-        let slow = playing(move |request| {
+        let slow = scripted_replica(move |request| {
             let wait = if request.headers["x-request-id"] == "r1" { 200 } else { 1 };
-            vec![Step::Wait(Duration::from_millis(wait)), sound(request, "p", b"late")]
+            vec![Step::Wait(Duration::from_millis(wait)), proven_reply(request, "p", b"late")]
         });
         let full = replica("q", b"whole");
         tier.add("s0", slow.address);
@@ -69,15 +69,17 @@
     });
 }
 
-/// Without budget, a late request gets no copy: the caller waits for its time.
+/// Without retry budget, a late request is not hedged: the caller waits until the timeout
+/// and gets 504.
 #[test]
-fn a_request_is_not_repeated_without_budget() {
+fn a_request_is_not_hedged_without_budget() {
     run(async {
         let tier = Tier::with_slack(0.0);
         let mut route = single();
         route.timeout = Duration::from_millis(400);
         tier.put(1, vec![route]);
-        let silent = [playing(|_| vec![Step::Silence]), playing(|_| vec![Step::Silence])];
+        let silent =
+            [scripted_replica(|_| vec![Step::Silence]), scripted_replica(|_| vec![Step::Silence])];
         silent.iter().for_each(|replica| {
             tier.add("s0", replica.address);
         });
@@ -89,22 +91,22 @@
     });
 }
 
-/// A replica tells that all work takes nine times as long as usual on its machine at
-/// this moment. The next requests go to another one, until that is some time ago.
+/// A replica reports that work currently takes nine times as long as usual on its machine.
+/// Requests go to another replica until the report has expired.
 #[test]
-fn a_replica_on_a_slow_machine_is_avoided_by_its_own_word() {
+fn a_replica_that_reports_a_slow_machine_is_avoided() {
     run(async {
         let route = single();
         let tier = Tier::serving(route.clone());
-        let telling = playing(|request| {
+        let reporting = scripted_replica(|request| {
             let identity = request.headers["x-request-id"].to_str().unwrap().to_owned();
             let headers =
                 [("x-request-id", identity.as_str()), ("x-proof", "p"), ("x-load", "0,0,2,900")];
             vec![answer(200, &headers, b"whole")]
         });
-        let slow = tier.add("s0", telling.address);
+        let slow = tier.add("s0", reporting.address);
         assert_eq!(tier.get("/a/", "r1").await.status, 200);
-        let other = tier.add("s0", nowhere());
+        let other = tier.add("s0", refusing_address());
         let pick = || {
             let replicas = tier.router.directory.of(&service("s0"));
             let need = tier.router.need(&route);
@@ -119,21 +121,21 @@
     });
 }
 
-/// A reply is late, a copy is sent, and the reply comes after all. The copy is as good as
-/// done: its connection is kept until its reply is in, as the next copy would otherwise
-/// have to open one first, which takes as long as the way to another region and back.
+/// A reply is late, a hedged request is sent, and then the first reply arrives after all.
+/// The connection of the hedged request is kept until its reply is in. Otherwise the next
+/// hedged request would have to open a new one, which takes a round trip to another region.
 #[test]
-fn a_copy_that_lost_keeps_its_connection() {
+fn a_hedged_request_that_lost_keeps_its_connection() {
     run(async {
         let tier = Tier::serving(single());
-        // Whichever is asked first replies 20 ms before the other one would.
+        // The replica that is called first replies 20 ms before the other one would.
         let asked = Rc::new(Cell::new(0));
         let start = |tier: &Tier| {
             let asked = asked.clone();
-            let replica = playing(move |request| {
+            let replica = scripted_replica(move |request| {
                 asked.set(asked.get() + 1);
                 let (wait, body) = if asked.get() == 1 { (90, b"first") } else { (50, b"other") };
-                vec![Step::Wait(Duration::from_millis(wait)), sound(request, "p", body)]
+                vec![Step::Wait(Duration::from_millis(wait)), proven_reply(request, "p", body)]
             });
             (tier.add("s0", replica.address), replica)
         };
@@ -150,21 +152,21 @@
         assert!(replicas.iter().all(|(_, replica)| replica.cut() == 0));
         for replica in known {
             assert_eq!(replica.observed.unanswered(), 0);
-            assert!(replica.links.take(RuntimeClock.now(), Duration::from_secs(9)).is_some());
+            assert!(replica.pool.take(RuntimeClock.now(), Duration::from_secs(9)).is_some());
         }
     });
 }
 
-/// The caller of a request goes away while a copy is on its way. Nobody needs either reply:
-/// both replicas learn it at once.
+/// The caller disconnects while a hedged request is in flight. Neither reply is needed, so
+/// both connections are closed at once.
 #[test]
-fn a_caller_that_leaves_ends_the_copy_as_well() {
+fn a_disconnect_of_the_caller_cancels_the_hedged_request() {
     run(async {
         let tier = Tier::serving(single());
         let slow = |request: &standins::http::Request| {
-            vec![Step::Wait(Duration::from_millis(400)), sound(request, "p", b"late")]
+            vec![Step::Wait(Duration::from_millis(400)), proven_reply(request, "p", b"late")]
         };
-        let (first, second) = (playing(slow), playing(slow));
+        let (first, second) = (scripted_replica(slow), scripted_replica(slow));
         tier.add("s0", first.address);
         tier.add("s0", second.address);
 
--- a/crates/kumquatnotch-route/tests/initial_sync.rs
+++ b/crates/kumquatnotch-route/tests/initial_sync.rs
@@ -123,7 +123,7 @@
 fn a_serving_node_does_not_wait_for_unresponsive_peers() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        let unresponsive = playing(|_| vec![standins::scripted::Step::Silence]);
+        let unresponsive = scripted_replica(|_| vec![standins::scripted::Step::Silence]);
         store.put("n/r1", &node_entry(unresponsive.address, 1.0));
         let began = Instant::now();
 
@@ -141,7 +141,7 @@
 fn unresponsive_peers_delay_the_initial_sync_only_briefly() {
     run(async {
         let (tier, store) = (Tier::new(), store());
-        let unresponsive = playing(|_| vec![standins::scripted::Step::Silence]);
+        let unresponsive = scripted_replica(|_| vec![standins::scripted::Step::Silence]);
         for number in 0..6 {
             store.put(&format!("n/a{number}"), &node_entry(unresponsive.address, 1.0));
         }
@@ -163,7 +163,7 @@
     run(async {
         let (large, tier, store) = (Tier::named("r1", 100.0, "home"), Tier::new(), store());
         store.put("n/r1", &node_entry(large.peer.address(), 8.0));
-        store.put("n/r2", &node_entry(nowhere(), 8.0));
+        store.put("n/r2", &node_entry(refusing_address(), 8.0));
         let own = Rc::new(FakeStore::default());
         for item in store.current_state().items {
             own.put(&item.key, &item.value);
--- a/crates/kumquatnotch-route/tests/searches.rs
+++ b/crates/kumquatnotch-route/tests/searches.rs
@@ -1,4 +1,4 @@
-//! Searches over shards: what an answer holds, and what it says is missing.
+//! Searches over shards: merged answers, missing shards and relays.
 
 mod common;
 
@@ -34,14 +34,14 @@
     });
 }
 
-/// One shard has no replica that answers. The answer comes when waiting longer
-/// would make it late, and says that a shard is missing.
+/// The replica of one shard never replies. The answer is given when waiting longer would make
+/// it late, and reports one missing shard.
 #[test]
-fn a_shard_that_is_late_is_left_out_and_told() {
+fn a_late_shard_is_left_out_and_reported_missing() {
     run(async {
         let tier = Tier::serving(shards(3, 0.6));
         let replicas = [replica("a", TWO), replica("b", THREE)];
-        let silent = playing(|_| vec![Step::Silence]);
+        let silent = scripted_replica(|_| vec![Step::Silence]);
         tier.add("s0", replicas[0].address);
         tier.add("s1", replicas[1].address);
         tier.add("s2", silent.address);
@@ -57,10 +57,10 @@
     });
 }
 
-/// The replica of a shard was twenty times slower than usual a moment ago, and is well again.
-/// It is asked although its part was expected late, and the answer is whole.
+/// The replica of a shard was twenty times slower than usual a moment ago and has recovered.
+/// It is queried although its part is expected to be late, and the answer is complete.
 #[test]
-fn a_shard_that_was_slow_is_asked() {
+fn a_recently_slow_shard_is_queried() {
     run(async {
         let tier = Tier::serving(shards(3, 0.6));
         let replicas = [replica("a", TWO), replica("b", THREE), replica("c", TWO)];
@@ -80,10 +80,10 @@
     });
 }
 
-/// A caller counts its time from before it asked which node to use and opened its
-/// connection. The first request on a connection must be answered sooner for that.
+/// A caller's timeout starts before it looks up a node and opens a connection. The first
+/// request on a connection must therefore be answered sooner.
 #[test]
-fn the_first_request_on_a_connection_is_waited_for_less() {
+fn the_first_request_on_a_connection_is_due_sooner() {
     run(async {
         let tier = Tier::serving(shards(3, 0.6));
 
@@ -95,14 +95,14 @@
     });
 }
 
-/// Too few shards can answer. That is a failure at once, not an empty answer, and
-/// no promise that nothing has run.
+/// Too few shards can answer. The caller gets a failure at once instead of an empty answer,
+/// and is not told that nothing has run.
 #[test]
 fn a_search_with_too_few_parts_fails() {
     run(async {
         let tier = Tier::serving(shards(3, 0.9));
         let replica = replica("a", TWO);
-        let failing = playing(|_| vec![answer(500, &[("x-proof", "f")], ONE)]);
+        let failing = scripted_replica(|_| vec![answer(500, &[("x-proof", "f")], ONE)]);
         tier.add("s0", replica.address);
         tier.add("s1", failing.address);
         tier.add("s2", failing.address);
@@ -114,9 +114,9 @@
     });
 }
 
-/// No shard has a replica. Nothing has run, and the caller hears when to come back.
+/// No shard has a replica. Nothing has run, and the caller gets `Retry-After`.
 #[test]
-fn a_search_that_nobody_took_is_refused_as_not_run() {
+fn a_search_without_any_replica_is_refused_as_not_run() {
     run(async {
         let tier = Tier::serving(shards(2, 0.5));
 
@@ -127,16 +127,16 @@
     });
 }
 
-/// A replica fails with a proof. That is no part: its shard is asked once more,
-/// and the part of the sound replica is the one in the answer.
+/// A failed reply with a proof is not a part: the shard is queried again, and the answer
+/// contains the part of the healthy replica.
 #[test]
-fn a_failure_with_a_proof_is_no_part() {
+fn a_failed_reply_with_a_proof_is_not_a_part() {
     run(async {
         let tier = Tier::serving(shards(1, 1.0));
-        let failing = playing(|_| vec![answer(500, &[("x-proof", "bad")], ONE)]);
-        let sound = replica("good", TWO);
+        let failing = scripted_replica(|_| vec![answer(500, &[("x-proof", "bad")], ONE)]);
+        let healthy = replica("good", TWO);
         tier.add("s0", failing.address);
-        tier.add("s0", sound.address);
+        tier.add("s0", healthy.address);
 
         for index in 0..4 {
             let answer = tier.get("/a/", &format!("r{index}")).await;
@@ -149,7 +149,7 @@
     });
 }
 
-/// A tier in region `home` whose shards lie in region `away`, and a node there.
+/// A node in region `home`, and shards and a second node in region `away`.
 struct TwoRegions {
     home: Tier,
     away: Tier,
@@ -161,8 +161,8 @@
         let (home, away) = (Tier::at(100.0, "home"), Tier::at(100.0, "away"));
         home.put(1, vec![shards(3, 0.6)]);
         away.put(1, vec![shards(3, 0.6)]);
-        home.know("h1", "home", home.peer.address());
-        home.know("a1", "away", away.peer.address());
+        home.add_node("h1", "home", home.peer.address());
+        home.add_node("a1", "away", away.peer.address());
         let replicas = vec![replica("a", TWO), replica("b", THREE), replica("c", ONE)];
         for (index, replica) in replicas.iter().enumerate() {
             let id = ReplicaId::from(&*format!("r{index}"));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn shards_of_another_region_are_gathered_by_a_node_there() {
+fn shards_of_another_region_are_gathered_by_a_relay() {
     run(async {
         let world = TwoRegions::new();
 
@@ -185,7 +185,7 @@
         assert_eq!(&answer.body[..], [THREE, TWO, ONE].concat());
         assert_eq!(answer.headers["x-missing"], "0");
         assert!(world.replicas.iter().all(|replica| replica.requests().len() == 1));
-        // The node at home has no connection to any of them.
+        // The node in `home` has no connection to any of the replicas.
         let direct = world.home.router.directory.all();
         assert!(direct.iter().all(|replica| replica.observed.measured_round_trip().is_none()));
         assert_eq!(header(&world.replicas[0].requests()[0], "x-request-id"), "r1");
@@ -193,13 +193,13 @@
     });
 }
 
-/// The node beside the replicas is gone, and its address refuses connections. The
-/// replicas are asked from here, and the caller notices nothing.
+/// The relay is gone and its address refuses connections. The replicas are queried directly,
+/// and the caller gets a complete answer.
 #[test]
-fn a_node_that_is_gone_is_replaced_by_asking_from_here() {
+fn shards_are_queried_directly_if_the_relay_is_gone() {
     run(async {
         let world = TwoRegions::new();
-        world.home.know("a1", "away", nowhere());
+        world.home.add_node("a1", "away", refusing_address());
 
         let answer = world.home.get("/a/", "r1").await;
 
@@ -208,14 +208,14 @@
     });
 }
 
-/// The node beside the replicas takes the request and says nothing any more, not
-/// even to the question whether it has the request. The answer is late, but whole.
+/// The relay accepts the request and then never replies, not even when asked whether it is
+/// running the request. The answer is late but complete.
 #[test]
-fn a_node_that_falls_silent_is_replaced_late() {
+fn shards_are_queried_directly_if_the_relay_is_silent() {
     run(async {
         let world = TwoRegions::new();
         let silent = Scripted::start(|_| vec![Step::Silence]).unwrap();
-        world.home.know("a1", "away", silent.address);
+        world.home.add_node("a1", "away", silent.address);
 
         let answer = world.home.get("/a/", "r1").await;
 
@@ -224,19 +224,19 @@
     });
 }
 
-/// The connection to the node is lost on the way although the node lives: it has
-/// never got the request, and says so on a new connection.
+/// The connection to the relay breaks although the relay is running: it never received the
+/// request, and reports so on a new connection.
 #[test]
-fn a_request_that_a_node_never_got_is_asked_for_from_here() {
+fn shards_are_queried_directly_if_the_relay_never_got_the_request() {
     run(async {
         let world = TwoRegions::new();
-        let forgetful = Scripted::start(|request| match request.path.as_str() {
+        let unaware = Scripted::start(|request| match request.path.as_str() {
             "/v1/running" => vec![answer(404, &[], b"")],
             PROBE_PATH => vec![answer(200, &[], b"")],
             _ => vec![Step::Silence],
         })
         .unwrap();
-        world.home.know("a1", "away", forgetful.address);
+        world.home.add_node("a1", "away", unaware.address);
 
         let start = RuntimeClock.now();
         let answer = world.home.get("/a/", "r1").await;
@@ -246,16 +246,16 @@
     });
 }
 
-/// A shard has three replicas and its route allows two. The node beside them takes
-/// the request, asks two of them and is lost; asked from here, the third one must
-/// not run the request as well.
+/// Each shard has three replicas and its route allows two. The relay accepts the request,
+/// queries two of them and is lost. When the shards are queried directly after that, the
+/// third replica must not run the request as well.
 #[test]
-fn a_lost_node_does_not_let_more_replicas_run_a_request_than_its_route_allows() {
+fn a_lost_relay_does_not_exceed_the_attempts_of_the_route() {
     run(async {
         let home = Tier::at(100.0, "home");
         home.put(1, vec![shards(2, 0.6)]);
         let lost = Scripted::start(|_| vec![Step::Wait(Duration::from_millis(30)), Step::Close]);
-        home.know("a1", "away", lost.as_ref().unwrap().address);
+        home.add_node("a1", "away", lost.as_ref().unwrap().address);
         let replicas: Vec<Scripted> = (0..6).map(|_| replica("a", TWO)).collect();
         for (index, replica) in replicas.iter().enumerate() {
             home.add_in(&format!("s{}", index % 2), replica.address, "away");
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -161,7 +161,7 @@
             fixture.mirror.clone(),
             NodeName::from("me"),
             NodeKeys { record: "n/me".to_owned(), crashes: "x/me".to_owned() },
-            node_entry(nowhere(), 1.0),
+            node_entry(refusing_address(), 1.0),
         );
         announcer.start();
         // A watch has just begun and returns in two seconds; a renewal comes before that.
