--- a/crates/kumquatnotch-holder/src/calls.rs
+++ b/crates/kumquatnotch-holder/src/calls.rs
@@ -29,13 +29,13 @@
 /// The root keeps a request from other shards while it waits for this one, half of
 /// its patience at most. A holder that said nothing until the deadline left the
 /// root to fan out a request that crashes each target.
-const ALONE_SHARE: f64 = 0.2;
+const ALONE_WAIT_SHARE: f64 = 0.2;
 
 /// The delays after which a second copy goes before those who wait for a slot.
 ///
 /// A call on a connection that has gone silent would else wait as long as there
 /// is a queue, though it has waited longer than anyone in it.
-const PRESSING: u32 = 3;
+const QUEUE_BYPASS_DELAYS: u32 = 3;
 
 impl Core {
     /// Runs `work` on a replica of its shard, again on another if that is safe.
@@ -46,16 +46,16 @@
         // A refusal of a later try must not hide that an earlier one ran. A request
         // that has crashed the last replica would end with "no target", and the
         // root, which takes that for a shard that is lost, would try it elsewhere.
-        let mut ran: Option<Error> = None;
+        let mut last_run_error: Option<Error> = None;
         loop {
-            let alone = match self.verdict(work.print) {
+            let alone = match self.verdict(work.fingerprint) {
                 Verdict::Free => false,
                 Verdict::Alone => true,
-                Verdict::Refused(left) => return Err(ran.unwrap_or(contained(left))),
+                Verdict::Refused(left) => return Err(last_run_error.unwrap_or(contained(left))),
             };
-            let slot = match &ran {
+            let slot = match &last_run_error {
                 Some(error) if alone => {
-                    let acquired = self.acquire_soon(work, &tried).await;
+                    let acquired = self.acquire_alone(work, &tried).await;
                     acquired.map_err(|_| error.clone())?
                 }
                 Some(error) => {
@@ -70,14 +70,14 @@
                 Err(error) => error,
             };
             // The request has run, so the refusal "not run" would be untrue of it.
-            if matches!(self.verdict(work.print), Verdict::Refused(_)) {
+            if matches!(self.verdict(work.fingerprint), Verdict::Refused(_)) {
                 return Err(error);
             }
-            let Some(wait) = self.next_attempt(work, &error, tries, &tried) else {
+            let Some(wait) = self.retry_delay(work, &error, tries, &tried) else {
                 return Err(error);
             };
             if !error.is_not_run() {
-                ran = Some(error);
+                last_run_error = Some(error);
             }
             self.meters.retries.increment(1);
             if !wait.is_zero() {
@@ -88,9 +88,9 @@
     }
 
     /// Waits for a replica with nothing else in flight, for a share of the time left.
-    async fn acquire_soon(self: &Rc<Self>, work: &Rc<Work>, tried: &[TargetName]) -> Result<Slot> {
+    async fn acquire_alone(self: &Rc<Self>, work: &Rc<Work>, tried: &[TargetName]) -> Result<Slot> {
         let now = self.now();
-        let until = now + work.deadline.saturating_duration_since(now).mul_f64(ALONE_SHARE);
+        let until = now + work.deadline.saturating_duration_since(now).mul_f64(ALONE_WAIT_SHARE);
         timeout_at(&*self.clock, until, self.acquire(work, tried, true)).await?
     }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    fn next_attempt(
+    fn retry_delay(
         &self,
         work: &Work,
         error: &Error,
@@ -113,16 +113,16 @@
             error,
             tries,
             exclusive: work.is_exclusive(),
-            other: self.has_other(work, tried),
+            other: self.has_untried(work, tried),
             deadline: work.deadline,
         };
         self.retry.borrow_mut().next(&attempt, self.now())
     }
 
-    fn has_other(&self, work: &Work, tried: &[TargetName]) -> bool {
+    fn has_untried(&self, work: &Work, tried: &[TargetName]) -> bool {
         let table = self.table.borrow();
         let names = table.index.get(&work.shard).map(Vec::as_slice).unwrap_or_default();
-        names.iter().any(|name| work.reach.contains(name) && !tried.contains(name))
+        names.iter().any(|name| work.eligible.contains(name) && !tried.contains(name))
     }
 
     /// One attempt, with a second copy on another replica if it is late.
@@ -137,18 +137,18 @@
         self.hedge.borrow_mut().on_call();
         let first = self.call(work, slot);
         let delay = self.hedge.borrow().delay();
-        let Some(delay) = delay.filter(|_| work.hedged && !alone) else {
+        let Some(delay) = delay.filter(|_| work.hedgeable && !alone) else {
             return first.await;
         };
         let mut first = Box::pin(first);
-        let mut late = 0;
+        let mut hedge_delays = 0;
         let slot = loop {
             first = match select(first, sleep(&*self.clock, delay)).await {
                 Either::Left((result, _)) => return result,
                 Either::Right(((), first)) => first,
             };
-            late += 1;
-            if let Some(slot) = self.hedge_slot(work, tried, late >= PRESSING) {
+            hedge_delays += 1;
+            if let Some(slot) = self.hedge_slot(work, tried, hedge_delays >= QUEUE_BYPASS_DELAYS) {
                 break slot;
             }
         };
@@ -161,19 +161,19 @@
         self: &Rc<Self>,
         work: &Work,
         tried: &[TargetName],
-        pressing: bool,
+        bypass_queue: bool,
     ) -> Option<Slot> {
         // The lost connection may be the request's own doing. A copy sent before
         // its target was asked would crash a second replica, unproved again, as
         // the first crash has not made the request a suspect yet.
-        if self.is_checked(tried) {
+        if self.has_crash_check(tried) {
             return None;
         }
-        let slot = self.spare_slot(work, tried, pressing)?;
+        let slot = self.spare_slot(work, tried, bypass_queue)?;
         if !self.hedge.borrow_mut().spend() {
             // It was never used, so it tells nothing of the replica.
             let mut slot = slot;
-            slot.settled = true;
+            slot.completed = true;
             return None;
         }
         self.meters.hedges.increment(1);
@@ -181,10 +181,10 @@
     }
 
     /// Whether one of `tried` is being asked whether it crashed.
-    fn is_checked(&self, tried: &[TargetName]) -> bool {
+    fn has_crash_check(&self, tried: &[TargetName]) -> bool {
         let table = self.table.borrow();
         let mut entries = tried.iter().filter_map(|name| table.entries.get(name));
-        entries.any(|entry| entry.checking.is_some())
+        entries.any(|entry| entry.crash_waiters.is_some())
     }
 
     /// Sends `work` to the replica of `slot` and learns from how it ends.
@@ -205,7 +205,7 @@
         let result = self.targets.call(&slot.target, &spec, &call, work.deadline).await;
         match result {
             Ok(reply) if work.version.is_some_and(|version| version != reply.version) => {
-                slot.settled = true;
+                slot.completed = true;
                 // Hits of another version would mix two snapshots in one answer.
                 Err(Error::protocol("answered from another version"))
             }
@@ -215,13 +215,13 @@
             }
             Err(error) => {
                 self.on_error(work, &mut slot, &error).await;
-                Err(public(error))
+                Err(redact(error))
             }
         }
     }
 
     fn on_reply(&self, work: &Work, slot: &mut Slot, reply: &TargetReply) {
-        slot.settled = true;
+        slot.completed = true;
         let now = self.now();
         let latency = now.saturating_duration_since(slot.started);
         let mut table = self.table.borrow_mut();
@@ -232,14 +232,14 @@
             if entry.replica.is_settled() {
                 entry.limit.on_answer(slot.level, latency, now);
             }
-            entry.given_up = 0;
+            entry.abandoned_calls = 0;
         }
         if let Some(shard) = table.shards.get_mut(&work.shard) {
             shard.add_service(latency);
         }
         drop(table);
         self.hedge.borrow_mut().on_latency(latency);
-        self.containment.borrow_mut().on_answer(work.print, &work.shard);
+        self.containment.borrow_mut().on_answer(work.fingerprint, &work.shard);
         self.meters.record_service(&work.tenant, work.class, latency);
     }
 
@@ -251,7 +251,7 @@
         match error {
             Error::ConnectionLost => {
                 self.check_crash(target).await;
-                slot.settled = true;
+                slot.completed = true;
                 return;
             }
             // These say how long the target kept us waiting, as a dropped call does.
@@ -260,7 +260,7 @@
                 self.meters.silences.increment(1);
                 return;
             }
-            _ => slot.settled = true,
+            _ => slot.completed = true,
         }
         let mut table = self.table.borrow_mut();
         let Some(entry) = table.entries.get_mut(target) else {
@@ -276,7 +276,7 @@
             Error::Draining => {
                 entry.replica.on_draining();
                 drop(table);
-                self.mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
+                self.set_mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
                 tracing::info!(%target, "holder: target drains");
             }
             Error::VersionGone { version } => {
@@ -286,7 +286,7 @@
             Error::ConnectFailed | Error::ConnectRefused => {
                 entry.replica.on_unreachable(now, &self.random);
                 let at = entry.replica.down_until().unwrap_or(now);
-                table.plan(target, at);
+                table.schedule_probe(target, at);
             }
             _ => {}
         }
@@ -299,7 +299,7 @@
 }
 
 /// `error` without the target's own words, which may hold what only one tenant may see.
-fn public(error: Error) -> Error {
+fn redact(error: Error) -> Error {
     match error {
         Error::TargetFailed { .. } => {
             Error::TargetFailed { detail: "it reported a failure".to_owned() }
--- a/crates/kumquatnotch-holder/src/core.rs
+++ b/crates/kumquatnotch-holder/src/core.rs
@@ -40,7 +40,7 @@
     pub meters: Meters,
     pub serial: Cell<u64>,
     /// The time by which the tick was late, in all.
-    pub lost: Cell<Duration>,
+    pub stall_time: Cell<Duration>,
 }
 
 impl Core {
@@ -67,7 +67,7 @@
             new_queue: decisions.queue,
             meters: Meters::default(),
             serial: Cell::new(0),
-            lost: Cell::default(),
+            stall_time: Cell::default(),
         }))
     }
 
@@ -83,9 +83,9 @@
     }
 
     /// Takes over the document in force, if it has changed.
-    pub fn follow_document(&self) -> Result<()> {
+    pub fn refresh_document(&self) -> Result<()> {
         let document = self.documents.current().ok_or(Error::NotReady)?;
-        let gone = self.table.borrow_mut().follow(&document, &self.options, self.new_limit);
+        let gone = self.table.borrow_mut().apply_document(&document, &self.options, self.new_limit);
         for name in &gone {
             tracing::info!(target = %name, "holder: target is gone from the document");
             self.targets.disconnect(name);
@@ -94,7 +94,7 @@
     }
 
     /// Sets and spreads a mark.
-    pub fn mark(&self, kind: MarkKind, span: Duration) {
+    pub fn set_mark(&self, kind: MarkKind, span: Duration) {
         self.marks.set(Mark { kind, left_ms: span.as_millis() as u64 });
     }
 }
--- a/crates/kumquatnotch-holder/src/crash.rs
+++ b/crates/kumquatnotch-holder/src/crash.rs
@@ -16,10 +16,10 @@
 /// One that goes down loses one connection after the other, and may still answer a
 /// probe on the next. Its request would not become a suspect, and would be tried
 /// on replica after replica. A target that answers after this time has not crashed.
-const CRASH_PAUSE: Duration = Duration::from_millis(5);
+const RECHECK_DELAY: Duration = Duration::from_millis(5);
 
 /// A check that is on; one that is cut short counts as a crash.
-struct Check {
+struct CrashCheck {
     core: Rc<Core>,
     target: TargetName,
     present: Vec<Running>,
@@ -27,28 +27,28 @@
     crashed: bool,
 }
 
-impl Drop for Check {
+impl Drop for CrashCheck {
     fn drop(&mut self) {
         self.core.end_check(self);
     }
 }
 
-enum Begun {
+enum CheckStart {
     First { known: Option<u64>, spec: Rc<TargetSpec>, present: Vec<Running>, alone: bool },
     Joined(oneshot::Receiver<()>),
     Gone,
 }
 
-impl Check {
+impl CrashCheck {
     async fn run(mut self, spec: Rc<TargetSpec>, known: Option<u64>) {
         let core = self.core.clone();
-        let mut status = core.ask(&self.target, &spec).await;
-        if is_same(&status, known) {
-            sleep(&*core.clock, CRASH_PAUSE).await;
-            status = core.ask(&self.target, &spec).await;
+        let mut status = core.query_status(&self.target, &spec).await;
+        if is_same_incarnation(&status, known) {
+            sleep(&*core.clock, RECHECK_DELAY).await;
+            status = core.query_status(&self.target, &spec).await;
         }
-        self.crashed = !is_same(&status, known);
-        core.heard(&self.target, status.ok());
+        self.crashed = !is_same_incarnation(&status, known);
+        core.record_status(&self.target, status.ok());
     }
 }
 
@@ -60,39 +60,44 @@
     /// isn't counted once for each of them.
     pub async fn check_crash(self: &Rc<Self>, target: &TargetName) {
         let (known, spec, present, alone) = match self.begin_check(target) {
-            Begun::First { known, spec, present, alone } => (known, spec, present, alone),
-            Begun::Joined(receiver) => {
+            CheckStart::First { known, spec, present, alone } => (known, spec, present, alone),
+            CheckStart::Joined(receiver) => {
                 let _ = receiver.await;
                 return;
             }
-            Begun::Gone => return,
+            CheckStart::Gone => return,
         };
         // A caller that gives up during the check must not save the request from
         // being suspected, so "crashed" holds until the target says otherwise.
         let (core, target) = (self.clone(), target.clone());
-        let check = Check { core, target, present, alone, crashed: true };
+        let check = CrashCheck { core, target, present, alone, crashed: true };
         // Nor may it cut the check short: where this holder is late the caller's
         // time ends first, and a request would be contained that crashed nothing.
         monoio::spawn(check.run(spec, known)).await;
     }
 
-    fn begin_check(&self, target: &TargetName) -> Begun {
+    fn begin_check(&self, target: &TargetName) -> CheckStart {
         let mut table = self.table.borrow_mut();
         let Some(entry) = table.entries.get_mut(target) else {
-            return Begun::Gone;
+            return CheckStart::Gone;
         };
-        if let Some(waiting) = &mut entry.checking {
+        if let Some(waiting) = &mut entry.crash_waiters {
             let (sender, receiver) = oneshot::channel();
             waiting.push(sender);
-            return Begun::Joined(receiver);
+            return CheckStart::Joined(receiver);
         }
-        entry.checking = Some(Vec::new());
+        entry.crash_waiters = Some(Vec::new());
         let known = entry.replica.incarnation();
         let alone = entry.alone.is_some();
-        Begun::First { known, spec: entry.spec.clone(), present: present(entry), alone }
+        CheckStart::First {
+            known,
+            spec: entry.spec.clone(),
+            present: distinct_running(entry),
+            alone,
+        }
     }
 
-    fn heard(&self, target: &TargetName, status: Option<TargetStatus>) {
+    fn record_status(&self, target: &TargetName, status: Option<TargetStatus>) {
         let now = self.now();
         let mut table = self.table.borrow_mut();
         let Some(entry) = table.entries.get_mut(target) else {
@@ -105,17 +110,17 @@
             None => {
                 entry.replica.on_unreachable(now, &self.random);
                 let at = entry.replica.down_until().unwrap_or(now);
-                table.plan(target, at);
+                table.schedule_probe(target, at);
             }
         }
     }
 
-    fn end_check(&self, check: &Check) {
-        let Check { target, present, alone, crashed, .. } = check;
+    fn end_check(&self, check: &CrashCheck) {
+        let CrashCheck { target, present, alone, crashed, .. } = check;
         let waiting = {
             let mut table = self.table.borrow_mut();
             let entry = table.entries.get_mut(target);
-            entry.and_then(|entry| entry.checking.take()).unwrap_or_default()
+            entry.and_then(|entry| entry.crash_waiters.take()).unwrap_or_default()
         };
         if *crashed {
             self.meters.crashes.increment(1);
@@ -124,7 +129,7 @@
             if let Some(print) = containment.on_crash(present, *alone, self.now()) {
                 let span = containment.span();
                 drop(containment);
-                self.mark(MarkKind::Contained(print), span);
+                self.set_mark(MarkKind::Contained(print), span);
                 tracing::warn!(%print, "holder: request crashes targets and is contained");
             }
         }
@@ -135,11 +140,11 @@
 }
 
 /// Whether a target answers and is in the life that was `known`.
-fn is_same(status: &Result<TargetStatus>, known: Option<u64>) -> bool {
+fn is_same_incarnation(status: &Result<TargetStatus>, known: Option<u64>) -> bool {
     status.as_ref().is_ok_and(|status| known == Some(status.incarnation))
 }
 
-fn present(entry: &Entry) -> Vec<Running> {
+fn distinct_running(entry: &Entry) -> Vec<Running> {
     let mut present: Vec<Running> = Vec::new();
     for (_, running) in &entry.running {
         if !present.contains(running) {
--- a/crates/kumquatnotch-holder/src/group.rs
+++ b/crates/kumquatnotch-holder/src/group.rs
@@ -27,7 +27,7 @@
     core::Core,
     merge::{merge_hits, strip_private},
     slots::Work,
-    table::Reach,
+    table::TargetSet,
 };
 
 /// The share of its time that a group may be expected to wait, in the mean of its shards.
@@ -36,18 +36,18 @@
 /// and the part of it that ran would be wasted. So the group is refused as a
 /// whole well before its shards refuse; the mean over them doesn't mind one
 /// shard that is far behind the rest.
-const GROUP_WAIT_SHARE: f64 = 0.2;
+const MAX_GROUP_WAIT_SHARE: f64 = 0.2;
 /// The shortest time that a refused root is told to stay away.
-const LEAST_RETRY: Duration = Duration::from_millis(20);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 impl Core {
     /// Answers `request` with what its shards return in time.
     pub async fn answer_group(self: &Rc<Self>, request: &GroupRequest) -> Result<GroupAnswer> {
-        self.follow_document()?;
+        self.refresh_document()?;
         let start = self.now();
         let deadline = start + Duration::from_millis(request.deadline_ms);
         let patience = start + Duration::from_millis(request.patience_ms);
-        let reach = self.table.borrow_mut().reach(&request.selector)?;
+        let eligible = self.table.borrow_mut().eligible(&request.selector)?;
         if let Verdict::Refused(left) = self.verdict(request.fingerprint) {
             return Err(contained(left));
         }
@@ -55,7 +55,7 @@
         let works: Vec<Rc<Work>> = request
             .shards
             .iter()
-            .map(|shard| Rc::new(self.shard_work(request, shard, &reach, deadline)))
+            .map(|shard| Rc::new(self.shard_work(request, shard, &eligible, deadline)))
             .collect();
         let results = self.gather(&works, patience.min(deadline), deadline).await;
         Ok(self.merge(request, &works, results))
@@ -65,7 +65,7 @@
         &self,
         request: &GroupRequest,
         shard: &ShardName,
-        reach: &Reach,
+        eligible: &TargetSet,
         deadline: Instant,
     ) -> Work {
         Work {
@@ -76,11 +76,11 @@
             class: request.class,
             body: request.body.clone(),
             limit: request.limit,
-            print: request.fingerprint,
-            reach: reach.clone(),
+            fingerprint: request.fingerprint,
+            eligible: eligible.clone(),
             deadline,
             // A second copy of the whole group is one copy too many already.
-            hedged: !request.hedge,
+            hedgeable: !request.hedge,
             sent: Cell::new(false),
         }
     }
@@ -94,14 +94,14 @@
 
     /// Refuses the group if its shards are too busy.
     fn admit_group(&self, request: &GroupRequest, deadline: Instant) -> Result<()> {
-        let wait = self.class_wait(&request.shards, request.class, &request.tenant);
+        let wait = self.mean_wait(&request.shards, request.class, &request.tenant);
         let left = deadline.saturating_duration_since(self.now());
-        let bound = left.mul_f64(GROUP_WAIT_SHARE);
+        let bound = left.mul_f64(MAX_GROUP_WAIT_SHARE);
         if wait <= bound {
             return Ok(());
         }
         self.meters.refusals.increment(1);
-        Err(Error::overloaded((wait - bound).max(LEAST_RETRY)))
+        Err(Error::overloaded((wait - bound).max(MIN_RETRY_AFTER)))
     }
 
     /// Runs every work until `patience`, or longer while nothing is there.
@@ -158,8 +158,8 @@
         }
         let mut hits = merge_hits(hits, request.limit as usize);
         strip_private(&mut hits, &request.tenant);
-        let held = self.held(&self.declared(&request.shards));
-        let wait = self.class_wait(&request.shards, request.class, &request.tenant);
+        let held = self.held_versions(&self.declared_shards(&request.shards));
+        let wait = self.mean_wait(&request.shards, request.class, &request.tenant);
         GroupAnswer { hits, covered, missing, held, wait_us: wait.as_micros() as u64 }
     }
 
@@ -169,7 +169,7 @@
     /// a repartition a version has shards of other names, and a root that heard
     /// only of the declared ones would find no snapshot at all. Targets that
     /// drain are heard too, as the shards of a version stay its shards.
-    pub fn held(&self, shards: &[ShardName]) -> Vec<ShardVersions> {
+    pub fn held_versions(&self, shards: &[ShardName]) -> Vec<ShardVersions> {
         let now = self.now();
         let table = self.table.borrow();
         let versions = |shard: &ShardName| {
@@ -179,7 +179,7 @@
             let reached = declared.filter(|entry| entry.fitness(now) != Fitness::Down);
             let mut versions: Vec<HeldVersion> =
                 reached.flat_map(|entry| entry.replica.held()).cloned().collect();
-            versions.sort_by(|a, b| key_of(a).cmp(&key_of(b)));
+            versions.sort_by(|a, b| sort_key(a).cmp(&sort_key(b)));
             versions.dedup();
             versions
         };
@@ -190,7 +190,7 @@
     }
 
     /// The shards that the targets holding `shards` declare.
-    fn declared(&self, shards: &[ShardName]) -> Vec<ShardName> {
+    fn declared_shards(&self, shards: &[ShardName]) -> Vec<ShardName> {
         let table = self.table.borrow();
         let targets = shards.iter().filter_map(|shard| table.index.get(shard)).flatten();
         let entries = targets.filter_map(|target| table.entries.get(target));
@@ -199,7 +199,7 @@
     }
 
     /// The mean time that requests of this class and tenant would wait now.
-    fn class_wait(&self, shards: &[ShardName], class: Class, tenant: &TenantName) -> Duration {
+    fn mean_wait(&self, shards: &[ShardName], class: Class, tenant: &TenantName) -> Duration {
         if shards.is_empty() {
             return Duration::ZERO;
         }
@@ -208,13 +208,13 @@
         let table = self.table.borrow();
         let waits = shards.iter().filter_map(|name| {
             let shard = table.shards.get(name).filter(|shard| !shard.queue.is_empty())?;
-            let pace = table.pace(name, self.options.holders, now);
-            Some(shard.queue.expected_wait(class, tenant, weight, pace))
+            let rate = table.service_rate(name, self.options.holders, now);
+            Some(shard.queue.expected_wait(class, tenant, weight, rate))
         });
         waits.sum::<Duration>() / shards.len() as u32
     }
 }
 
-fn key_of(held: &HeldVersion) -> (IndexVersion, &str, &ShardName) {
+fn sort_key(held: &HeldVersion) -> (IndexVersion, &str, &ShardName) {
     (held.version, &held.collection, &held.shard)
 }
--- a/crates/kumquatnotch-holder/src/lib.rs
+++ b/crates/kumquatnotch-holder/src/lib.rs
@@ -7,21 +7,21 @@
 //! crate feeds them with what it observes and carries them out.
 //!
 //! A call goes through these modules in turn: `group` splits a sub-request into
-//! its shards, `slots` and `offers` find each a replica or a place in the queue,
+//! its shards, `slots` and `selection` find each a replica or a place in the queue,
 //! `calls` sends it, hedges it and tries it again, `crash` looks into a lost
 //! connection, and `merge` puts the answers together. `probes` keeps the
-//! observations fresh between calls, in the order of `agenda`.
+//! observations fresh between calls, in the order of `schedule`.
 
 #![forbid(unsafe_code)]
 
-mod agenda;
 mod calls;
 mod core;
 mod crash;
 mod group;
 mod meters;
-mod offers;
 mod probes;
+mod schedule;
+mod selection;
 mod slots;
 mod table;
 
--- a/crates/kumquatnotch-holder/src/meters.rs
+++ b/crates/kumquatnotch-holder/src/meters.rs
@@ -9,7 +9,7 @@
 ///
 /// Handles are kept, as looking one up by its labels on each call allocates.
 pub struct Meters {
-    spans: RefCell<HashMap<(TenantName, Class), Spans>>,
+    histograms: RefCell<HashMap<(TenantName, Class), Histograms>>,
     /// Calls sent to targets.
     pub calls: Counter,
     /// Second copies of late calls.
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone)]
-struct Spans {
+struct Histograms {
     wait: Histogram,
     service: Histogram,
 }
@@ -35,7 +35,7 @@
 impl Default for Meters {
     fn default() -> Meters {
         Meters {
-            spans: RefCell::default(),
+            histograms: RefCell::default(),
             calls: counter!("kumquatnotch_holder_calls_total"),
             hedges: counter!("kumquatnotch_holder_hedges_total"),
             retries: counter!("kumquatnotch_holder_retries_total"),
@@ -50,19 +50,19 @@
 impl Meters {
     /// A call of this tenant and class waited for a slot.
     pub fn record_wait(&self, tenant: &TenantName, class: Class, span: Duration) {
-        self.spans(tenant, class).wait.record(span.as_secs_f64());
+        self.histograms(tenant, class).wait.record(span.as_secs_f64());
     }
 
     /// A call of this tenant and class was answered by a target.
     pub fn record_service(&self, tenant: &TenantName, class: Class, span: Duration) {
-        self.spans(tenant, class).service.record(span.as_secs_f64());
+        self.histograms(tenant, class).service.record(span.as_secs_f64());
     }
 
-    fn spans(&self, tenant: &TenantName, class: Class) -> Spans {
-        let mut spans = self.spans.borrow_mut();
-        let entry = spans.entry((tenant.clone(), class)).or_insert_with(|| {
+    fn histograms(&self, tenant: &TenantName, class: Class) -> Histograms {
+        let mut histograms = self.histograms.borrow_mut();
+        let entry = histograms.entry((tenant.clone(), class)).or_insert_with(|| {
             let labels = [("tenant", tenant.to_string()), ("class", class.as_str().to_owned())];
-            Spans {
+            Histograms {
                 wait: histogram!("kumquatnotch_holder_wait_seconds", &labels),
                 service: histogram!("kumquatnotch_holder_service_seconds", &labels),
             }
--- a/crates/kumquatnotch-holder/src/options.rs
+++ b/crates/kumquatnotch-holder/src/options.rs
@@ -12,15 +12,15 @@
     /// How many holders share the slots of a replica.
     pub holders: u32,
     /// The time between two probes of a target.
-    pub probe_every: Duration,
+    pub probe_interval: Duration,
     /// How long a probe may take.
     pub probe_timeout: Duration,
     /// How long a shard is probed after it was last asked for.
-    pub asked_for: Duration,
+    pub idle_timeout: Duration,
     /// The one-way delay assumed within a region.
-    pub near: Duration,
+    pub near_delay: Duration,
     /// The one-way delay assumed between regions.
-    pub far: Duration,
+    pub far_delay: Duration,
 }
 
 impl Default for HolderOptions {
@@ -28,11 +28,11 @@
         HolderOptions {
             centre: DataCentre::from("local"),
             holders: 1,
-            probe_every: Duration::from_secs(1),
+            probe_interval: Duration::from_secs(1),
             probe_timeout: Duration::from_millis(400),
-            asked_for: Duration::from_secs(60),
-            near: Duration::from_micros(500),
-            far: Duration::from_millis(15),
+            idle_timeout: Duration::from_secs(60),
+            near_delay: Duration::from_micros(500),
+            far_delay: Duration::from_millis(15),
         }
     }
 }
--- a/crates/kumquatnotch-holder/src/agenda.rs
+++ b/crates/kumquatnotch-holder/src/schedule.rs
@@ -25,29 +25,29 @@
 /// Its answers are fresher news of its life than a probe, but only a probe
 /// tells which versions it holds. With the pause until the next look a target is
 /// probed every 2.5 to 3.3 s; one that drains refuses calls, which tells it sooner.
-const STATUS_EVERY: Duration = Duration::from_millis(2_500);
+const MAX_STATUS_AGE: Duration = Duration::from_millis(2_500);
 /// How many times within the time between two probes it is looked at whether a
 /// target still answers calls.
-const LOOKS: u32 = 2;
+const CHECKS_PER_INTERVAL: u32 = 2;
 /// How long every target is probed at the usual rate once one tells of other versions.
 ///
 /// A version is published to all targets at about the same time. The first that
 /// tells of it is found early, as the probes of many targets fall at different
 /// times; all others are then asked within the usual time.
-const NEWS_SPAN: Duration = Duration::from_secs(10);
+const FULL_RATE_PERIOD: Duration = Duration::from_secs(10);
 
 /// The times of the probes that are to come.
 #[derive(Default)]
-pub struct Agenda {
+pub struct ProbeSchedule {
     heap: BinaryHeap<Reverse<(Instant, TargetName)>>,
     /// The shards that were asked for again after a pause.
-    fresh: Vec<ShardName>,
+    resumed_shards: Vec<ShardName>,
     /// Whether all has to be planned again, as the document has changed.
     stale: bool,
-    news_until: Option<Instant>,
+    full_rate_until: Option<Instant>,
 }
 
-impl Agenda {
+impl ProbeSchedule {
     /// Adds a probe; it counts while it is the target's next one.
     pub fn push(&mut self, name: &TargetName, at: Instant) {
         self.heap.push(Reverse((at, name.clone())));
@@ -55,52 +55,52 @@
 
     /// A shard is asked for that was not for a while.
     pub fn add_shard(&mut self, shard: &ShardName) {
-        self.fresh.push(shard.clone());
+        self.resumed_shards.push(shard.clone());
     }
 
     /// The document has changed.
-    pub fn spoil(&mut self) {
+    pub fn invalidate(&mut self) {
         self.stale = true;
     }
 
     /// A target holds other versions than before.
-    pub fn on_news(&mut self, now: Instant) {
-        self.news_until = Some(now + NEWS_SPAN);
+    pub fn on_version_change(&mut self, now: Instant) {
+        self.full_rate_until = Some(now + FULL_RATE_PERIOD);
     }
 
-    fn has_news(&self, now: Instant) -> bool {
-        self.news_until.is_some_and(|until| now < until)
+    fn is_full_rate(&self, now: Instant) -> bool {
+        self.full_rate_until.is_some_and(|until| now < until)
     }
 }
 
 impl Table {
     /// Sets the time of the next probe of a target.
-    pub fn plan(&mut self, name: &TargetName, at: Instant) {
+    pub fn schedule_probe(&mut self, name: &TargetName, at: Instant) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.next_probe = Some(at);
-            self.agenda.push(name, at);
+            self.schedule.push(name, at);
         }
     }
 
     /// Plans the targets of the shards that are asked for now and were not before.
-    pub fn plan_fresh(&mut self, options: &HolderOptions, now: Instant) {
-        if std::mem::take(&mut self.agenda.stale) {
-            self.agenda.heap.clear();
-            self.agenda.fresh.clear();
+    pub fn schedule_new_shards(&mut self, options: &HolderOptions, now: Instant) {
+        if std::mem::take(&mut self.schedule.stale) {
+            self.schedule.heap.clear();
+            self.schedule.resumed_shards.clear();
             for (shard, state) in &self.shards {
-                if now.saturating_duration_since(state.asked) <= options.asked_for {
-                    self.agenda.fresh.push(shard.clone());
+                if now.saturating_duration_since(state.last_request) <= options.idle_timeout {
+                    self.schedule.resumed_shards.push(shard.clone());
                 }
             }
         }
-        for shard in std::mem::take(&mut self.agenda.fresh) {
+        for shard in std::mem::take(&mut self.schedule.resumed_shards) {
             let names = self.index.get(&shard).map(Vec::as_slice).unwrap_or_default();
             for name in names {
                 let Some(entry) = self.entries.get_mut(name).filter(|entry| !entry.probing) else {
                     continue;
                 };
                 let at = *entry.next_probe.get_or_insert(now);
-                self.agenda.push(name, at);
+                self.schedule.push(name, at);
             }
         }
     }
@@ -112,18 +112,20 @@
         pause: &dyn Fn() -> Duration,
         now: Instant,
     ) -> Option<TargetName> {
-        while self.agenda.heap.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-            let Reverse((at, name)) = self.agenda.heap.pop()?;
+        while self.schedule.heap.peek().is_some_and(|Reverse((at, _))| *at <= now) {
+            let Reverse((at, name)) = self.schedule.heap.pop()?;
             let Some(entry) = self.entries.get(&name) else {
                 continue;
             };
             // One that nobody asks for any more leaves; the next request plans it again.
-            if entry.probing || entry.next_probe != Some(at) || !self.is_asked(entry, options, now)
+            if entry.probing
+                || entry.next_probe != Some(at)
+                || !self.is_requested(entry, options, now)
             {
                 continue;
             }
-            if !self.agenda.has_news(now) && is_heard(entry, options, now) {
-                self.plan(&name, now + pause() / LOOKS);
+            if !self.schedule.is_full_rate(now) && can_defer_probe(entry, options, now) {
+                self.schedule_probe(&name, now + pause() / CHECKS_PER_INTERVAL);
                 continue;
             }
             self.entries.get_mut(&name)?.probing = true;
@@ -132,24 +134,27 @@
         None
     }
 
-    fn is_asked(&self, entry: &Entry, options: &HolderOptions, now: Instant) -> bool {
-        let asked = |shard: &ShardName| {
+    fn is_requested(&self, entry: &Entry, options: &HolderOptions, now: Instant) -> bool {
+        let is_recent = |shard: &ShardName| {
             let shard = self.shards.get(shard);
-            let asked = shard.map(|shard| now.saturating_duration_since(shard.asked));
-            asked.is_some_and(|since| since <= options.asked_for)
+            let since = shard.map(|shard| now.saturating_duration_since(shard.last_request));
+            since.is_some_and(|since| since <= options.idle_timeout)
         };
-        entry.indexed.iter().any(asked)
+        entry.indexed_shards.iter().any(is_recent)
     }
 }
 
 /// Whether a target answers calls, so that a probe can wait.
-fn is_heard(entry: &Entry, options: &HolderOptions, now: Instant) -> bool {
-    let (Some(told), Some(heard)) = (entry.told, entry.replica.last_answer()) else {
+fn can_defer_probe(entry: &Entry, options: &HolderOptions, now: Instant) -> bool {
+    let (Some(last_status), Some(last_answer)) = (entry.last_status, entry.replica.last_answer())
+    else {
         return false;
     };
-    let calm = entry.unheard == 0 && !entry.is_quiet() && entry.replica.is_settled();
-    calm && entry.replica.phase() == Phase::Ready
-        && heard > told
-        && now.saturating_duration_since(heard) < options.probe_every / LOOKS
-        && now.saturating_duration_since(told) < STATUS_EVERY
+    let healthy =
+        entry.failed_probes == 0 && !entry.is_unresponsive() && entry.replica.is_settled();
+    healthy
+        && entry.replica.phase() == Phase::Ready
+        && last_answer > last_status
+        && now.saturating_duration_since(last_answer) < options.probe_interval / CHECKS_PER_INTERVAL
+        && now.saturating_duration_since(last_status) < MAX_STATUS_AGE
 }
--- a/crates/kumquatnotch-holder/src/offers.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -19,7 +19,7 @@
 const SLOTS_PER_RESERVE: u32 = 4;
 
 /// Whether a call can be given a slot.
-pub enum Offer {
+pub enum Selection {
     Start(TargetName),
     Wait,
     /// No replica can run it, whatever it waits for.
@@ -27,21 +27,21 @@
 }
 
 /// The turn of a call that nobody waits before.
-pub const ALONE_TURN: SlotOffer = SlotOffer { ahead: 0, guaranteed: false };
+pub const IMMEDIATE_OFFER: SlotOffer = SlotOffer { ahead: 0, guaranteed: false };
 
-pub struct Request<'a> {
+pub struct SlotRequest<'a> {
     pub work: &'a Work,
     pub tried: &'a [TargetName],
     pub alone: bool,
     pub id: u64,
     /// Whether only replicas that were not tried will do.
-    pub strict: bool,
+    pub untried_only: bool,
 }
 
-impl<'a> Request<'a> {
-    pub fn of(pending: &'a Pending) -> Request<'a> {
+impl<'a> SlotRequest<'a> {
+    pub fn of(pending: &'a Pending) -> SlotRequest<'a> {
         let Pending { waiter, work, tried, alone, .. } = pending;
-        Request { work, tried, alone: *alone, id: waiter.id, strict: false }
+        SlotRequest { work, tried, alone: *alone, id: waiter.id, untried_only: false }
     }
 }
 
@@ -50,7 +50,12 @@
     ///
     /// A slot can't be taken back, so without a reserve every desk call that
     /// meets full slots waits for the end of an audit's call.
-    pub fn keeps_reserve(&self, table: &Table, request: &Request<'_>, now: Instant) -> bool {
+    pub fn is_reserved_for_desk(
+        &self,
+        table: &Table,
+        request: &SlotRequest<'_>,
+        now: Instant,
+    ) -> bool {
         if request.work.class != Class::Audit {
             return false;
         }
@@ -67,34 +72,34 @@
     }
 
     /// Finds `request` a replica.
-    pub fn offer(
+    pub fn select_replica(
         &self,
         table: &mut Table,
-        request: &Request<'_>,
-        turn: SlotOffer,
+        request: &SlotRequest<'_>,
+        offer: SlotOffer,
         now: Instant,
-    ) -> Offer {
-        let Work { shard, print, .. } = request.work;
+    ) -> Selection {
+        let Work { shard, fingerprint, .. } = request.work;
         let Some(names) = table.index.get(shard) else {
-            return Offer::Never(Error::NoTarget);
+            return Selection::Never(Error::NoTarget);
         };
         let usable = match usable(&table.entries, names, request, now) {
             Ok(usable) => usable,
-            Err(error) => return Offer::Never(error),
+            Err(error) => return Selection::Never(error),
         };
         if request.alone {
             // Two copies of one suspect would crash two targets at once.
-            if table.alone.contains(print) {
-                return Offer::Wait;
+            if table.alone.contains(fingerprint) {
+                return Selection::Wait;
             }
-            return offer_alone(&mut table.entries, &usable, request.id);
+            return select_alone(&mut table.entries, &usable, request.id);
         }
         let candidates: Vec<Candidate> =
             usable.iter().map(|name| self.candidate(&table.entries[name], now)).collect();
-        let need = CallProfile { ahead: turn.ahead, urgent: request.work.class == Class::Desk };
+        let need = CallProfile { ahead: offer.ahead, urgent: request.work.class == Class::Desk };
         match self.choice.pick(&candidates, need, &self.random) {
-            Pick::Take(index) => Offer::Start(usable[index].clone()),
-            Pick::Wait => Offer::Wait,
+            Pick::Take(index) => Selection::Start(usable[index].clone()),
+            Pick::Wait => Selection::Wait,
         }
     }
 
@@ -121,13 +126,13 @@
 fn usable(
     entries: &HashMap<TargetName, Entry>,
     names: &[TargetName],
-    request: &Request<'_>,
+    request: &SlotRequest<'_>,
     now: Instant,
 ) -> Result<Vec<TargetName>> {
-    let Work { shard, version, reach, deadline, .. } = request.work;
+    let Work { shard, version, eligible, deadline, .. } = request.work;
     let mut usable = Vec::with_capacity(names.len());
     let mut error = Error::NoTarget;
-    for name in names.iter().filter(|name| reach.contains(*name)) {
+    for name in names.iter().filter(|name| eligible.contains(*name)) {
         let entry = &entries[name];
         match entry.fitness(now) {
             Fitness::Ready => {}
@@ -154,11 +159,11 @@
         return Err(error);
     }
     let fresh = |name: &TargetName| !request.tried.contains(name);
-    if request.strict || usable.iter().any(fresh) {
+    if request.untried_only || usable.iter().any(fresh) {
         usable.retain(fresh);
     }
     // One that has gone quiet is passed over until it was heard of again.
-    let heard = |name: &TargetName| !entries[name].is_quiet();
+    let heard = |name: &TargetName| !entries[name].is_unresponsive();
     if usable.iter().any(heard) {
         usable.retain(heard);
     }
@@ -166,17 +171,21 @@
 }
 
 /// Finds a suspect request a replica with nothing in flight, or empties one.
-fn offer_alone(entries: &mut HashMap<TargetName, Entry>, usable: &[TargetName], id: u64) -> Offer {
+fn select_alone(
+    entries: &mut HashMap<TargetName, Entry>,
+    usable: &[TargetName],
+    id: u64,
+) -> Selection {
     let open = |entry: &Entry| entry.reserved.is_none_or(|other| other == id);
     let idle = usable.iter().find(|name| {
         let entry = &entries[*name];
         entry.replica.in_flight() == 0 && open(entry)
     });
     if let Some(name) = idle {
-        return Offer::Start(name.clone());
+        return Selection::Start(name.clone());
     }
     if usable.iter().any(|name| entries[name].reserved == Some(id)) {
-        return Offer::Wait;
+        return Selection::Wait;
     }
     // Without a reservation a busy replica would never be empty.
     let least = usable
@@ -186,5 +195,5 @@
     if let Some(entry) = least.and_then(|name| entries.get_mut(name)) {
         entry.reserved = Some(id);
     }
-    Offer::Wait
+    Selection::Wait
 }
--- a/crates/kumquatnotch-holder/src/service.rs
+++ b/crates/kumquatnotch-holder/src/service.rs
@@ -40,12 +40,12 @@
 
     /// Starts the background work; this must run inside a runtime.
     pub fn start(&self) {
-        monoio::spawn(self.watch());
+        monoio::spawn(self.run_background());
     }
 
     /// The background work, for callers that run it themselves.
-    pub fn watch(&self) -> impl Future<Output = ()> + 'static {
-        self.core.clone().watch()
+    pub fn run_background(&self) -> impl Future<Output = ()> + 'static {
+        self.core.clone().run_background()
     }
 
     /// The state of the targets as text for the status page.
@@ -69,8 +69,8 @@
 
     /// Runs one call of an exclusive request, at most once.
     async fn relay(&self, relay: RelayCall) -> Result<TargetReply> {
-        self.core.follow_document()?;
-        let reach = self.core.table.borrow_mut().reach(&relay.selector)?;
+        self.core.refresh_document()?;
+        let eligible = self.core.table.borrow_mut().eligible(&relay.selector)?;
         let RelayCall { call, deadline_ms, .. } = relay;
         let parts: [&[u8]; 3] =
             [call.tenant.as_bytes(), call.shard.as_bytes(), call.body.as_bytes()];
@@ -78,14 +78,14 @@
             shard: call.shard.clone(),
             version: None,
             weight: self.core.weight(&call.tenant),
-            print: Fingerprint(stable_hash(&parts)),
+            fingerprint: Fingerprint(stable_hash(&parts)),
             tenant: call.tenant,
             class: call.class,
             body: call.body,
             limit: call.limit,
-            reach,
+            eligible,
             deadline: self.core.now() + Duration::from_millis(deadline_ms),
-            hedged: false,
+            hedgeable: false,
             sent: Cell::new(false),
         };
         let work = Rc::new(work);
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -17,12 +17,12 @@
 
 use crate::{
     core::Core,
-    offers::{ALONE_TURN, Offer, Request},
-    table::{Pending, Reach, Shard, Table},
+    selection::{IMMEDIATE_OFFER, Selection, SlotRequest},
+    table::{Pending, Shard, Table, TargetSet},
 };
 
 /// After the desk has asked for a shard, a slot is kept free for it this long.
-const URGENT_SPAN: Duration = Duration::from_millis(250);
+const DESK_RESERVE_PERIOD: Duration = Duration::from_millis(250);
 /// How long after its deadline the reply of an exclusive call that was sent is waited for.
 ///
 /// A call that is dropped at its deadline ends as "outcome unknown", though its
@@ -40,11 +40,11 @@
     pub class: Class,
     pub body: String,
     pub limit: u32,
-    pub print: Fingerprint,
-    pub reach: Reach,
+    pub fingerprint: Fingerprint,
+    pub eligible: TargetSet,
     pub deadline: Instant,
     /// Whether it may be sent twice when it is late.
-    pub hedged: bool,
+    pub hedgeable: bool,
     /// Whether it was ever sent.
     pub sent: Cell<bool>,
 }
@@ -72,25 +72,25 @@
     /// The suspect request that runs alone in it.
     pub alone: Option<Fingerprint>,
     /// Whether the call has ended by itself.
-    pub settled: bool,
+    pub completed: bool,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         let elapsed = self.core.now().saturating_duration_since(self.started);
-        self.core.release(self, (!self.settled).then_some(elapsed));
+        self.core.release(self, (!self.completed).then_some(elapsed));
     }
 }
 
 /// A place in a queue; dropping it leaves the queue.
-struct Place<'a> {
+struct QueueGuard<'a> {
     core: &'a Core,
     shard: &'a ShardName,
     id: u64,
     alone: bool,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         self.core.leave_queue(self);
     }
@@ -105,36 +105,38 @@
         alone: bool,
     ) -> Result<Slot> {
         let (id, receiver) = match self.enqueue(work, tried, alone)? {
-            Entered::Started(slot) => return Ok(slot),
-            Entered::Waiting(id, receiver) => (id, receiver),
+            Admission::Started(slot) => return Ok(slot),
+            Admission::Waiting(id, receiver) => (id, receiver),
         };
         let since = self.now();
-        let place = Place { core: self, shard: &work.shard, id, alone };
+        let guard = QueueGuard { core: self, shard: &work.shard, id, alone };
         self.dispatch(&work.shard);
         let slot = receiver.await.unwrap_or(Err(Error::ExpiredInQueue));
-        drop(place);
+        drop(guard);
         let wait = self.now().saturating_duration_since(since);
         self.meters.record_wait(&work.tenant, work.class, wait);
         slot
     }
 
-    /// A second slot for `work` if one is free; unless `pressing`, others go first.
+    /// A second slot for `work` if one is free; unless `bypass_queue`, others go first.
     pub fn spare_slot(
         self: &Rc<Self>,
         work: &Work,
         tried: &[TargetName],
-        pressing: bool,
+        bypass_queue: bool,
     ) -> Option<Slot> {
         let now = self.now();
         let mut table = self.table.borrow_mut();
-        if !pressing && !table.shards.get(&work.shard)?.queue.is_empty() {
+        if !bypass_queue && !table.shards.get(&work.shard)?.queue.is_empty() {
             return None;
         }
-        let request = Request { work, tried, alone: false, id: 0, strict: true };
-        let Offer::Start(name) = self.offer(&mut table, &request, ALONE_TURN, now) else {
+        let request = SlotRequest { work, tried, alone: false, id: 0, untried_only: true };
+        let Selection::Start(name) =
+            self.select_replica(&mut table, &request, IMMEDIATE_OFFER, now)
+        else {
             return None;
         };
-        Some(self.start(&mut table, &name, work, false, now))
+        Some(self.take_slot(&mut table, &name, work, false, now))
     }
 
     fn enqueue(
@@ -142,29 +144,29 @@
         work: &Rc<Work>,
         tried: &[TargetName],
         alone: bool,
-    ) -> Result<Entered> {
+    ) -> Result<Admission> {
         let now = self.now();
         if work.deadline <= now + MIN_CALL_TIME {
             return Err(Error::ExpiredInQueue);
         }
         let id = self.next_serial();
         let mut table = self.table.borrow_mut();
-        let shard = table.ask(&work.shard, now, self.new_queue);
+        let shard = table.touch_shard(&work.shard, now, self.new_queue);
         if work.class == Class::Desk {
-            shard.urgent = Some(now);
+            shard.last_desk_request = Some(now);
         }
         let idle = shard.queue.is_empty();
-        let request = Request { work, tried, alone, id, strict: false };
-        match self.offer(&mut table, &request, ALONE_TURN, now) {
-            Offer::Start(name) if idle => {
-                let slot = self.start(&mut table, &name, work, alone, now);
-                return Ok(Entered::Started(slot));
+        let request = SlotRequest { work, tried, alone, id, untried_only: false };
+        match self.select_replica(&mut table, &request, IMMEDIATE_OFFER, now) {
+            Selection::Start(name) if idle => {
+                let slot = self.take_slot(&mut table, &name, work, alone, now);
+                return Ok(Admission::Started(slot));
             }
-            Offer::Never(error) => return Err(error),
+            Selection::Never(error) => return Err(error),
             _ => {}
         }
-        let pace = table.pace(&work.shard, self.options.holders, now);
-        let shard = table.ask(&work.shard, now, self.new_queue);
+        let rate = table.service_rate(&work.shard, self.options.holders, now);
+        let shard = table.touch_shard(&work.shard, now, self.new_queue);
         let waiter = Waiter {
             id,
             class: work.class,
@@ -173,7 +175,7 @@
             since: now,
             deadline: work.deadline,
         };
-        if let Err(error) = shard.queue.admit(&waiter, pace, now) {
+        if let Err(error) = shard.queue.admit(&waiter, rate, now) {
             self.meters.refusals.increment(1);
             return Err(error);
         }
@@ -181,7 +183,7 @@
         shard.queue.push(waiter.clone());
         let (work, tried) = (work.clone(), tried.to_vec());
         shard.pending.insert(id, Pending { waiter, work, tried, alone, sender });
-        Ok(Entered::Waiting(id, receiver))
+        Ok(Admission::Waiting(id, receiver))
     }
 
     /// Gives free slots of a shard to those who wait.
@@ -214,30 +216,31 @@
         }
         let now = self.now();
         let mut chosen = None;
-        let mut doomed = Vec::new();
-        expire(shard, now);
-        let Shard { queue, pending, urgent, .. } = shard;
-        let busy = urgent.is_some_and(|at| now.saturating_duration_since(at) < URGENT_SPAN);
-        let taken = queue.take(now, &mut |waiter, turn| {
+        let mut rejected = Vec::new();
+        expire_waiters(shard, now);
+        let Shard { queue, pending, last_desk_request, .. } = shard;
+        let desk_active = last_desk_request
+            .is_some_and(|at| now.saturating_duration_since(at) < DESK_RESERVE_PERIOD);
+        let taken = queue.take(now, &mut |waiter, offer| {
             let Some(entry) = pending.get(&waiter.id) else {
                 return true;
             };
-            let request = Request::of(entry);
-            if busy && !turn.guaranteed && self.keeps_reserve(table, &request, now) {
+            let request = SlotRequest::of(entry);
+            if desk_active && !offer.guaranteed && self.is_reserved_for_desk(table, &request, now) {
                 return false;
             }
-            match self.offer(table, &request, turn, now) {
-                Offer::Start(name) => chosen = Some(name),
-                Offer::Wait => return false,
-                Offer::Never(error) => {
-                    doomed.push((waiter.clone(), error));
+            match self.select_replica(table, &request, offer, now) {
+                Selection::Start(name) => chosen = Some(name),
+                Selection::Wait => return false,
+                Selection::Never(error) => {
+                    rejected.push((waiter.clone(), error));
                     return false;
                 }
             }
             true
         });
-        let mut more = !doomed.is_empty();
-        for (waiter, error) in doomed {
+        let mut more = !rejected.is_empty();
+        for (waiter, error) in rejected {
             queue.remove(&waiter);
             if let Some(gone) = pending.remove(&waiter.id) {
                 let _ = gone.sender.send(Err(error));
@@ -250,7 +253,7 @@
         let (Some(entry), Some(name)) = (pending.remove(&waiter.id), chosen) else {
             return more;
         };
-        let slot = self.start(table, &name, &entry.work, entry.alone, now);
+        let slot = self.take_slot(table, &name, &entry.work, entry.alone, now);
         if let Err(slot) = entry.sender.send(Ok(slot)) {
             unclaimed.push(slot);
         }
@@ -258,7 +261,7 @@
     }
 
     /// Takes a slot of `name`.
-    fn start(
+    fn take_slot(
         self: &Rc<Self>,
         table: &mut Table,
         name: &TargetName,
@@ -270,25 +273,25 @@
         let entry = table.entries.get_mut(name).expect("the replica was found in the table");
         let level = entry.replica.on_start(now);
         entry.limit.on_start(level);
-        entry.running.push((id, Running { print: work.print, shard: work.shard.clone() }));
+        entry.running.push((id, Running { print: work.fingerprint, shard: work.shard.clone() }));
         if alone {
             entry.alone = Some(id);
             entry.reserved = None;
-            table.alone.insert(work.print);
+            table.alone.insert(work.fingerprint);
         }
         let spec = entry.spec.clone();
         let core = self.clone();
-        let alone = alone.then_some(work.print);
-        Slot { core, id, target: name.clone(), spec, level, started: now, alone, settled: false }
+        let alone = alone.then_some(work.fingerprint);
+        Slot { core, id, target: name.clone(), spec, level, started: now, alone, completed: false }
     }
 
-    /// Frees a slot; `given_up` tells how long a call lasted that was dropped.
-    fn release(self: &Rc<Self>, slot: &Slot, given_up: Option<Duration>) {
+    /// Frees a slot; `abandoned` tells how long a call lasted that was dropped.
+    fn release(self: &Rc<Self>, slot: &Slot, abandoned: Option<Duration>) {
         let now = self.now();
         let mut shards = Vec::new();
         {
             let mut table = self.table.borrow_mut();
-            let Table { entries, alone, agenda, .. } = &mut *table;
+            let Table { entries, alone, schedule, .. } = &mut *table;
             if let Some(print) = &slot.alone {
                 alone.remove(print);
             }
@@ -300,9 +303,9 @@
             };
             let (_, running) = entry.running.swap_remove(at);
             entry.replica.on_end();
-            if let Some(elapsed) = given_up {
-                if entry.on_given_up(elapsed, now) {
-                    agenda.push(&slot.target, now);
+            if let Some(elapsed) = abandoned {
+                if entry.on_abandoned(elapsed, now) {
+                    schedule.push(&slot.target, now);
                 }
                 self.hedge.borrow_mut().on_latency(elapsed);
             }
@@ -322,18 +325,18 @@
         }
     }
 
-    fn leave_queue(&self, place: &Place<'_>) {
+    fn leave_queue(&self, guard: &QueueGuard<'_>) {
         let mut table = self.table.borrow_mut();
         let Table { shards, entries, .. } = &mut *table;
-        if place.alone {
+        if guard.alone {
             let entries = entries.values_mut();
-            let reserved = entries.filter(|entry| entry.reserved == Some(place.id));
+            let reserved = entries.filter(|entry| entry.reserved == Some(guard.id));
             reserved.for_each(|entry| entry.reserved = None);
         }
-        let Some(shard) = shards.get_mut(place.shard) else {
+        let Some(shard) = shards.get_mut(guard.shard) else {
             return;
         };
-        if let Some(gone) = shard.pending.remove(&place.id) {
+        if let Some(gone) = shard.pending.remove(&guard.id) {
             shard.queue.remove(&gone.waiter);
         }
     }
@@ -344,7 +347,7 @@
 /// A slot that comes free at a waiter's last moment would start a call that
 /// nobody wants any more, and a hold would then run for a caller who was told
 /// that it expired.
-pub fn expire(shard: &mut Shard, now: Instant) {
+pub fn expire_waiters(shard: &mut Shard, now: Instant) {
     for gone in shard.queue.expire(now + MIN_CALL_TIME) {
         if let Some(gone) = shard.pending.remove(&gone.id) {
             let _ = gone.sender.send(Err(Error::ExpiredInQueue));
@@ -352,7 +355,7 @@
     }
 }
 
-enum Entered {
+enum Admission {
     Started(Slot),
     Waiting(u64, oneshot::Receiver<Result<Slot>>),
 }
--- a/crates/kumquatnotch-holder/src/table.rs
+++ b/crates/kumquatnotch-holder/src/table.rs
@@ -20,18 +20,18 @@
     replica::{Fitness, Replica},
 };
 
-use crate::{HolderOptions, agenda::Agenda, slots::Slot, slots::Work};
+use crate::{HolderOptions, schedule::ProbeSchedule, slots::Slot, slots::Work};
 
 /// The targets that a selector may reach.
-pub type Reach = Rc<HashSet<TargetName>>;
+pub type TargetSet = Rc<HashSet<TargetName>>;
 
 /// The service time assumed before anything was answered.
-const FIRST_SERVICE: f64 = 0.006;
+const INITIAL_SERVICE_SECONDS: f64 = 0.006;
 /// The weight of a new service time in the moving mean.
-const SERVICE_WEIGHT: f64 = 0.05;
+const SERVICE_TIME_WEIGHT: f64 = 0.05;
 
 /// The calls given up without an answer in between that make a target quiet.
-const MOST_GIVEN_UP: u32 = 3;
+const MAX_ABANDONED_CALLS: u32 = 3;
 
 /// The state of a holder.
 pub struct Table {
@@ -40,12 +40,12 @@
     pub shards: HashMap<ShardName, Shard>,
     /// The targets that declare or hold a shard.
     pub index: HashMap<ShardName, Vec<TargetName>>,
-    pub reach: HashMap<SelectorName, Reach>,
-    pub agenda: Agenda,
+    pub eligible: HashMap<SelectorName, TargetSet>,
+    pub schedule: ProbeSchedule,
     /// The targets that other nodes say are draining.
-    pub marked: Vec<TargetName>,
+    pub marked_draining: Vec<TargetName>,
     /// How long a shard is probed after it was last asked for.
-    asked_for: Duration,
+    idle_timeout: Duration,
     /// Suspect requests that run alone now; a second copy of one waits.
     pub alone: HashSet<Fingerprint>,
 }
@@ -64,30 +64,30 @@
     /// The waiter for which it is being emptied.
     pub reserved: Option<u64>,
     /// Those who wait to hear whether it crashed.
-    pub checking: Option<Vec<oneshot::Sender<()>>>,
+    pub crash_waiters: Option<Vec<oneshot::Sender<()>>>,
     /// Whether other nodes say that it is draining.
-    pub marked: bool,
+    pub marked_draining: bool,
     pub probing: bool,
     pub next_probe: Option<Instant>,
     /// When it last told its state.
-    pub told: Option<Instant>,
+    pub last_status: Option<Instant>,
     /// The shards in whose index it stands.
-    pub indexed: Vec<ShardName>,
+    pub indexed_shards: Vec<ShardName>,
     /// The probes that failed in a row.
-    pub unheard: u32,
+    pub failed_probes: u32,
     /// The calls given up since it was last heard of.
-    pub given_up: u32,
+    pub abandoned_calls: u32,
 }
 
 /// A shard that was asked for.
 pub struct Shard {
     pub queue: Box<dyn WaitQueue>,
     pub pending: HashMap<u64, Pending>,
-    pub asked: Instant,
+    pub last_request: Instant,
     /// When the desk last asked for it.
-    pub urgent: Option<Instant>,
+    pub last_desk_request: Option<Instant>,
     /// The moving mean of its service time, in seconds.
-    pub service: f64,
+    pub service_seconds: f64,
 }
 
 /// A call that waits for a slot.
@@ -106,16 +106,16 @@
             entries: HashMap::default(),
             shards: HashMap::default(),
             index: HashMap::default(),
-            reach: HashMap::default(),
-            agenda: Agenda::default(),
-            marked: Vec::new(),
-            asked_for: options.asked_for,
+            eligible: HashMap::default(),
+            schedule: ProbeSchedule::default(),
+            marked_draining: Vec::new(),
+            idle_timeout: options.idle_timeout,
             alone: HashSet::default(),
         }
     }
 
     /// Takes over `document`; the targets that are gone or have moved.
-    pub fn follow(
+    pub fn apply_document(
         &mut self,
         document: &Rc<Document>,
         options: &HolderOptions,
@@ -149,55 +149,58 @@
             }
         }
         self.document = Some(document.clone());
-        self.reach.clear();
+        self.eligible.clear();
         self.rebuild_index();
-        self.agenda.spoil();
+        self.schedule.invalidate();
         gone
     }
 
     /// The targets that `selector` may reach.
-    pub fn reach(&mut self, selector: &SelectorName) -> Result<Reach> {
-        if let Some(reach) = self.reach.get(selector) {
-            return Ok(reach.clone());
+    pub fn eligible(&mut self, selector: &SelectorName) -> Result<TargetSet> {
+        if let Some(eligible) = self.eligible.get(selector) {
+            return Ok(eligible.clone());
         }
         let document = self.document.as_ref().ok_or(Error::NotReady)?;
         let Some(spec) = document.rules.selectors.get(selector) else {
             return Err(Error::UnknownSelector { name: selector.to_string() });
         };
-        let reach: Reach = Rc::new(document.select(spec).map(|(name, _)| name.clone()).collect());
-        self.reach.insert(selector.clone(), reach.clone());
-        Ok(reach)
+        let eligible: TargetSet =
+            Rc::new(document.select(spec).map(|(name, _)| name.clone()).collect());
+        self.eligible.insert(selector.clone(), eligible.clone());
+        Ok(eligible)
     }
 
     /// The shard, known from now on as asked for.
-    pub fn ask(
+    pub fn touch_shard(
         &mut self,
         name: &ShardName,
         now: Instant,
         queue: fn() -> Box<dyn WaitQueue>,
     ) -> &mut Shard {
-        let known = self.shards.get(name).map(|shard| now.saturating_duration_since(shard.asked));
-        if known.is_none_or(|since| since > self.asked_for) {
-            self.agenda.add_shard(name);
+        let known =
+            self.shards.get(name).map(|shard| now.saturating_duration_since(shard.last_request));
+        if known.is_none_or(|since| since > self.idle_timeout) {
+            self.schedule.add_shard(name);
         }
         let shard = self.shards.entry(name.clone()).or_insert_with(|| Shard {
             queue: queue(),
             pending: HashMap::default(),
-            asked: now,
-            urgent: None,
-            service: FIRST_SERVICE,
+            last_request: now,
+            last_desk_request: None,
+            service_seconds: INITIAL_SERVICE_SECONDS,
         });
-        shard.asked = now;
+        shard.last_request = now;
         shard
     }
 
     /// How fast the replicas of a shard work.
-    pub fn pace(&self, name: &ShardName, holders: u32, now: Instant) -> ServiceRate {
+    pub fn service_rate(&self, name: &ShardName, holders: u32, now: Instant) -> ServiceRate {
         let targets = self.index.get(name).map(Vec::as_slice).unwrap_or_default();
         let entries = targets.iter().filter_map(|target| self.entries.get(target));
         let usable = entries.filter(|entry| entry.fitness(now) == Fitness::Ready);
         let slots = usable.map(|entry| entry.allowed(holders)).fold(0, u32::saturating_add);
-        let service = self.shards.get(name).map_or(FIRST_SERVICE, |shard| shard.service);
+        let service =
+            self.shards.get(name).map_or(INITIAL_SERVICE_SECONDS, |shard| shard.service_seconds);
         ServiceRate { slots, service: Duration::from_secs_f64(service) }
     }
 
@@ -207,8 +210,8 @@
         let mut entries: Vec<_> = self.entries.iter_mut().collect();
         entries.sort_unstable_by_key(|(name, _)| *name);
         for (name, entry) in entries {
-            entry.indexed = entry.shards();
-            for shard in &entry.indexed {
+            entry.indexed_shards = entry.shards();
+            for shard in &entry.indexed_shards {
                 self.index.entry(shard.clone()).or_default().push(name.clone());
             }
         }
@@ -220,15 +223,15 @@
             return;
         };
         let shards = entry.shards();
-        if shards == entry.indexed {
+        if shards == entry.indexed_shards {
             return;
         }
-        for shard in std::mem::replace(&mut entry.indexed, shards) {
+        for shard in std::mem::replace(&mut entry.indexed_shards, shards) {
             if let Some(targets) = self.index.get_mut(&shard) {
                 targets.retain(|other| other != name);
             }
         }
-        for shard in &entry.indexed {
+        for shard in &entry.indexed_shards {
             let targets = self.index.entry(shard.clone()).or_default();
             if let Err(at) = targets.binary_search(name) {
                 targets.insert(at, name.clone());
@@ -240,7 +243,7 @@
 impl Shard {
     /// A call took this long at a target.
     pub fn add_service(&mut self, span: Duration) {
-        self.service += (span.as_secs_f64() - self.service) * SERVICE_WEIGHT;
+        self.service_seconds += (span.as_secs_f64() - self.service_seconds) * SERVICE_TIME_WEIGHT;
     }
 }
 
@@ -254,23 +257,23 @@
             running: Vec::new(),
             alone: None,
             reserved: None,
-            checking: None,
-            marked: false,
+            crash_waiters: None,
+            marked_draining: false,
             probing: false,
             next_probe: None,
-            told: None,
-            indexed: Vec::new(),
-            unheard: 0,
-            given_up: 0,
+            last_status: None,
+            indexed_shards: Vec::new(),
+            failed_probes: 0,
+            abandoned_calls: 0,
         }
     }
 
     /// Whether it may be given a call now, whoever says that it may not.
     pub fn fitness(&self, now: Instant) -> Fitness {
-        if self.spec.drain || self.marked {
+        if self.spec.drain || self.marked_draining {
             return Fitness::Draining;
         }
-        if self.checking.is_some() {
+        if self.crash_waiters.is_some() {
             return Fitness::Down;
         }
         self.replica.fitness(now)
@@ -293,12 +296,12 @@
     }
 
     /// A call to it was given up; whether it has to be probed at once.
-    pub fn on_given_up(&mut self, elapsed: Duration, now: Instant) -> bool {
+    pub fn on_abandoned(&mut self, elapsed: Duration, now: Instant) -> bool {
         self.replica.on_cancelled(elapsed);
-        self.given_up += 1;
+        self.abandoned_calls += 1;
         // A target that was cut off answers nothing and refuses nothing; a
         // probe at once tells it from one that is slow.
-        let sooner = self.is_quiet() && self.next_probe.is_some_and(|at| at > now);
+        let sooner = self.is_unresponsive() && self.next_probe.is_some_and(|at| at > now);
         if sooner {
             self.next_probe = Some(now);
         }
@@ -306,8 +309,8 @@
     }
 
     /// Whether calls to it were given up and nothing was heard of it since.
-    pub fn is_quiet(&self) -> bool {
-        self.given_up >= MOST_GIVEN_UP
+    pub fn is_unresponsive(&self) -> bool {
+        self.abandoned_calls >= MAX_ABANDONED_CALLS
     }
 
     /// The most calls that may be in flight to it from here.
@@ -320,7 +323,7 @@
     let own = document.region(&options.centre);
     match document.region(centre) {
         _ if *centre == options.centre => Duration::ZERO,
-        region if region.is_some() && region == own => options.near,
-        _ => options.far,
+        region if region.is_some() && region == own => options.near_delay,
+        _ => options.far_delay,
     }
 }
--- a/crates/kumquatnotch-holder/tests/common/mod.rs
+++ b/crates/kumquatnotch-holder/tests/common/mod.rs
@@ -251,7 +251,7 @@
     /// Runs `work` beside the holder's background work.
     pub fn run<T>(&self, work: impl Future<Output = T>) -> T {
         let both = async {
-            let watch = std::pin::pin!(self.holder.watch());
+            let watch = std::pin::pin!(self.holder.run_background());
             match select(std::pin::pin!(work), watch).await {
                 Either::Left((value, _)) => value,
                 Either::Right(((), _)) => unreachable!("the background work never ends"),
--- a/crates/measure/src/nodes.rs
+++ b/crates/measure/src/nodes.rs
@@ -61,7 +61,7 @@
         let holding = HolderOptions { centre: DataCentre::from("c0"), ..HolderOptions::default() };
         let holder = HolderService::with_decisions(holding, decisions(), &registry)
             .expect("every service is registered");
-        shared.time.spawn(holder.watch());
+        shared.time.spawn(holder.run_background());
         let front = install(options.clone(), &registry).expect("every service is registered");
         net.nodes.borrow_mut().insert(record(number).peer, registry);
         BenchNode { holder, front }
