--- a/crates/kumquatnotch-holder/tests/common/mod.rs
+++ b/crates/kumquatnotch-holder/tests/common/mod.rs
@@ -35,7 +35,7 @@
 
 /// What a scripted target does with a call.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Behaviour {
     /// Answers with these hits after a time.
     Answer(Duration, Vec<Hit>),
     /// Fails at once.
@@ -45,40 +45,40 @@
 }
 
 /// A scripted target.
-pub struct Script {
-    pub act: RefCell<Act>,
+pub struct ScriptedTarget {
+    pub behaviour: RefCell<Behaviour>,
     pub phase: Cell<Phase>,
     pub up: Cell<bool>,
     pub incarnation: Cell<u64>,
     pub version: Cell<IndexVersion>,
     /// What it holds besides the shard it declares.
-    pub extra: RefCell<Vec<HeldVersion>>,
+    pub extra_held: RefCell<Vec<HeldVersion>>,
     /// The bodies of the calls it was sent.
     pub calls: RefCell<Vec<String>>,
-    pub inside: Cell<u32>,
-    pub most_inside: Cell<u32>,
+    pub in_flight: Cell<u32>,
+    pub max_in_flight: Cell<u32>,
     pub crashes: Cell<u32>,
     pub probes: Cell<u32>,
     /// How long it takes to find out that it is down.
-    pub down_span: Cell<Duration>,
+    pub down_delay: Cell<Duration>,
     /// The probes that it still answers after a crash.
-    pub last_words: Cell<u32>,
+    pub probes_after_crash: Cell<u32>,
     /// How many turns of our loop a probe takes besides the first.
-    pub probe_turns: Cell<u32>,
+    pub extra_probe_steps: Cell<u32>,
 }
 
 /// Scripted targets by name.
-pub struct Scripts {
+pub struct ScriptedTargets {
     pub clock: PausedClock,
-    pub targets: HashMap<TargetName, Script>,
+    pub targets: HashMap<TargetName, ScriptedTarget>,
     pub probing: Cell<u32>,
-    pub most_probing: Cell<u32>,
+    pub max_probing: Cell<u32>,
 }
 
 /// Everything of one test.
 pub struct World {
     pub clock: PausedClock,
-    pub scripts: Rc<Scripts>,
+    pub scripts: Rc<ScriptedTargets>,
     pub documents: Rc<FakeDocuments>,
     pub marks: Rc<FakeMarks>,
     pub holder: Rc<HolderService>,
@@ -111,24 +111,24 @@
     }
 }
 
-impl Script {
+impl ScriptedTarget {
     /// Whether it answers a probe though it has crashed.
-    fn speaks_on(&self) -> bool {
-        let left = self.last_words.get();
-        self.last_words.set(left.saturating_sub(1));
+    fn answers_probe(&self) -> bool {
+        let left = self.probes_after_crash.get();
+        self.probes_after_crash.set(left.saturating_sub(1));
         left > 0
     }
 }
 
-struct Inside<'a>(&'a Script);
+struct InFlightGuard<'a>(&'a ScriptedTarget);
 
-impl Drop for Inside<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.0.inside.set(self.0.inside.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
 
-impl Targets for Scripts {
+impl Targets for ScriptedTargets {
     fn call<'a>(
         &'a self,
         name: &'a TargetName,
@@ -142,18 +142,18 @@
             if !script.up.get() {
                 return Err(Error::ConnectFailed);
             }
-            script.inside.set(script.inside.get() + 1);
-            script.most_inside.set(script.most_inside.get().max(script.inside.get()));
-            let _inside = Inside(script);
+            script.in_flight.set(script.in_flight.get() + 1);
+            script.max_in_flight.set(script.max_in_flight.get().max(script.in_flight.get()));
+            let _guard = InFlightGuard(script);
             if call.body == "poison" {
                 sleep(&self.clock, Duration::from_millis(3)).await;
                 script.up.set(false);
                 script.crashes.set(script.crashes.get() + 1);
                 return Err(Error::ConnectionLost);
             }
-            let act = script.act.borrow().clone();
-            match act {
-                Act::Answer(span, hits) => {
+            let behaviour = script.behaviour.borrow().clone();
+            match behaviour {
+                Behaviour::Answer(span, hits) => {
                     let end = self.clock.now() + span;
                     while self.clock.now() < end {
                         sleep(&self.clock, Duration::from_millis(1)).await;
@@ -164,8 +164,8 @@
                     let version = script.version.get();
                     Ok(TargetReply { hits, version, ..TargetReply::default() })
                 }
-                Act::Fail(error) => Err(error),
-                Act::Hang => std::future::pending().await,
+                Behaviour::Fail(error) => Err(error),
+                Behaviour::Hang => std::future::pending().await,
             }
         })
     }
@@ -180,14 +180,14 @@
             let script = &self.targets[name];
             script.probes.set(script.probes.get() + 1);
             self.probing.set(self.probing.get() + 1);
-            self.most_probing.set(self.most_probing.get().max(self.probing.get()));
+            self.max_probing.set(self.max_probing.get().max(self.probing.get()));
             sleep(&self.clock, Duration::from_millis(1)).await;
-            for _ in 0..script.probe_turns.get() {
+            for _ in 0..script.extra_probe_steps.get() {
                 sleep(&self.clock, Duration::from_millis(1)).await;
             }
             self.probing.set(self.probing.get() - 1);
-            if !script.up.get() && !script.speaks_on() {
-                sleep(&self.clock, script.down_span.get()).await;
+            if !script.up.get() && !script.answers_probe() {
+                sleep(&self.clock, script.down_delay.get()).await;
                 return Err(Error::ConnectFailed);
             }
             let held = HeldVersion {
@@ -198,7 +198,7 @@
             };
             let (phase, incarnation) = (script.phase.get(), script.incarnation.get());
             let mut all = vec![held];
-            all.extend(script.extra.borrow().iter().cloned());
+            all.extend(script.extra_held.borrow().iter().cloned());
             Ok(TargetStatus { phase, load: 0, held: all, incarnation })
         };
         Box::pin(async move { timeout_at(&self.clock, deadline, status).await? })
@@ -216,11 +216,11 @@
     /// The same with decisions of the test's own.
     pub fn with(targets: &[(&str, &str)], decisions: Decisions) -> World {
         let clock = PausedClock::default();
-        let scripts = Rc::new(Scripts {
+        let scripts = Rc::new(ScriptedTargets {
             clock: clock.clone(),
             targets: targets.iter().map(|(name, _)| (TargetName::from(*name), script())).collect(),
             probing: Cell::new(0),
-            most_probing: Cell::new(0),
+            max_probing: Cell::new(0),
         });
         let documents = Rc::new(FakeDocuments(RefCell::new(Rc::new(document(targets)))));
         let marks = Rc::new(FakeMarks::default());
@@ -235,17 +235,18 @@
         World { clock, scripts, documents, marks, holder }
     }
 
-    pub fn script(&self, name: &str) -> &Script {
+    pub fn script(&self, name: &str) -> &ScriptedTarget {
         &self.scripts.targets[name]
     }
 
     /// Makes `name` answer after `ms` milliseconds.
-    pub fn answers(&self, name: &str, ms: u64) {
-        *self.script(name).act.borrow_mut() = Act::Answer(Duration::from_millis(ms), Vec::new());
+    pub fn set_latency(&self, name: &str, ms: u64) {
+        *self.script(name).behaviour.borrow_mut() =
+            Behaviour::Answer(Duration::from_millis(ms), Vec::new());
     }
 
-    pub fn acts(&self, name: &str, act: Act) {
-        *self.script(name).act.borrow_mut() = act;
+    pub fn set_behaviour(&self, name: &str, behaviour: Behaviour) {
+        *self.script(name).behaviour.borrow_mut() = behaviour;
     }
 
     /// Runs `work` beside the holder's background work.
@@ -288,7 +289,7 @@
     }
 
     /// Sends `count` queries, one after another.
-    pub async fn warm(&self, count: usize) {
+    pub async fn warm_up(&self, count: usize) {
         for index in 0..count {
             self.group(request(&["s0"], &format!("warm {index}"))).await.unwrap();
         }
@@ -341,21 +342,21 @@
     document
 }
 
-fn script() -> Script {
-    Script {
-        act: RefCell::new(Act::Answer(Duration::from_millis(6), Vec::new())),
+fn script() -> ScriptedTarget {
+    ScriptedTarget {
+        behaviour: RefCell::new(Behaviour::Answer(Duration::from_millis(6), Vec::new())),
         phase: Cell::new(Phase::Ready),
         up: Cell::new(true),
         incarnation: Cell::new(1),
         version: Cell::new(VERSION),
-        extra: RefCell::default(),
+        extra_held: RefCell::default(),
         calls: RefCell::default(),
-        inside: Cell::new(0),
-        most_inside: Cell::new(0),
+        in_flight: Cell::new(0),
+        max_in_flight: Cell::new(0),
         crashes: Cell::new(0),
         probes: Cell::new(0),
-        down_span: Cell::default(),
-        last_words: Cell::default(),
-        probe_turns: Cell::new(0),
+        down_delay: Cell::default(),
+        probes_after_crash: Cell::default(),
+        extra_probe_steps: Cell::new(0),
     }
 }
--- a/crates/kumquatnotch-holder/tests/crashes.rs
+++ b/crates/kumquatnotch-holder/tests/crashes.rs
@@ -4,12 +4,13 @@
 
 use std::time::Duration;
 
-use common::{Act, World, request};
+use common::{Behaviour, World, request};
 use futures_util::future::{Either, join, select};
 use kumquatnotch_core::{Clock, Error};
 use yare::parameterized;
 
-const FIVE: [(&str, &str); 5] = [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
+const REPLICAS: [(&str, &str); 5] =
+    [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
 
 /// What the caller sees: a lost connection, and three of five targets serve on.
 /// Order: a target crashes; that it is down shows late, so that the call would be
@@ -21,20 +22,20 @@
     still_answers = { 0, 1 },
     both = { 40, 1 },
 )]
-fn a_crash_counts_before_another_target_is_tried(down_ms: u64, last_words: u32) {
-    let world = World::new(&FIVE);
+fn crash_is_confirmed_before_a_hedge_or_retry(down_ms: u64, probes_after_crash: u32) {
+    let world = World::new(&REPLICAS);
 
     let answer = world.run(async {
-        world.warm(300).await;
+        world.warm_up(300).await;
         world.pause(200).await;
-        for (name, _) in FIVE {
-            world.script(name).down_span.set(Duration::from_millis(down_ms));
-            world.script(name).last_words.set(last_words);
+        for (name, _) in REPLICAS {
+            world.script(name).down_delay.set(Duration::from_millis(down_ms));
+            world.script(name).probes_after_crash.set(probes_after_crash);
         }
         world.group(request(&["s0"], "poison")).await.unwrap()
     });
 
-    let crashes: u32 = FIVE.iter().map(|(name, _)| world.script(name).crashes.get()).sum();
+    let crashes: u32 = REPLICAS.iter().map(|(name, _)| world.script(name).crashes.get()).sum();
     assert_eq!(crashes, 2);
     assert_eq!(answer.missing[0].error, Error::ConnectionLost);
 }
@@ -44,15 +45,15 @@
 /// long, so that the suspect can't run alone there. Why: told nothing, the root took
 /// the shard for slow and sent the request to all others, which crashed too.
 #[test]
-fn a_suspect_that_finds_no_empty_target_is_told_of_soon() {
+fn suspect_without_an_idle_replica_fails_before_the_deadline() {
     let world = World::new(&[("a", "s0"), ("b", "s0")]);
 
     let (answer, took) = world.run(async {
-        world.warm(1).await;
+        world.warm_up(1).await;
         let start = world.clock.now();
         let (busy, again) = (request(&["s0"], "busy"), request(&["s0"], "again"));
-        world.acts("a", Act::Hang);
-        world.acts("b", Act::Hang);
+        world.set_behaviour("a", Behaviour::Hang);
+        world.set_behaviour("b", Behaviour::Hang);
         let poison = async {
             world.pause(1).await;
             let answer = world.group(request(&["s0"], "poison")).await.unwrap();
@@ -74,11 +75,11 @@
 /// another try. Why: the refusal of that try hid that the request had run, and
 /// the root went on to crash the targets of the other shards.
 #[test]
-fn a_request_that_ran_is_not_called_one_without_a_target() {
+fn executed_request_fails_with_connection_lost_not_no_target() {
     let world = World::new(&[("a", "s0")]);
 
     let answer = world.run(async {
-        world.warm(1).await;
+        world.warm_up(1).await;
         world.group(request(&["s0"], "poison")).await.unwrap()
     });
 
--- a/crates/kumquatnotch-holder/tests/holder.rs
+++ b/crates/kumquatnotch-holder/tests/holder.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Act, VERSION, World, document, request};
+use common::{Behaviour, VERSION, World, document, request};
 use futures_util::future::{join, join_all};
 use kumquatnotch_core::{
     Clock, Error,
@@ -29,8 +29,14 @@
 fn hits_of_all_shards_are_merged() {
     let world = World::new(&[("a", "s0"), ("b", "s1")]);
     let now = Duration::from_millis(1);
-    world.acts("a", Act::Answer(now, vec![hit("k2", 0.5, "siam"), hit("k1", 0.9, "siam")]));
-    world.acts("b", Act::Answer(now, vec![hit("k1", 0.9, "siam"), hit("k0", 0.5, "siam")]));
+    world.set_behaviour(
+        "a",
+        Behaviour::Answer(now, vec![hit("k2", 0.5, "siam"), hit("k1", 0.9, "siam")]),
+    );
+    world.set_behaviour(
+        "b",
+        Behaviour::Answer(now, vec![hit("k1", 0.9, "siam"), hit("k0", 0.5, "siam")]),
+    );
 
     let answer = world.run(world.group(request(&["s0", "s1"], "q"))).unwrap();
 
@@ -42,12 +48,12 @@
 // A rival's rates lie in the hits and in the words of the target's errors. A
 // caller must see its own and nothing of the others, whatever goes wrong.
 #[test]
-fn private_parts_reach_their_owner_only() {
+fn private_fields_are_returned_only_to_their_owner() {
     let world = World::new(&[("a", "s0"), ("b", "s1")]);
     let hits = vec![hit("own", 0.9, "siam"), hit("rival", 0.8, "barid")];
-    world.acts("a", Act::Answer(Duration::from_millis(1), hits));
+    world.set_behaviour("a", Behaviour::Answer(Duration::from_millis(1), hits));
     let secret = Error::TargetFailed { detail: "rate 40 of barid".to_owned() };
-    world.acts("b", Act::Fail(secret));
+    world.set_behaviour("b", Behaviour::Fail(secret));
 
     let answer = world.run(world.group(request(&["s0", "s1"], "q"))).unwrap();
 
@@ -58,7 +64,7 @@
 }
 
 #[test]
-fn versions_are_asked_of_the_targets() {
+fn versions_are_read_from_the_targets() {
     let world = World::new(&PAIR);
 
     let shards = vec![ShardName::from("s0")];
@@ -69,7 +75,7 @@
     assert_eq!(versions[0].versions[0].version, VERSION);
 }
 
-fn moved(version: u64) -> HeldVersion {
+fn resharded(version: u64) -> HeldVersion {
     HeldVersion {
         version: IndexVersion(version),
         shard: ShardName::from("r0"),
@@ -82,9 +88,9 @@
 /// after it found no snapshot at all: the holder told only of shards that are
 /// named as the declared one, so no root ever saw the new layout.
 #[test]
-fn versions_of_another_layout_are_told_under_the_declared_shard() {
+fn resharded_versions_are_reported_under_the_declared_shard() {
     let world = World::new(&[("a", "s0")]);
-    world.script("a").extra.borrow_mut().push(moved(VERSION.0 + 1));
+    world.script("a").extra_held.borrow_mut().push(resharded(VERSION.0 + 1));
 
     let (polled, answered) = world.run(async {
         let versions = PeerMessage::Versions(vec![ShardName::from("s0")]);
@@ -96,16 +102,16 @@
     });
 
     let PeerReply::Versions(polled) = polled else { panic!("{polled:?}") };
-    assert!(polled[0].versions.contains(&moved(VERSION.0 + 1)), "{polled:?}");
+    assert!(polled[0].versions.contains(&resharded(VERSION.0 + 1)), "{polled:?}");
     assert_eq!(answered.held[0].shard, ShardName::from("s0"));
-    assert!(answered.held[0].versions.contains(&moved(VERSION.0 + 1)));
+    assert!(answered.held[0].versions.contains(&resharded(VERSION.0 + 1)));
 }
 
 /// Both targets of a shard drain after a repartition. A node that starts then
 /// hears of no layout from them, so it lists the declared shard as missing from
 /// a version that it does not belong to. What they hold is still true.
 #[test]
-fn draining_targets_still_tell_what_they_hold() {
+fn draining_targets_still_report_their_versions() {
     let world = World::new(&[("a", "s0")]);
     world.script("a").phase.set(Phase::Draining);
 
@@ -120,12 +126,12 @@
 }
 
 #[test]
-fn version_that_nobody_holds_is_gone() {
+fn version_without_a_replica_is_reported_gone() {
     let world = World::new(&PAIR);
     let gone = GroupRequest { version: IndexVersion(6), ..request(&["s0"], "q") };
 
     let answer = world.run(async {
-        world.warm(1).await;
+        world.warm_up(1).await;
         world.pause(50).await;
         world.group(gone).await.unwrap()
     });
@@ -137,7 +143,7 @@
 // A replica answers from a newer snapshot than the one asked for, because its
 // index moved on in between. Its hits must not be mixed with the others.
 #[test]
-fn answer_of_another_version_is_not_used() {
+fn reply_of_another_version_is_rejected() {
     let world = World::new(&[("a", "s0")]);
 
     let answer = world.run(async {
@@ -151,13 +157,13 @@
 // A target is to be left alone: its own refusal says so, a probe, another node,
 // or its operators. From then on it gets nothing new, and no query fails.
 #[parameterized(
-    refusal = { |world| world.acts("a", Act::Fail(Error::Draining)) },
+    refusal = { |world| world.set_behaviour("a", Behaviour::Fail(Error::Draining)) },
     probe = { |world| world.script("a").phase.set(Phase::Draining) },
     mark = { |world| {
         let kind = MarkKind::Draining(TargetName::from("a"));
         world.marks.0.borrow_mut().push(Mark { kind, left_ms: 10_000 });
     } },
-    order = { |world| {
+    configured = { |world| {
         let mut document = document(&PAIR);
         document.targets.get_mut("a").unwrap().drain = true;
         *world.documents.0.borrow_mut() = std::rc::Rc::new(document);
@@ -167,12 +173,12 @@
     let world = World::new(&PAIR);
 
     let before = world.run(async {
-        world.warm(10).await;
+        world.warm_up(10).await;
         drain(&world);
         world.pause(2_000).await;
-        world.warm(10).await;
+        world.warm_up(10).await;
         let before = world.script("a").calls.borrow().len();
-        world.warm(20).await;
+        world.warm_up(20).await;
         before
     });
 
@@ -180,13 +186,13 @@
 }
 
 #[test]
-fn lost_replica_costs_no_coverage() {
+fn lost_replica_does_not_reduce_coverage() {
     let world = World::new(&PAIR);
 
     world.run(async {
-        world.warm(10).await;
+        world.warm_up(10).await;
         world.script("a").up.set(false);
-        world.warm(10).await;
+        world.warm_up(10).await;
     });
 
     assert!(world.script("b").calls.borrow().len() >= 10);
@@ -202,10 +208,10 @@
     draining = { Error::Draining, true },
     refused = { Error::ConnectFailed, true },
 )]
-fn exclusive_call_is_sent_again_only_if_it_has_not_run(error: Error, again: bool) {
+fn exclusive_call_is_retried_only_if_it_has_not_run(error: Error, again: bool) {
     let world = World::new(&PAIR);
-    world.acts("a", Act::Fail(error.clone()));
-    world.acts("b", Act::Fail(error));
+    world.set_behaviour("a", Behaviour::Fail(error.clone()));
+    world.set_behaviour("b", Behaviour::Fail(error));
 
     let result = world.run(world.relay("hold", 1_000));
 
@@ -217,13 +223,13 @@
 // A hold that is late looks like a straggler's call, but a copy of it would run
 // it twice. At its deadline it may have run, so it isn't called "not run".
 #[test]
-fn late_exclusive_call_is_not_copied() {
+fn late_exclusive_call_is_not_hedged() {
     let world = World::new(&PAIR);
 
     let result = world.run(async {
-        world.warm(200).await;
-        world.acts("a", Act::Hang);
-        world.acts("b", Act::Hang);
+        world.warm_up(200).await;
+        world.set_behaviour("a", Behaviour::Hang);
+        world.set_behaviour("b", Behaviour::Hang);
         world.relay("hold", 500).await
     });
 
@@ -237,9 +243,9 @@
 // and asks again; the reply comes meanwhile. Dropped at the deadline, the call
 // would end as "outcome unknown" for good, though the room is held.
 #[test]
-fn slow_hold_is_waited_for_beyond_its_deadline() {
+fn exclusive_reply_is_awaited_beyond_the_deadline() {
     let world = World::new(&[("a", "s0")]);
-    world.answers("a", 600);
+    world.set_latency("a", 600);
 
     let result = world.run(world.relay("hold", 500));
 
@@ -249,9 +255,9 @@
 
 // A hold is never answered. The wait for it ends, and its slot is free again.
 #[test]
-fn hold_without_reply_is_given_up_after_the_grace() {
+fn exclusive_call_without_reply_times_out_after_the_grace_period() {
     let world = World::new(&[("a", "s0")]);
-    world.acts("a", Act::Hang);
+    world.set_behaviour("a", Behaviour::Hang);
 
     let (result, span) = world.run(async {
         let start = world.clock.now();
@@ -261,23 +267,23 @@
 
     assert_eq!(result, Err(Error::TimedOut));
     assert_eq!(span, std::time::Duration::from_millis(2_500));
-    assert_eq!(world.script("a").inside.get(), 0);
+    assert_eq!(world.script("a").in_flight.get(), 0);
 }
 
 // One connection goes silent while new ones work. The call is made elsewhere,
 // and the target isn't taken for dead.
 #[test]
-fn silent_connection_is_not_a_dead_target() {
+fn silent_connection_does_not_mark_the_target_down() {
     let world = World::new(&PAIR);
 
     let covered = world.run(async {
-        world.warm(10).await;
-        world.acts("a", Act::Fail(Error::ConnectionSilent));
-        world.acts("b", Act::Fail(Error::ConnectionSilent));
+        world.warm_up(10).await;
+        world.set_behaviour("a", Behaviour::Fail(Error::ConnectionSilent));
+        world.set_behaviour("b", Behaviour::Fail(Error::ConnectionSilent));
         let lost = world.group(request(&["s0"], "x")).await.unwrap();
         assert!(lost.covered.is_empty());
-        world.answers("a", 6);
-        world.answers("b", 6);
+        world.set_latency("a", 6);
+        world.set_latency("b", 6);
         world.group(request(&["s0"], "y")).await.unwrap().covered
     });
 
@@ -285,9 +291,9 @@
 }
 
 #[test]
-fn patience_ends_with_what_is_there() {
+fn partial_answer_is_returned_when_patience_ends() {
     let world = World::new(&[("a", "s0"), ("b", "s1")]);
-    world.acts("b", Act::Hang);
+    world.set_behaviour("b", Behaviour::Hang);
     let mut request = request(&["s0", "s1"], "q");
     request.patience_ms = 100;
 
@@ -305,9 +311,9 @@
 // Two calls hang in the only slots, and a third waits behind them until its
 // deadline. It was never sent, and it says so; the other two don't.
 #[test]
-fn waiting_call_expires_as_not_run() {
+fn queued_call_expires_as_not_run() {
     let world = World::new(&[("a", "s0")]);
-    world.acts("a", Act::Hang);
+    world.set_behaviour("a", Behaviour::Hang);
 
     let answers =
         world.run(join_all(["x", "y", "z"].map(|body| world.group(request(&["s0"], body)))));
@@ -320,29 +326,29 @@
 // The caller goes away while its calls run and wait. Its slots must come back,
 // or the replica would be lost to everyone.
 #[test]
-fn caller_that_goes_away_frees_its_slots() {
+fn cancelled_request_frees_its_slots() {
     let world = World::new(&[("a", "s0")]);
 
     let answer = world.run(async {
-        world.acts("a", Act::Hang);
+        world.set_behaviour("a", Behaviour::Hang);
         let calls = join_all(["x", "y", "z"].map(|body| world.group(request(&["s0"], body))));
         let deadline = world.clock.now() + Duration::from_millis(50);
         assert!(timeout_at(&world.clock, deadline, calls).await.is_err());
-        world.answers("a", 6);
+        world.set_latency("a", 6);
         world.group(request(&["s0"], "w")).await.unwrap()
     });
 
     assert_eq!(answer.covered.len(), 1);
-    assert_eq!(world.script("a").inside.get(), 0);
+    assert_eq!(world.script("a").in_flight.get(), 0);
 }
 
 // A hold waits behind two that hang, and all three have the same deadline. The
 // slots come free at that very moment; the hold was told to be expired and not
 // run, so it must not be sent then.
 #[test]
-fn expired_hold_is_never_sent() {
+fn expired_exclusive_call_is_never_sent() {
     let world = World::new(&[("a", "s0")]);
-    world.acts("a", Act::Hang);
+    world.set_behaviour("a", Behaviour::Hang);
 
     let ((_, _), last) = world.run(async {
         let hanging = join(world.relay("x", 100), world.relay("y", 100));
--- a/crates/kumquatnotch-holder/tests/load.rs
+++ b/crates/kumquatnotch-holder/tests/load.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Act, World, request};
+use common::{Behaviour, World, request};
 use futures_util::future::{join, join_all};
 use kumquatnotch_core::{Clock, Error, clock::sleep, document::Class, query::GroupRequest};
 use kumquatnotch_holder::Decisions;
@@ -30,42 +30,42 @@
 // Some calls to a good replica hang, as on a connection that went silent. A
 // copy goes to the other replica, and the call that lost is cancelled.
 #[test]
-fn late_call_is_copied_and_the_loser_cancelled() {
+fn late_call_is_hedged_and_the_loser_cancelled() {
     let late = |decisions| {
         let world = World::with(&PAIR, decisions);
         let elapsed = world.run(async {
-            world.warm(200).await;
-            world.acts("a", Act::Hang);
+            world.warm_up(200).await;
+            world.set_behaviour("a", Behaviour::Hang);
             let start = world.clock.now();
             let _ =
                 join(world.group(request(&["s0"], "x")), world.group(request(&["s0"], "y"))).await;
             world.clock.now() - start
         });
-        (elapsed, world.script("a").inside.get())
+        (elapsed, world.script("a").in_flight.get())
     };
 
-    let (elapsed, inside) = late(Decisions::default());
+    let (elapsed, in_flight) = late(Decisions::default());
     let (naive, _) = late(Decisions { hedge: Box::new(NoHedge), ..Decisions::default() });
 
     assert!(elapsed < Duration::from_millis(60), "{elapsed:?}");
-    assert_eq!(inside, 0);
+    assert_eq!(in_flight, 0);
     assert_eq!(naive, Duration::from_millis(1_000));
 }
 
 /// Sends `count` queries at once; how many were inside the target at most.
-fn most_inside(decisions: Decisions, count: usize) -> u32 {
+fn max_in_flight(decisions: Decisions, count: usize) -> u32 {
     let world = World::with(&[("a", "s0")], decisions);
     world.run(async {
         let bodies: Vec<String> = (0..count).map(|index| format!("q{index}")).collect();
         join_all(bodies.iter().map(|body| world.group(request(&["s0"], body)))).await
     });
-    world.script("a").most_inside.get()
+    world.script("a").max_in_flight.get()
 }
 
 #[test]
-fn queue_is_kept_on_our_side() {
-    assert!(most_inside(Decisions::default(), 20) <= 3);
-    assert_eq!(most_inside(naive(), 20), 20);
+fn excess_calls_queue_in_the_holder() {
+    assert!(max_in_flight(Decisions::default(), 20) <= 3);
+    assert_eq!(max_in_flight(naive(), 20), 20);
 }
 
 // Demand is far over capacity. Those who can't be served in time learn it at
@@ -75,7 +75,7 @@
     let world = World::new(&[("a", "s0")]);
 
     let (refused, served) = world.run(async {
-        world.warm(50).await;
+        world.warm_up(50).await;
         let bodies: Vec<String> = (0..600).map(|index| format!("q{index}")).collect();
         let start = world.clock.now();
         let results = join_all(bodies.iter().map(|body| async {
@@ -102,12 +102,12 @@
 // A request crashes the targets that run it, and its caller sends it again and
 // again, beside other callers. Two targets may fall; the others are answered.
 #[test]
-fn poisoned_request_is_contained() {
+fn request_that_crashes_targets_is_contained() {
     let targets = [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
     let crashes = |decisions| {
         let world = World::with(&targets, decisions);
         let last = world.run(async {
-            world.warm(20).await;
+            world.warm_up(20).await;
             world.pause(200).await;
             let mut last = None;
             for index in 0..6 {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn audit_waits_for_the_desk() {
+fn audit_call_runs_after_desk_calls() {
     let world = World::new(&[("a", "s0")]);
     let audit = GroupRequest { class: Class::Audit, ..request(&["s0"], "audit") };
 
@@ -159,7 +159,7 @@
 // Forty targets restart at once. Nothing but probes goes to them, a few at a
 // time, and queries are answered again soon after they are back.
 #[test]
-fn mass_restart_meets_no_storm() {
+fn mass_restart_causes_no_call_or_probe_storm() {
     let names: Vec<(String, String)> =
         (0..40).map(|index| (format!("t{index}"), format!("s{}", index / 2))).collect();
     let targets: Vec<(&str, &str)> = names.iter().map(|(t, s)| (t.as_str(), s.as_str())).collect();
@@ -184,5 +184,5 @@
     });
 
     assert_eq!((refused, calls, back), (20, 0, 20));
-    assert!(world.scripts.most_probing.get() <= 16);
+    assert!(world.scripts.max_probing.get() <= 16);
 }
--- a/crates/kumquatnotch-holder/tests/probes.rs
+++ b/crates/kumquatnotch-holder/tests/probes.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Act, World, document, request};
+use common::{Behaviour, World, document, request};
 use futures_util::future::join;
 use kumquatnotch_core::{
     Clock, Error,
@@ -17,7 +17,7 @@
 const PAIR: [(&str, &str); 2] = [("a", "s0"), ("b", "s1")];
 
 /// Asks "s0" every 100 ms for `seconds`.
-async fn keep_asking(world: &World, seconds: usize) {
+async fn query_repeatedly(world: &World, seconds: usize) {
     for index in 0..seconds * 10 {
         world.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
         world.pause(94).await;
@@ -33,7 +33,7 @@
 
     let (busy, idle) = world.run(async {
         world.group(request(&["s0", "s1"], "first")).await.unwrap();
-        keep_asking(&world, 30).await;
+        query_repeatedly(&world, 30).await;
         (world.script("a").probes.get(), world.script("b").probes.get())
     });
 
@@ -44,12 +44,12 @@
 // Targets publish a version while they answer calls of the one before. Roots
 // hear of it only through probes, so these must not be put off for long.
 #[test]
-fn published_version_is_heard_of_while_calls_are_answered() {
+fn new_version_is_discovered_while_calls_are_answered() {
     let world = World::new(&PAIR);
     let newer = IndexVersion(8);
 
     let seen = world.run(async {
-        keep_asking(&world, 5).await;
+        query_repeatedly(&world, 5).await;
         let start = world.clock.now();
         world.script("a").version.set(newer);
         loop {
@@ -69,7 +69,7 @@
 // A shard is asked for, then not for minutes, then again. Its targets are left
 // alone in between and probed again afterwards.
 #[test]
-fn targets_that_nobody_asks_for_are_left_alone() {
+fn targets_of_idle_shards_are_not_probed() {
     let world = World::new(&PAIR);
 
     let (pause, after) = world.run(async {
@@ -93,7 +93,7 @@
 // is dropped in the middle. The target counted as being probed for ever, and
 // nothing that it did later was noticed.
 #[test]
-fn dropped_probe_is_made_again() {
+fn dropped_probe_is_rescheduled() {
     let world = World::new(&PAIR);
 
     let probes = world.run(async {
@@ -112,7 +112,7 @@
 // Another node marks a target as draining, the document changes, and the mark
 // expires. The target takes no work just as long as the mark lasts.
 #[test]
-fn mark_holds_over_a_new_document_and_ends() {
+fn draining_mark_survives_a_document_change_and_expires() {
     let world = World::new(&[("a", "s0")]);
     let target = TargetName::from("a");
 
@@ -141,12 +141,12 @@
 // probe takes five turns. Why: the target answered at once, but the holder took
 // the time in which it read nothing for silence, twice in a row.
 #[test]
-fn own_delay_is_not_taken_for_silence() {
+fn holder_delay_does_not_fail_probes() {
     let world = World::new(&[("a", "s0")]);
 
     let answer = world.run(async {
         world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").probe_turns.set(4);
+        world.script("a").extra_probe_steps.set(4);
         for _ in 0..100 {
             world.pause(1).await;
             world.clock.advance(Duration::from_millis(149));
@@ -161,12 +161,12 @@
 // The status page of a target hangs, but it answers calls. It is not silent, and
 // the only replica of its shard has to go on serving.
 #[test]
-fn target_that_answers_calls_is_not_silent() {
+fn target_that_answers_calls_stays_up_without_probes() {
     let world = World::new(&[("a", "s0")]);
 
     let missing = world.run(async {
         world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").probe_turns.set(10_000);
+        world.script("a").extra_probe_steps.set(10_000);
         let mut missing = 0;
         for index in 0..80 {
             let answer = world.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
@@ -182,13 +182,13 @@
 // The holder is late now and then, and the target is silent in truth: calls and
 // probes hang. It has to be found out all the same, within a few seconds.
 #[test]
-fn silence_is_noticed_by_a_holder_that_is_late_at_times() {
+fn unresponsive_target_is_detected_despite_holder_delays() {
     let world = World::new(&[("a", "s0")]);
 
     let error = world.run(async {
         world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").probe_turns.set(100_000);
-        world.acts("a", Act::Hang);
+        world.script("a").extra_probe_steps.set(100_000);
+        world.set_behaviour("a", Behaviour::Hang);
         for _ in 0..30 {
             world.pause(100).await;
             world.clock.advance(Duration::from_millis(100));
@@ -203,14 +203,14 @@
 // check whether it crashed takes long by the clock. What the caller sees: its
 // request is taken for one that crashes targets and is refused for minutes.
 #[test]
-fn own_delay_is_not_taken_for_a_crash() {
+fn holder_delay_is_not_mistaken_for_a_crash() {
     let world = World::new(&[("a", "s0"), ("b", "s0")]);
 
     let answer = world.run(async {
-        world.warm(10).await;
+        world.warm_up(10).await;
         for name in ["a", "b"] {
-            world.script(name).probe_turns.set(4);
-            world.acts(name, Act::Fail(Error::ConnectionLost));
+            world.script(name).extra_probe_steps.set(4);
+            world.set_behaviour(name, Behaviour::Fail(Error::ConnectionLost));
         }
         let busy = async {
             for _ in 0..400 {
@@ -224,8 +224,8 @@
                 world.pause(500).await;
             }
             for name in ["a", "b"] {
-                world.script(name).probe_turns.set(0);
-                world.answers(name, 6);
+                world.script(name).extra_probe_steps.set(0);
+                world.set_latency(name, 6);
             }
         };
         join(busy, asked).await;
