--- a/crates/kumquatnotch-holder/src/calls.rs
+++ b/crates/kumquatnotch-holder/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to targets: sending one, hedging it, trying it again.
+//! Calls to targets: sending, hedging and retrying.
 
 use std::{pin::Pin, rc::Rc, time::Duration};
 
@@ -17,35 +17,34 @@
     slots::{Slot, Work},
 };
 
-/// How long a target that says it drains is marked for all nodes.
+/// Time to live of the draining mark of a target.
 ///
-/// The mark is renewed while probes say the same, and a target that has come
-/// back is used again soon after.
+/// Probes renew the mark while the target drains, so a target that has returned is used again
+/// soon after.
 pub const DRAINING_SPAN: Duration = Duration::from_secs(10);
 
-/// The share of its time for which a request that has lost a target waits for
-/// another one to be empty.
+/// Share of its time left for which a request that lost its target waits for an idle replica.
 ///
-/// The root keeps a request from other shards while it waits for this one, half of
-/// its patience at most. A holder that said nothing until the deadline left the
-/// root to fan out a request that crashes each target.
+/// The root withholds a request from other shards while it waits for this one, for at most half of
+/// its patience. If the holder does not answer before then, the root fans out a request that may
+/// crash every target.
 const ALONE_WAIT_SHARE: f64 = 0.2;
 
-/// The delays after which a second copy goes before those who wait for a slot.
+/// Number of hedge delays after which a hedged copy bypasses the queue.
 ///
-/// A call on a connection that has gone silent would else wait as long as there
-/// is a queue, though it has waited longer than anyone in it.
+/// Otherwise a call on a silent connection would not be hedged while there is a queue, although it
+/// has waited longer than any call in the queue.
 const QUEUE_BYPASS_DELAYS: u32 = 3;
 
 impl Core {
-    /// Runs `work` on a replica of its shard, again on another if that is safe.
+    /// Runs `work` on a replica of its shard and retries it on another if that is safe.
     pub async fn run(self: &Rc<Self>, work: &Rc<Work>) -> Result<TargetReply> {
         self.retry.borrow_mut().on_call();
         let mut tried = Vec::new();
         let mut tries = 0;
-        // A refusal of a later try must not hide that an earlier one ran. A request
-        // that has crashed the last replica would end with "no target", and the
-        // root, which takes that for a shard that is lost, would try it elsewhere.
+        // Error of the last attempt that may have run. It takes precedence over the refusal of a
+        // later attempt: a request that crashed the last replica would otherwise fail with "no
+        // target", and the root would take the shard for lost and send the request elsewhere.
         let mut last_run_error: Option<Error> = None;
         loop {
             let alone = match self.verdict(work.fingerprint) {
@@ -69,7 +68,7 @@
                 Ok(reply) => return Ok(reply),
                 Err(error) => error,
             };
-            // The request has run, so the refusal "not run" would be untrue of it.
+            // The request has run, so it must not be refused as "not run".
             if matches!(self.verdict(work.fingerprint), Verdict::Refused(_)) {
                 return Err(error);
             }
@@ -87,14 +86,14 @@
         }
     }
 
-    /// Waits for a replica with nothing else in flight, for a share of the time left.
+    /// Waits for an idle replica, for [`ALONE_WAIT_SHARE`] of the time left.
     async fn acquire_alone(self: &Rc<Self>, work: &Rc<Work>, tried: &[TargetName]) -> Result<Slot> {
         let now = self.now();
         let until = now + work.deadline.saturating_duration_since(now).mul_f64(ALONE_WAIT_SHARE);
         timeout_at(&*self.clock, until, self.acquire(work, tried, true)).await?
     }
 
-    /// How the request of this fingerprint may run.
+    /// Returns how the request of this fingerprint may run.
     pub fn verdict(&self, print: kumquatnotch_core::ids::Fingerprint) -> Verdict {
         match self.marks.left_ms(&MarkKind::Contained(print)) {
             Some(left) => Verdict::Refused(Duration::from_millis(left)),
@@ -125,7 +124,7 @@
         names.iter().any(|name| work.eligible.contains(name) && !tried.contains(name))
     }
 
-    /// One attempt, with a second copy on another replica if it is late.
+    /// Makes one attempt, hedged on another replica if it is late.
     async fn attempt(
         self: &Rc<Self>,
         work: &Rc<Work>,
@@ -156,22 +155,22 @@
         first_success(first, Box::pin(self.call(work, slot))).await
     }
 
-    /// A slot for a second copy, if one is free and the budget pays for it.
+    /// Takes a slot for a hedged copy if one is free and the hedge budget allows it.
     fn hedge_slot(
         self: &Rc<Self>,
         work: &Work,
         tried: &[TargetName],
         bypass_queue: bool,
     ) -> Option<Slot> {
-        // The lost connection may be the request's own doing. A copy sent before
-        // its target was asked would crash a second replica, unproved again, as
-        // the first crash has not made the request a suspect yet.
+        // The request itself may have crashed the target whose connection was lost. Until the
+        // crash check ends, the request is not a suspect yet, and a hedged copy could crash a
+        // second replica without identifying the request as the cause.
         if self.has_crash_check(tried) {
             return None;
         }
         let slot = self.spare_slot(work, tried, bypass_queue)?;
         if !self.hedge.borrow_mut().spend() {
-            // It was never used, so it tells nothing of the replica.
+            // The slot was never used, so its release must not count as an abandoned call.
             let mut slot = slot;
             slot.completed = true;
             return None;
@@ -180,14 +179,14 @@
         Some(slot)
     }
 
-    /// Whether one of `tried` is being asked whether it crashed.
+    /// Whether a crash check of one of `tried` is in progress.
     fn has_crash_check(&self, tried: &[TargetName]) -> bool {
         let table = self.table.borrow();
         let mut entries = tried.iter().filter_map(|name| table.entries.get(name));
         entries.any(|entry| entry.crash_waiters.is_some())
     }
 
-    /// Sends `work` to the replica of `slot` and learns from how it ends.
+    /// Sends `work` to the replica of `slot` and records the outcome.
     async fn call(self: &Rc<Self>, work: &Rc<Work>, mut slot: Slot) -> Result<TargetReply> {
         let call = TargetCall {
             id: self.random.number(),
@@ -207,7 +206,7 @@
             Ok(reply) if work.version.is_some_and(|version| version != reply.version) => {
                 slot.completed = true;
                 // Hits of another version would mix two snapshots in one answer.
-                Err(Error::protocol("answered from another version"))
+                Err(Error::protocol("reply is from another index version"))
             }
             Ok(reply) => {
                 self.on_reply(work, &mut slot, &reply);
@@ -227,8 +226,8 @@
         let mut table = self.table.borrow_mut();
         if let Some(entry) = table.entries.get_mut(&slot.target) {
             entry.replica.on_answer(latency, reply.load, now);
-            // Cold caches would look like slots that were lost, and the limit
-            // would be cut just when the target has to catch up.
+            // The limit would take the latencies of cold caches for lost slots, and would be
+            // lowered just when the target has to catch up.
             if entry.replica.is_settled() {
                 entry.limit.on_answer(slot.level, latency, now);
             }
@@ -246,7 +245,7 @@
     async fn on_error(self: &Rc<Self>, work: &Work, slot: &mut Slot, error: &Error) {
         let now = self.now();
         let target = &slot.target;
-        // The text of an error may hold a rival's data, so only its code is logged.
+        // The text of an error may contain data of another tenant, so only its code is logged.
         tracing::debug!(%target, code = error.code(), "holder: call failed");
         match error {
             Error::ConnectionLost => {
@@ -254,7 +253,7 @@
                 slot.completed = true;
                 return;
             }
-            // These say how long the target kept us waiting, as a dropped call does.
+            // The elapsed time is recorded as for an abandoned call when the slot is released.
             Error::TimedOut => return,
             Error::ConnectionSilent => {
                 self.meters.silences.increment(1);
@@ -277,7 +276,7 @@
                 entry.replica.on_draining();
                 drop(table);
                 self.set_mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
-                tracing::info!(%target, "holder: target drains");
+                tracing::info!(%target, "holder: target is draining");
             }
             Error::VersionGone { version } => {
                 let version = kumquatnotch_core::ids::IndexVersion(*version);
@@ -293,23 +292,21 @@
     }
 }
 
-/// The refusal of a contained request.
+/// Returns the refusal of a contained request.
 pub fn contained(left: Duration) -> Error {
     Error::Contained { retry_ms: left.as_millis() as u64 }
 }
 
-/// `error` without the target's own words, which may hold what only one tenant may see.
+/// Removes the text of the target from `error`, as it may contain private data of a tenant.
 fn redact(error: Error) -> Error {
     match error {
-        Error::TargetFailed { .. } => {
-            Error::TargetFailed { detail: "it reported a failure".to_owned() }
-        }
-        Error::Protocol { .. } => Error::protocol("the target's reply can't be read"),
+        Error::TargetFailed { .. } => Error::TargetFailed { detail: "details withheld".to_owned() },
+        Error::Protocol { .. } => Error::protocol("invalid reply from the target"),
         error => error,
     }
 }
 
-/// The first success of two calls; the last error if both fail.
+/// Returns the first success of two calls, or the last error if both fail.
 async fn first_success<T>(
     first: Pin<Box<impl Future<Output = Result<T>>>>,
     second: Pin<Box<impl Future<Output = Result<T>>>>,
--- a/crates/kumquatnotch-holder/src/core.rs
+++ b/crates/kumquatnotch-holder/src/core.rs
@@ -1,4 +1,4 @@
-//! What the modules of the holder share.
+//! State and services shared by the modules of the holder.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,7 +21,7 @@
 
 use crate::{Decisions, HolderOptions, meters::Meters, table::Table};
 
-/// The state, the decisions and the borders of a holder.
+/// State, policies and external services of a holder.
 pub struct Core {
     pub options: HolderOptions,
     pub clock: Rc<dyn Clock>,
@@ -39,7 +39,7 @@
     pub new_queue: fn() -> Box<dyn WaitQueue>,
     pub meters: Meters,
     pub serial: Cell<u64>,
-    /// The time by which the tick was late, in all.
+    /// Total time by which background ticks were late.
     pub stall_time: Cell<Duration>,
 }
 
@@ -75,25 +75,25 @@
         self.clock.now()
     }
 
-    /// A number that grows, for slots and waiters.
+    /// Returns the next id of a slot or waiter; ids increase.
     pub fn next_serial(&self) -> u64 {
         let serial = self.serial.get() + 1;
         self.serial.set(serial);
         serial
     }
 
-    /// Takes over the document in force, if it has changed.
+    /// Applies the current document if it has changed.
     pub fn refresh_document(&self) -> Result<()> {
         let document = self.documents.current().ok_or(Error::NotReady)?;
         let gone = self.table.borrow_mut().apply_document(&document, &self.options, self.new_limit);
         for name in &gone {
-            tracing::info!(target = %name, "holder: target is gone from the document");
+            tracing::info!(target = %name, "holder: target was removed or its address changed");
             self.targets.disconnect(name);
         }
         Ok(())
     }
 
-    /// Sets and spreads a mark.
+    /// Sets a mark on all nodes for `span`.
     pub fn set_mark(&self, kind: MarkKind, span: Duration) {
         self.marks.set(Mark { kind, left_ms: span.as_millis() as u64 });
     }
--- a/crates/kumquatnotch-holder/src/crash.rs
+++ b/crates/kumquatnotch-holder/src/crash.rs
@@ -1,4 +1,6 @@
-//! What a lost connection means: did the target crash, and under which request?
+//! Crash checks: whether a target crashed when a connection to it was lost.
+//!
+//! After a crash, the requests in flight to the target are reported to the containment policy.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,14 +13,14 @@
 
 use crate::{core::Core, table::Entry};
 
-/// The time after which a target that seems well is asked once more.
+/// Time after which a target that seems healthy is probed a second time.
 ///
-/// One that goes down loses one connection after the other, and may still answer a
-/// probe on the next. Its request would not become a suspect, and would be tried
-/// on replica after replica. A target that answers after this time has not crashed.
+/// A crashing target loses its connections one by one and may still answer a probe on one of them.
+/// The request that crashed it would then not become a suspect and would be retried on one replica
+/// after another. A target that answers after this time has not crashed.
 const RECHECK_DELAY: Duration = Duration::from_millis(5);
 
-/// A check that is on; one that is cut short counts as a crash.
+/// A crash check in progress; dropping it before its end counts as a crash.
 struct CrashCheck {
     core: Rc<Core>,
     target: TargetName,
@@ -33,6 +35,7 @@
     }
 }
 
+/// Role of a call in the crash check of its target.
 enum CheckStart {
     First { known: Option<u64>, spec: Rc<TargetSpec>, present: Vec<Running>, alone: bool },
     Joined(oneshot::Receiver<()>),
@@ -53,11 +56,10 @@
 }
 
 impl Core {
-    /// Finds out whether `target` crashed, after a call to it was cut off.
+    /// Checks whether `target` crashed after the connection of a call to it was lost.
     ///
-    /// Every call that was in flight is cut off by the same crash. The first one
-    /// asks the target; the others wait for what it hears, so that one crash
-    /// isn't counted once for each of them.
+    /// A crash cuts off all calls in flight at once. The first one probes the target and the others
+    /// wait for the result, so that the crash is counted only once.
     pub async fn check_crash(self: &Rc<Self>, target: &TargetName) {
         let (known, spec, present, alone) = match self.begin_check(target) {
             CheckStart::First { known, spec, present, alone } => (known, spec, present, alone),
@@ -67,12 +69,13 @@
             }
             CheckStart::Gone => return,
         };
-        // A caller that gives up during the check must not save the request from
-        // being suspected, so "crashed" holds until the target says otherwise.
+        // The request must become a suspect even if its caller gives up during the check.
+        // `crashed` is therefore true until a probe shows otherwise.
         let (core, target) = (self.clone(), target.clone());
         let check = CrashCheck { core, target, present, alone, crashed: true };
-        // Nor may it cut the check short: where this holder is late the caller's
-        // time ends first, and a request would be contained that crashed nothing.
+        // The check runs in its own task, so that the caller's deadline cannot cut it short. If
+        // this holder is slow, the deadline passes first, and a request that crashed nothing would
+        // be contained.
         monoio::spawn(check.run(spec, known)).await;
     }
 
@@ -139,11 +142,12 @@
     }
 }
 
-/// Whether a target answers and is in the life that was `known`.
+/// Whether a target answered and its incarnation is still `known`.
 fn is_same_incarnation(status: &Result<TargetStatus>, known: Option<u64>) -> bool {
     status.as_ref().is_ok_and(|status| known == Some(status.incarnation))
 }
 
+/// Returns the distinct requests in flight to a target.
 fn distinct_running(entry: &Entry) -> Vec<Running> {
     let mut present: Vec<Running> = Vec::new();
     for (_, running) in &entry.running {
--- a/crates/kumquatnotch-holder/src/decisions.rs
+++ b/crates/kumquatnotch-holder/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions that a holder is put together with.
+//! The policies of a holder.
 
 use kumquatnotch_policy::{
     choice::{Choice, LeastTime},
@@ -11,21 +11,21 @@
     retry::{BudgetRetry, Retry},
 };
 
-/// The decisions of a holder; any can be replaced by another of its kind.
+/// Policies of a holder, each replaceable by another implementation.
 pub struct Decisions {
-    /// Which replica runs a call.
+    /// Selects the replica that runs a call.
     pub choice: Box<dyn Choice>,
-    /// Makes the limit of a replica.
+    /// Creates the concurrency limit of a replica.
     pub limit: fn() -> Box<dyn Limit>,
-    /// Makes the queue of a shard.
+    /// Creates the queue of a shard.
     pub queue: fn() -> Box<dyn WaitQueue>,
-    /// When a second copy is sent.
+    /// Decides when a call is hedged.
     pub hedge: Box<dyn Hedge>,
-    /// What is tried again.
+    /// Decides which failed calls are retried.
     pub retry: Box<dyn Retry>,
-    /// What is kept from targets.
+    /// Contains requests that crash targets.
     pub containment: Box<dyn Containment>,
-    /// Which replicas get a small share only.
+    /// Decides which replicas are warming up and get a reduced share of the calls.
     pub warmup: Box<dyn Warmup>,
 }
 
--- a/crates/kumquatnotch-holder/src/group.rs
+++ b/crates/kumquatnotch-holder/src/group.rs
@@ -30,18 +30,17 @@
     table::TargetSet,
 };
 
-/// The share of its time that a group may be expected to wait, in the mean of its shards.
+/// Maximum expected wait of a group as a share of its time left, averaged over its shards.
 ///
-/// Each shard refusing for itself would leave almost every query with gaps,
-/// and the part of it that ran would be wasted. So the group is refused as a
-/// whole well before its shards refuse; the mean over them doesn't mind one
-/// shard that is far behind the rest.
+/// If each shard refused on its own, almost every query would miss shards and the work of the
+/// others would be wasted. The group is therefore refused as a whole well before single shards
+/// refuse. The average keeps one overloaded shard from refusing the whole group.
 const MAX_GROUP_WAIT_SHARE: f64 = 0.2;
-/// The shortest time that a refused root is told to stay away.
+/// Minimum retry-after time of a refused group.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 impl Core {
-    /// Answers `request` with what its shards return in time.
+    /// Answers `request` from the shards that reply in time.
     pub async fn answer_group(self: &Rc<Self>, request: &GroupRequest) -> Result<GroupAnswer> {
         self.refresh_document()?;
         let start = self.now();
@@ -79,20 +78,20 @@
             fingerprint: request.fingerprint,
             eligible: eligible.clone(),
             deadline,
-            // A second copy of the whole group is one copy too many already.
+            // A hedged copy of the whole group must not be hedged again per shard.
             hedgeable: !request.hedge,
             sent: Cell::new(false),
         }
     }
 
-    /// The share of a tenant.
+    /// Returns the weight of a tenant, 1 if it is unknown.
     pub fn weight(&self, tenant: &TenantName) -> u32 {
         let table = self.table.borrow();
         let tenants = table.document.as_ref().map(|document| &document.rules.tenants);
         tenants.and_then(|tenants| tenants.get(tenant)).map_or(1, |tenant| tenant.weight)
     }
 
-    /// Refuses the group if its shards are too busy.
+    /// Refuses the group if the expected wait of its shards is too long.
     fn admit_group(&self, request: &GroupRequest, deadline: Instant) -> Result<()> {
         let wait = self.mean_wait(&request.shards, request.class, &request.tenant);
         let left = deadline.saturating_duration_since(self.now());
@@ -104,7 +103,7 @@
         Err(Error::overloaded((wait - bound).max(MIN_RETRY_AFTER)))
     }
 
-    /// Runs every work until `patience`, or longer while nothing is there.
+    /// Runs all calls until `patience`, or until `deadline` while no shard has been answered.
     async fn gather(
         self: &Rc<Self>,
         works: &[Rc<Work>],
@@ -163,12 +162,12 @@
         GroupAnswer { hits, covered, missing, held, wait_us: wait.as_micros() as u64 }
     }
 
-    /// What the targets declared for each of `shards` hold.
+    /// Returns the versions held by the targets that declare each of `shards`.
     ///
-    /// Everything that they hold is told, under the name that they declare: after
-    /// a repartition a version has shards of other names, and a root that heard
-    /// only of the declared ones would find no snapshot at all. Targets that
-    /// drain are heard too, as the shards of a version stay its shards.
+    /// All held versions are reported under the declared shard. After a repartition a version has
+    /// shards of other names, and a root that learned only of the declared ones would find no
+    /// snapshot. Draining targets are included, as the shards they hold still belong to their
+    /// versions.
     pub fn held_versions(&self, shards: &[ShardName]) -> Vec<ShardVersions> {
         let now = self.now();
         let table = self.table.borrow();
@@ -189,7 +188,7 @@
             .collect()
     }
 
-    /// The shards that the targets holding `shards` declare.
+    /// Returns the shards declared by the targets that hold `shards`.
     fn declared_shards(&self, shards: &[ShardName]) -> Vec<ShardName> {
         let table = self.table.borrow();
         let targets = shards.iter().filter_map(|shard| table.index.get(shard)).flatten();
@@ -198,7 +197,7 @@
         names.into_iter().cloned().collect()
     }
 
-    /// The mean time that requests of this class and tenant would wait now.
+    /// Returns the expected wait of a request of this class and tenant, averaged over `shards`.
     fn mean_wait(&self, shards: &[ShardName], class: Class, tenant: &TenantName) -> Duration {
         if shards.is_empty() {
             return Duration::ZERO;
--- a/crates/kumquatnotch-holder/src/lib.rs
+++ b/crates/kumquatnotch-holder/src/lib.rs
@@ -1,16 +1,15 @@
-//! The holder: everything a node does towards targets.
+//! The holder: the component of a node that talks to targets.
 //!
-//! A holder owns a group of shards. It answers sub-requests of roots for them
-//! out of the replicas that serve them, and is the only part that decides which
-//! replica runs a call, how many run at once, who waits, and what is tried
-//! again. The decisions themselves are the traits of the policy crate; this
-//! crate feeds them with what it observes and carries them out.
+//! A holder owns a group of shards and answers the sub-requests of roots for them from the
+//! replicas that serve them. It alone selects the replica of a call, limits concurrency, queues
+//! requests and retries failed calls. The policies behind these decisions are traits of the policy
+//! crate; this crate supplies their inputs and carries out their results.
 //!
-//! A call goes through these modules in turn: `group` splits a sub-request into
-//! its shards, `slots` and `selection` find each a replica or a place in the queue,
-//! `calls` sends it, hedges it and tries it again, `crash` looks into a lost
-//! connection, and `merge` puts the answers together. `probes` keeps the
-//! observations fresh between calls, in the order of `schedule`.
+//! A request passes through these modules in order: `group` splits it by shard, `slots` and
+//! `selection` assign each part a replica or a place in the queue, `calls` sends, hedges and
+//! retries it, `crash` checks whether a lost connection was a crash, and `merge` combines the
+//! hits. `probes` refreshes the state of the targets in the background, at the times kept by
+//! `schedule`.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatnotch-holder/src/meters.rs
+++ b/crates/kumquatnotch-holder/src/meters.rs
@@ -1,4 +1,4 @@
-//! What the holder counts.
+//! Metrics of the holder.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -7,22 +7,22 @@
 
 /// The metrics of a holder.
 ///
-/// Handles are kept, as looking one up by its labels on each call allocates.
+/// The handles are cached, as a lookup by labels allocates on each call.
 pub struct Meters {
     histograms: RefCell<HashMap<(TenantName, Class), Histograms>>,
     /// Calls sent to targets.
     pub calls: Counter,
-    /// Second copies of late calls.
+    /// Hedged copies of late calls.
     pub hedges: Counter,
-    /// Repeated attempts.
+    /// Retries of failed calls.
     pub retries: Counter,
-    /// Calls that targets refused.
+    /// Calls shed by targets.
     pub sheds: Counter,
-    /// Requests refused for want of capacity.
+    /// Requests refused for lack of capacity.
     pub refusals: Counter,
-    /// Targets that crashed under a call.
+    /// Crashes of targets with calls in flight.
     pub crashes: Counter,
-    /// Connections that went silent.
+    /// Connections that stopped responding.
     pub silences: Counter,
 }
 
@@ -48,12 +48,12 @@
 }
 
 impl Meters {
-    /// A call of this tenant and class waited for a slot.
+    /// Records how long a call of this tenant and class waited for a slot.
     pub fn record_wait(&self, tenant: &TenantName, class: Class, span: Duration) {
         self.histograms(tenant, class).wait.record(span.as_secs_f64());
     }
 
-    /// A call of this tenant and class was answered by a target.
+    /// Records how long a target took to answer a call of this tenant and class.
     pub fn record_service(&self, tenant: &TenantName, class: Class, span: Duration) {
         self.histograms(tenant, class).service.record(span.as_secs_f64());
     }
--- a/crates/kumquatnotch-holder/src/options.rs
+++ b/crates/kumquatnotch-holder/src/options.rs
@@ -7,19 +7,19 @@
 /// Options of a [`crate::HolderService`].
 #[derive(Clone, Debug)]
 pub struct HolderOptions {
-    /// The data centre of this node.
+    /// Data centre of this node.
     pub centre: DataCentre,
-    /// How many holders share the slots of a replica.
+    /// Number of holders that share the slots of a replica.
     pub holders: u32,
-    /// The time between two probes of a target.
+    /// Interval between probes of a target, before jitter.
     pub probe_interval: Duration,
-    /// How long a probe may take.
+    /// Timeout of a probe.
     pub probe_timeout: Duration,
-    /// How long a shard is probed after it was last asked for.
+    /// How long the targets of a shard are probed after its last request.
     pub idle_timeout: Duration,
-    /// The one-way delay assumed within a region.
+    /// One-way network delay assumed between data centres of a region.
     pub near_delay: Duration,
-    /// The one-way delay assumed between regions.
+    /// One-way network delay assumed between regions.
     pub far_delay: Duration,
 }
 
--- a/crates/kumquatnotch-holder/src/probes.rs
+++ b/crates/kumquatnotch-holder/src/probes.rs
@@ -1,4 +1,4 @@
-//! The background work: probes of targets, and queues whose replicas come back.
+//! The background work: probes of targets and periodic dispatch of the queues.
 
 use std::{
     rc::Rc,
@@ -23,27 +23,27 @@
 
 use crate::{calls::DRAINING_SPAN, core::Core, slots::expire_waiters, table::Table};
 
-/// The time between two rounds of the background work.
+/// Interval between two rounds of the background work.
 const TICK: Duration = Duration::from_millis(25);
-/// The most probes at a time.
+/// Maximum number of concurrent probes.
 ///
-/// After a mass restart every target is due at once, and a new connection costs
-/// each of them milliseconds.
+/// After a mass restart all targets are due at once, and each new connection costs a target
+/// milliseconds.
 const MAX_CONCURRENT_PROBES: usize = 16;
-/// The lateness of a timer that is no more than the runtime's own grain.
+/// Maximum delay of a timer that is due to the resolution of the runtime.
 const TIMER_GRANULARITY: Duration = Duration::from_millis(2);
-/// How many times its time a probe may take while this node itself runs late.
+/// Maximum duration of a probe, in multiples of its timeout, while this node itself is late.
 const MAX_TIMEOUT_FACTOR: u32 = 5;
-/// The pause after a probe that was not answered, before jitter.
+/// Delay of the next probe after a failed one, before jitter.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The probes without an answer after which a target counts as down.
+/// Number of consecutive failed probes after which a target counts as down.
 const MAX_FAILED_PROBES: u32 = 2;
 
-/// A probe that is on; dropping it lets the next one be made.
+/// A probe in progress; dropping it allows the next one.
 ///
-/// A caller that goes away while its request waits for versions drops the probe
-/// in the middle. The target would count as being probed for ever, and a restart
-/// or another version of it would never be heard of.
+/// If a caller cancels its request while it waits for versions, the probe is dropped midway.
+/// Without this guard the target would stay marked as being probed, and a restart or a new version
+/// of it would never be noticed.
 struct ProbeGuard<'a> {
     core: &'a Core,
     target: &'a TargetName,
@@ -64,7 +64,7 @@
 }
 
 impl Core {
-    /// Does the background work until it is dropped.
+    /// Does the background work until the future is dropped.
     pub async fn run_background(self: Rc<Self>) {
         let mut probes = FuturesUnordered::new();
         let mut due = self.now();
@@ -93,14 +93,14 @@
     }
 
     fn tick(self: &Rc<Self>) {
-        // Without a document there is nothing to watch yet.
+        // Before the first document there are no targets.
         if self.refresh_document().is_ok() {
             self.apply_marks();
             self.serve_queues();
         }
     }
 
-    /// The versions of `shards`, asking the targets that were never asked.
+    /// Returns the versions of `shards`, after a probe of the targets that have none yet.
     pub async fn versions(self: &Rc<Self>, shards: &[ShardName]) -> Result<Vec<ShardVersions>> {
         self.refresh_document()?;
         let now = self.now();
@@ -123,7 +123,7 @@
         Ok(self.held_versions(shards))
     }
 
-    /// Asks a target for its state.
+    /// Probes a target and records the result.
     async fn probe(self: &Rc<Self>, target: &TargetName) {
         let spec = {
             let mut table = self.table.borrow_mut();
@@ -139,12 +139,11 @@
         self.on_probe(target, status, started, self.stall_time.get().saturating_sub(stalled));
     }
 
-    /// Asks a target for its state, for the time of a probe and what this node lost.
+    /// Requests the status of a target; the timeout is extended by the delays of this node.
     ///
-    /// A holder that is busy reads answers late: the time passes while they wait
-    /// to be read, and it would take its own delay for silence of its targets and
-    /// refuse requests for all of them. Time that its own tick was late by is no
-    /// time in which a target was silent.
+    /// A busy holder reads answers late. If it took its own delay for missing answers, it would
+    /// refuse requests for all of its targets. The time by which its ticks were late therefore does
+    /// not count towards the timeout.
     pub async fn query_status(
         &self,
         target: &TargetName,
@@ -161,7 +160,7 @@
                 Either::Right(((), rest)) => probe = rest,
             }
             let now = self.now();
-            // The tick may not have told yet by how much this turn was late.
+            // `stall_time` may not include the delay of this iteration yet.
             let late = now.saturating_duration_since(deadline) > TIMER_GRANULARITY;
             let end = started + span + self.stall_time.get().saturating_sub(stalled);
             let end = if late { end.max(now + TICK) } else { end };
@@ -195,13 +194,13 @@
             Ok(status) => status,
             Err(error) => {
                 let took = now.saturating_duration_since(started);
-                // A connection that did not come about in time was not refused, and
-                // the time may have run out because this node was late.
+                // A connect error counts as a refusal only if it came before the timeout, and not
+                // mainly because this node was late.
                 let before_timeout = took < self.options.probe_timeout && stalled <= took / 2;
                 let connect_failed = matches!(error, Error::ConnectFailed | Error::ConnectRefused);
                 let refused = connect_failed && before_timeout;
-                // One that answered a call meanwhile is not silent, and where this
-                // node was late all the time nobody can tell.
+                // A target that answered a call in the meantime is alive, and a probe that used the
+                // maximum extension because this node was late proves nothing.
                 let answered = entry.replica.last_answer().is_some_and(|at| at > started);
                 let inconclusive = took >= self.options.probe_timeout * MAX_TIMEOUT_FACTOR;
                 if !refused && (answered || inconclusive) {
@@ -210,7 +209,8 @@
                 }
                 entry.failed_probes += 1;
                 next = now + self.random.jitter(RETRY_INTERVAL);
-                // One late answer is no proof; a refused connection is.
+                // A single missing answer does not prove that a target is down; a refused
+                // connection does.
                 if refused || entry.failed_probes >= MAX_FAILED_PROBES {
                     entry.replica.on_unreachable(now, &self.random);
                     next = entry.replica.down_until().unwrap_or(next);
@@ -236,12 +236,12 @@
         if status.phase == Phase::Draining {
             self.set_mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
             if !was_draining {
-                tracing::info!(%target, "holder: target drains");
+                tracing::info!(%target, "holder: target is draining");
             }
         }
     }
 
-    /// Takes over what other nodes say of targets, looking at these targets only.
+    /// Applies the draining marks; only targets that have or had a mark are visited.
     fn apply_marks(&self) {
         let marks = self.marks.all();
         let mut table = self.table.borrow_mut();
@@ -259,7 +259,7 @@
                 entry.marked_draining = draining.contains(&name);
             }
         }
-        // An entry that the document has brought since starts without its mark.
+        // Entries added by a new document start without their mark.
         for name in draining {
             if let Some(entry) = entries.get_mut(&name) {
                 entry.marked_draining = true;
@@ -268,7 +268,7 @@
         }
     }
 
-    /// The next target that is due for a probe.
+    /// Returns the next target that is due for a probe.
     fn next_due(&self) -> Option<TargetName> {
         let now = self.now();
         let pause = || self.random.jitter(self.options.probe_interval);
@@ -277,7 +277,7 @@
         table.take_due(&self.options, &pause, now)
     }
 
-    /// Looks at every queue again, as time alone can free a replica.
+    /// Dispatches every queue, as a replica can become usable by the passage of time alone.
     fn serve_queues(self: &Rc<Self>) {
         let now = self.now();
         let mut waiting = Vec::new();
--- a/crates/kumquatnotch-holder/src/schedule.rs
+++ b/crates/kumquatnotch-holder/src/schedule.rs
@@ -1,8 +1,8 @@
-//! Which target is probed when.
+//! The schedule of probes.
 //!
-//! A search through all held targets whenever a probe ends costs the square of
-//! their number. Instead the times wait in a heap, and one that was changed
-//! since is skipped when its turn comes.
+//! Searching all targets for the next one after each probe would take time quadratic in their
+//! number. Probe times are kept in a heap instead, and outdated entries are skipped when they
+//! are due.
 
 use std::{
     cmp::Reverse,
@@ -20,50 +20,50 @@
     table::{Entry, Table},
 };
 
-/// How long a target that answers calls goes without a probe.
+/// Maximum age of the status of a target that answers calls.
 ///
-/// Its answers are fresher news of its life than a probe, but only a probe
-/// tells which versions it holds. With the pause until the next look a target is
-/// probed every 2.5 to 3.3 s; one that drains refuses calls, which tells it sooner.
+/// Answers show more recently than a probe that the target is alive, but only a probe returns the
+/// versions it holds. Including the time until the next check, such a target is probed every 2.5
+/// to 3.3 s. A draining target is noticed earlier, as it refuses calls.
 const MAX_STATUS_AGE: Duration = Duration::from_millis(2_500);
-/// How many times within the time between two probes it is looked at whether a
-/// target still answers calls.
+/// Number of checks per probe interval whether a target still answers calls.
 const CHECKS_PER_INTERVAL: u32 = 2;
-/// How long every target is probed at the usual rate once one tells of other versions.
+/// How long all targets are probed at the full rate after one reports changed versions.
 ///
-/// A version is published to all targets at about the same time. The first that
-/// tells of it is found early, as the probes of many targets fall at different
-/// times; all others are then asked within the usual time.
+/// A version is published to all targets at about the same time. As the probes of the targets are
+/// spread over time, the first target that holds it is found early, and all others are then
+/// probed within one probe interval.
 const FULL_RATE_PERIOD: Duration = Duration::from_secs(10);
 
-/// The times of the probes that are to come.
+/// Times of the upcoming probes.
 #[derive(Default)]
 pub struct ProbeSchedule {
     heap: BinaryHeap<Reverse<(Instant, TargetName)>>,
-    /// The shards that were asked for again after a pause.
+    /// Shards requested for the first time, or again after the idle timeout.
     resumed_shards: Vec<ShardName>,
-    /// Whether all has to be planned again, as the document has changed.
+    /// Whether the schedule must be rebuilt because the document has changed.
     stale: bool,
+    /// When the period of full-rate probing after a version change ends.
     full_rate_until: Option<Instant>,
 }
 
 impl ProbeSchedule {
-    /// Adds a probe; it counts while it is the target's next one.
+    /// Adds a probe; it is skipped if the target's `next_probe` changes before it is due.
     pub fn push(&mut self, name: &TargetName, at: Instant) {
         self.heap.push(Reverse((at, name.clone())));
     }
 
-    /// A shard is asked for that was not for a while.
+    /// Adds a shard that is requested for the first time or again after the idle timeout.
     pub fn add_shard(&mut self, shard: &ShardName) {
         self.resumed_shards.push(shard.clone());
     }
 
-    /// The document has changed.
+    /// Marks the schedule for a rebuild after a change of the document.
     pub fn invalidate(&mut self) {
         self.stale = true;
     }
 
-    /// A target holds other versions than before.
+    /// Starts a period of full-rate probing after a target has reported changed versions.
     pub fn on_version_change(&mut self, now: Instant) {
         self.full_rate_until = Some(now + FULL_RATE_PERIOD);
     }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Plans the targets of the shards that are asked for now and were not before.
+    /// Schedules the targets of newly requested shards, or of all active shards after a rebuild.
     pub fn schedule_new_shards(&mut self, options: &HolderOptions, now: Instant) {
         if std::mem::take(&mut self.schedule.stale) {
             self.schedule.heap.clear();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A target that is due; it counts as being probed from now on.
+    /// Returns a target that is due and marks it as being probed.
     pub fn take_due(
         &mut self,
         options: &HolderOptions,
@@ -117,7 +117,7 @@
             let Some(entry) = self.entries.get(&name) else {
                 continue;
             };
-            // One that nobody asks for any more leaves; the next request plans it again.
+            // Targets of idle shards are dropped; the next request schedules them again.
             if entry.probing
                 || entry.next_probe != Some(at)
                 || !self.is_requested(entry, options, now)
@@ -144,7 +144,7 @@
     }
 }
 
-/// Whether a target answers calls, so that a probe can wait.
+/// Whether the probe of a target can be deferred because it answers calls.
 fn can_defer_probe(entry: &Entry, options: &HolderOptions, now: Instant) -> bool {
     let (Some(last_status), Some(last_answer)) = (entry.last_status, entry.replica.last_answer())
     else {
--- a/crates/kumquatnotch-holder/src/selection.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which replica a call is offered, if any.
+//! Selection of the replica that runs a call.
 
 use std::time::Instant;
 
@@ -15,26 +15,29 @@
     table::{Entry, Pending, Table},
 };
 
-/// One slot out of this many is kept free for the desk.
+/// Number of slots per slot that is reserved for the desk class.
 const SLOTS_PER_RESERVE: u32 = 4;
 
-/// Whether a call can be given a slot.
+/// Result of a selection.
 pub enum Selection {
+    /// Start on this replica.
     Start(TargetName),
+    /// Wait for a slot.
     Wait,
-    /// No replica can run it, whatever it waits for.
+    /// No replica can run the call, even after a wait.
     Never(Error),
 }
 
-/// The turn of a call that nobody waits before.
+/// Offer to a call with no waiters before it.
 pub const IMMEDIATE_OFFER: SlotOffer = SlotOffer { ahead: 0, guaranteed: false };
 
+/// A call for which a replica is selected.
 pub struct SlotRequest<'a> {
     pub work: &'a Work,
     pub tried: &'a [TargetName],
     pub alone: bool,
     pub id: u64,
-    /// Whether only replicas that were not tried will do.
+    /// Whether replicas that were tried are excluded.
     pub untried_only: bool,
 }
 
@@ -46,10 +49,10 @@
 }
 
 impl Core {
-    /// Whether an audit has to leave the last free slots to the desk.
+    /// Whether the remaining free slots are reserved for the desk and closed to this audit call.
     ///
-    /// A slot can't be taken back, so without a reserve every desk call that
-    /// meets full slots waits for the end of an audit's call.
+    /// A running call cannot be preempted, so without a reserve a desk call that finds all slots
+    /// occupied would wait for an audit call to end.
     pub fn is_reserved_for_desk(
         &self,
         table: &Table,
@@ -71,7 +74,7 @@
         slots != u32::MAX && slots - busy <= slots / SLOTS_PER_RESERVE
     }
 
-    /// Finds `request` a replica.
+    /// Selects a replica for `request`.
     pub fn select_replica(
         &self,
         table: &mut Table,
@@ -88,7 +91,7 @@
             Err(error) => return Selection::Never(error),
         };
         if request.alone {
-            // Two copies of one suspect would crash two targets at once.
+            // Two concurrent calls of a suspect could crash two targets at once.
             if table.alone.contains(fingerprint) {
                 return Selection::Wait;
             }
@@ -105,7 +108,7 @@
 
     fn candidate(&self, entry: &Entry, now: Instant) -> Candidate {
         let in_flight = entry.replica.in_flight();
-        // Nothing joins a suspect request, or a replica that is emptied for one.
+        // A replica that runs a suspect, or is reserved for one, takes no other calls.
         let closed = entry.alone.is_some()
             || entry.reserved.is_some()
             || entry.fitness(now) != Fitness::Ready;
@@ -122,7 +125,7 @@
     }
 }
 
-/// The replicas that could run `request`, now or once they have a free slot.
+/// Returns the replicas that can run `request` now or once they have a free slot.
 fn usable(
     entries: &HashMap<TargetName, Entry>,
     names: &[TargetName],
@@ -148,7 +151,7 @@
             Some(version) => entry.replica.holds(shard, *version),
             None => entry.replica.serves(shard),
         };
-        // Before the first probe the document is all there is to go by.
+        // Before the first probe only the declared shard is known.
         if holds.unwrap_or(entry.spec.shard == *shard) {
             usable.push(name.clone());
         } else if let Some(version) = version {
@@ -162,7 +165,7 @@
     if request.untried_only || usable.iter().any(fresh) {
         usable.retain(fresh);
     }
-    // One that has gone quiet is passed over until it was heard of again.
+    // Unresponsive replicas are used only if there are no others.
     let heard = |name: &TargetName| !entries[name].is_unresponsive();
     if usable.iter().any(heard) {
         usable.retain(heard);
@@ -170,7 +173,7 @@
     if usable.is_empty() { Err(Error::NoTarget) } else { Ok(usable) }
 }
 
-/// Finds a suspect request a replica with nothing in flight, or empties one.
+/// Selects an idle replica for a suspect request, or reserves one until it is idle.
 fn select_alone(
     entries: &mut HashMap<TargetName, Entry>,
     usable: &[TargetName],
@@ -187,7 +190,7 @@
     if usable.iter().any(|name| entries[name].reserved == Some(id)) {
         return Selection::Wait;
     }
-    // Without a reservation a busy replica would never be empty.
+    // Without a reservation a busy replica would never become idle.
     let least = usable
         .iter()
         .filter(|name| open(&entries[*name]))
--- a/crates/kumquatnotch-holder/src/service.rs
+++ b/crates/kumquatnotch-holder/src/service.rs
@@ -1,4 +1,4 @@
-//! The service that a node registers for its peers and for itself.
+//! The holder service that a node registers for itself and its peers.
 
 use std::{cell::Cell, fmt::Write, rc::Rc, time::Duration};
 
@@ -14,18 +14,19 @@
 
 use crate::{Decisions, HolderOptions, core::Core, slots::Work, table::Entry};
 
-/// Answers sub-requests out of the replicas of its shards.
+/// Answers sub-requests from the replicas of its shards.
 pub struct HolderService {
     core: Rc<Core>,
 }
 
 impl HolderService {
-    /// A holder of the services in `registry`, registered there itself.
+    /// Creates a holder with the default policies from the services in `registry`, and registers it
+    /// there.
     pub fn try_new(options: HolderOptions, registry: &Registry) -> Result<Rc<HolderService>> {
         HolderService::with_decisions(options, Decisions::default(), registry)
     }
 
-    /// The same with decisions of the caller's own.
+    /// Creates and registers a holder with the given policies.
     pub fn with_decisions(
         options: HolderOptions,
         decisions: Decisions,
@@ -38,17 +39,17 @@
         Ok(holder)
     }
 
-    /// Starts the background work; this must run inside a runtime.
+    /// Spawns the background work; must be called within a runtime.
     pub fn start(&self) {
         monoio::spawn(self.run_background());
     }
 
-    /// The background work, for callers that run it themselves.
+    /// Returns the background work as a future, for callers that poll it themselves.
     pub fn run_background(&self) -> impl Future<Output = ()> + 'static {
         self.core.clone().run_background()
     }
 
-    /// The state of the targets as text for the status page.
+    /// Returns the state of the targets as text for the status page.
     pub fn status_text(&self) -> String {
         let now = self.core.now();
         let table = self.core.table.borrow();
@@ -94,7 +95,7 @@
         if let Ok(result) = timeout_at(&*core.clock, work.deadline, running.as_mut()).await {
             return result;
         }
-        // Only what never left may be called "not run".
+        // Only a call that was never sent may be reported as "not run".
         if !work.sent.get() {
             return Err(Error::ExpiredInQueue);
         }
@@ -116,7 +117,7 @@
                 PeerMessage::Relay(relay) => {
                     Ok(PeerReply::Relay(Box::new(self.relay(*relay).await?)))
                 }
-                _ => Err(Error::protocol("not a message for a holder")),
+                _ => Err(Error::protocol("unsupported message for a holder")),
             }
         })
     }
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of replicas: who gets one, and who waits for it.
+//! Slots of replicas and the queues of requests waiting for them.
 
 use std::{
     cell::Cell,
@@ -21,16 +21,16 @@
     table::{Pending, Shard, Table, TargetSet},
 };
 
-/// After the desk has asked for a shard, a slot is kept free for it this long.
+/// How long slots of a shard are reserved for the desk class after its last request.
 const DESK_RESERVE_PERIOD: Duration = Duration::from_millis(250);
-/// How long after its deadline the reply of an exclusive call that was sent is waited for.
+/// Time past its deadline for which the reply of a sent exclusive call is awaited.
 ///
-/// A call that is dropped at its deadline ends as "outcome unknown", though its
-/// reply may come a moment later and its caller can still ask for it. The issuer
-/// waits as long, so a longer time here would bring nothing.
+/// A call dropped at its deadline ends as "outcome unknown", although the reply may arrive shortly
+/// after and the caller can still fetch it. The issuer waits equally long, so a longer time here
+/// has no effect.
 const EXCLUSIVE_GRACE: Duration = Duration::from_secs(2);
 
-/// What is to run on one replica of a shard.
+/// A request to run on one replica of a shard.
 pub struct Work {
     pub shard: ShardName,
     /// `None` for an exclusive request.
@@ -43,9 +43,9 @@
     pub fingerprint: Fingerprint,
     pub eligible: TargetSet,
     pub deadline: Instant,
-    /// Whether it may be sent twice when it is late.
+    /// Whether the call may be hedged.
     pub hedgeable: bool,
-    /// Whether it was ever sent.
+    /// Whether it was sent to a target at least once.
     pub sent: Cell<bool>,
 }
 
@@ -54,24 +54,24 @@
         self.version.is_none()
     }
 
-    /// When a call of it that was sent is given up.
+    /// Returns when a sent call is abandoned.
     pub fn call_end(&self) -> Instant {
         if self.is_exclusive() { self.deadline + EXCLUSIVE_GRACE } else { self.deadline }
     }
 }
 
-/// A slot of a replica that is taken for one call; dropping it frees it.
+/// A slot of a replica, occupied by one call; dropping it releases the slot.
 pub struct Slot {
     pub core: Rc<Core>,
     pub id: u64,
     pub target: TargetName,
     pub spec: Rc<TargetSpec>,
-    /// How many calls are in flight to the replica with this one.
+    /// Number of calls in flight to the replica, including this one.
     pub level: u32,
     pub started: Instant,
-    /// The suspect request that runs alone in it.
+    /// Fingerprint of the suspect request that runs alone in the slot.
     pub alone: Option<Fingerprint>,
-    /// Whether the call has ended by itself.
+    /// Whether the call ended other than by being abandoned.
     pub completed: bool,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// A place in a queue; dropping it leaves the queue.
+/// Place in the queue of a shard; dropping it removes the waiter.
 struct QueueGuard<'a> {
     core: &'a Core,
     shard: &'a ShardName,
@@ -118,7 +118,9 @@
         slot
     }
 
-    /// A second slot for `work` if one is free; unless `bypass_queue`, others go first.
+    /// Takes a free slot of an untried replica for a hedged copy of `work`.
+    ///
+    /// Queued calls take precedence unless `bypass_queue` is set.
     pub fn spare_slot(
         self: &Rc<Self>,
         work: &Work,
@@ -186,10 +188,10 @@
         Ok(Admission::Waiting(id, receiver))
     }
 
-    /// Gives free slots of a shard to those who wait.
+    /// Assigns free slots of a shard to its waiters.
     pub fn dispatch(self: &Rc<Self>, name: &ShardName) {
-        // A slot whose waiter has gone away frees itself, which must not happen
-        // while the table is borrowed.
+        // A slot whose waiter has gone is released by its drop, which borrows the table.
+        // It must therefore be dropped after the borrow has ended.
         let mut unclaimed = Vec::new();
         loop {
             let mut table = self.table.borrow_mut();
@@ -260,7 +262,7 @@
         more
     }
 
-    /// Takes a slot of `name`.
+    /// Takes a slot of the target `name`.
     fn take_slot(
         self: &Rc<Self>,
         table: &mut Table,
@@ -285,7 +287,7 @@
         Slot { core, id, target: name.clone(), spec, level, started: now, alone, completed: false }
     }
 
-    /// Frees a slot; `abandoned` tells how long a call lasted that was dropped.
+    /// Releases a slot; `abandoned` is the time since the start of an abandoned call.
     fn release(self: &Rc<Self>, slot: &Slot, abandoned: Option<Duration>) {
         let now = self.now();
         let mut shards = Vec::new();
@@ -342,11 +344,10 @@
     }
 }
 
-/// Sends those away whose time is over.
+/// Removes the waiters with less than [`MIN_CALL_TIME`] left until their deadline.
 ///
-/// A slot that comes free at a waiter's last moment would start a call that
-/// nobody wants any more, and a hold would then run for a caller who was told
-/// that it expired.
+/// A slot released just before the deadline of a waiter would start a call whose result is of no
+/// use. An exclusive request would then run after its caller was told that it expired.
 pub fn expire_waiters(shard: &mut Shard, now: Instant) {
     for gone in shard.queue.expire(now + MIN_CALL_TIME) {
         if let Some(gone) = shard.pending.remove(&gone.id) {
--- a/crates/kumquatnotch-holder/src/table.rs
+++ b/crates/kumquatnotch-holder/src/table.rs
@@ -1,5 +1,4 @@
-//! The table of targets and shards: what the document says of them, and what
-//! was observed.
+//! The table of targets and shards: their configuration and observed state.
 
 use std::{
     rc::Rc,
@@ -22,15 +21,15 @@
 
 use crate::{HolderOptions, schedule::ProbeSchedule, slots::Slot, slots::Work};
 
-/// The targets that a selector may reach.
+/// Set of the targets that a selector matches.
 pub type TargetSet = Rc<HashSet<TargetName>>;
 
-/// The service time assumed before anything was answered.
+/// Service time assumed before the first answer.
 const INITIAL_SERVICE_SECONDS: f64 = 0.006;
-/// The weight of a new service time in the moving mean.
+/// Weight of a new sample in the moving average of the service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
 
-/// The calls given up without an answer in between that make a target quiet.
+/// Number of consecutive abandoned calls after which a target counts as unresponsive.
 const MAX_ABANDONED_CALLS: u32 = 3;
 
 /// The state of a holder.
@@ -38,55 +37,55 @@
     pub document: Option<Rc<Document>>,
     pub entries: HashMap<TargetName, Entry>,
     pub shards: HashMap<ShardName, Shard>,
-    /// The targets that declare or hold a shard.
+    /// Targets that declare or hold a shard, sorted by name.
     pub index: HashMap<ShardName, Vec<TargetName>>,
     pub eligible: HashMap<SelectorName, TargetSet>,
     pub schedule: ProbeSchedule,
-    /// The targets that other nodes say are draining.
+    /// Targets with a draining mark.
     pub marked_draining: Vec<TargetName>,
-    /// How long a shard is probed after it was last asked for.
+    /// How long the targets of a shard are probed after its last request.
     idle_timeout: Duration,
-    /// Suspect requests that run alone now; a second copy of one waits.
+    /// Suspect requests running alone; another call of the same request waits.
     pub alone: HashSet<Fingerprint>,
 }
 
-/// A target.
+/// Configuration and state of a target.
 pub struct Entry {
     pub spec: Rc<TargetSpec>,
     pub replica: Replica,
     pub limit: Box<dyn Limit>,
-    /// The one-way delay to it.
+    /// Assumed one-way network delay to the target.
     pub delay: Duration,
-    /// What is in flight to it, by the number of the slot.
+    /// Requests in flight, with the ids of their slots.
     pub running: Vec<(u64, Running)>,
-    /// The slot of a suspect request that runs alone.
+    /// Slot of a suspect request that runs alone.
     pub alone: Option<u64>,
-    /// The waiter for which it is being emptied.
+    /// Waiter for which the replica is kept free of other calls.
     pub reserved: Option<u64>,
-    /// Those who wait to hear whether it crashed.
+    /// Calls waiting for the crash check in progress, if there is one.
     pub crash_waiters: Option<Vec<oneshot::Sender<()>>>,
-    /// Whether other nodes say that it is draining.
+    /// Whether the target has a draining mark.
     pub marked_draining: bool,
     pub probing: bool,
     pub next_probe: Option<Instant>,
-    /// When it last told its state.
+    /// When a probe last succeeded.
     pub last_status: Option<Instant>,
-    /// The shards in whose index it stands.
+    /// Shards under which the target is indexed.
     pub indexed_shards: Vec<ShardName>,
-    /// The probes that failed in a row.
+    /// Number of consecutive failed probes.
     pub failed_probes: u32,
-    /// The calls given up since it was last heard of.
+    /// Number of calls abandoned since the last answer or successful probe.
     pub abandoned_calls: u32,
 }
 
-/// A shard that was asked for.
+/// State of a requested shard.
 pub struct Shard {
     pub queue: Box<dyn WaitQueue>,
     pub pending: HashMap<u64, Pending>,
     pub last_request: Instant,
-    /// When the desk last asked for it.
+    /// Time of the last request of the desk class.
     pub last_desk_request: Option<Instant>,
-    /// The moving mean of its service time, in seconds.
+    /// Moving average of the service time, in seconds.
     pub service_seconds: f64,
 }
 
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Takes over `document`; the targets that are gone or have moved.
+    /// Applies `document` and returns the targets that were removed or have a new address.
     pub fn apply_document(
         &mut self,
         document: &Rc<Document>,
@@ -155,7 +154,7 @@
         gone
     }
 
-    /// The targets that `selector` may reach.
+    /// Returns the targets that `selector` matches.
     pub fn eligible(&mut self, selector: &SelectorName) -> Result<TargetSet> {
         if let Some(eligible) = self.eligible.get(selector) {
             return Ok(eligible.clone());
@@ -170,7 +169,7 @@
         Ok(eligible)
     }
 
-    /// The shard, known from now on as asked for.
+    /// Records a request for a shard and returns the state of the shard.
     pub fn touch_shard(
         &mut self,
         name: &ShardName,
@@ -193,7 +192,7 @@
         shard
     }
 
-    /// How fast the replicas of a shard work.
+    /// Returns the service rate of the usable replicas of a shard.
     pub fn service_rate(&self, name: &ShardName, holders: u32, now: Instant) -> ServiceRate {
         let targets = self.index.get(name).map(Vec::as_slice).unwrap_or_default();
         let entries = targets.iter().filter_map(|target| self.entries.get(target));
@@ -204,7 +203,7 @@
         ServiceRate { slots, service: Duration::from_secs_f64(service) }
     }
 
-    /// Every target belongs to the shard it declares and to those it holds.
+    /// Indexes every target under the shard it declares and those it holds.
     fn rebuild_index(&mut self) {
         self.index.clear();
         let mut entries: Vec<_> = self.entries.iter_mut().collect();
@@ -217,7 +216,7 @@
         }
     }
 
-    /// Moves a target to the shards that it holds now.
+    /// Updates the index after the shards held by a target have changed.
     pub fn reindex(&mut self, name: &TargetName) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
@@ -241,7 +240,7 @@
 }
 
 impl Shard {
-    /// A call took this long at a target.
+    /// Adds the duration of a call to the moving average.
     pub fn add_service(&mut self, span: Duration) {
         self.service_seconds += (span.as_secs_f64() - self.service_seconds) * SERVICE_TIME_WEIGHT;
     }
@@ -268,7 +267,7 @@
         }
     }
 
-    /// Whether it may be given a call now, whoever says that it may not.
+    /// Whether it can be given a call now, including draining marks and crash checks.
     pub fn fitness(&self, now: Instant) -> Fitness {
         if self.spec.drain || self.marked_draining {
             return Fitness::Draining;
@@ -279,12 +278,12 @@
         self.replica.fitness(now)
     }
 
-    /// Whether it can be given calls, now or within a moment.
+    /// Whether it can be given calls now or once it stops shedding load.
     pub fn is_usable(&self, now: Instant) -> bool {
         matches!(self.fitness(now), Fitness::Ready | Fitness::Shedding(_))
     }
 
-    /// The shard it declares and those it holds.
+    /// Returns the shard it declares and those it holds.
     fn shards(&self) -> Vec<ShardName> {
         let mut shards = vec![self.spec.shard.clone()];
         for held in self.replica.held() {
@@ -295,12 +294,12 @@
         shards
     }
 
-    /// A call to it was given up; whether it has to be probed at once.
+    /// Records an abandoned call; returns whether the target must be probed immediately.
     pub fn on_abandoned(&mut self, elapsed: Duration, now: Instant) -> bool {
         self.replica.on_cancelled(elapsed);
         self.abandoned_calls += 1;
-        // A target that was cut off answers nothing and refuses nothing; a
-        // probe at once tells it from one that is slow.
+        // A target that is cut off neither answers nor refuses calls. An immediate probe
+        // distinguishes it from a slow one.
         let sooner = self.is_unresponsive() && self.next_probe.is_some_and(|at| at > now);
         if sooner {
             self.next_probe = Some(now);
@@ -308,12 +307,12 @@
         sooner
     }
 
-    /// Whether calls to it were given up and nothing was heard of it since.
+    /// Whether repeated calls were abandoned with no answer or successful probe since.
     pub fn is_unresponsive(&self) -> bool {
         self.abandoned_calls >= MAX_ABANDONED_CALLS
     }
 
-    /// The most calls that may be in flight to it from here.
+    /// Maximum number of calls in flight to it from this holder.
     pub fn allowed(&self, holders: u32) -> u32 {
         kumquatnotch_policy::limit::share(self.limit.allowed(), holders)
     }
