--- a/crates/kumquatnotch-holder/src/probes.rs
+++ b/crates/kumquatnotch-holder/src/probes.rs
@@ -96,7 +96,7 @@
         // Before the first document there are no targets.
         if self.refresh_document().is_ok() {
             self.apply_marks();
-            self.serve_queues();
+            self.dispatch_queues();
         }
     }
 
@@ -278,7 +278,7 @@
     }
 
     /// Dispatches every queue, as a replica can become usable by the passage of time alone.
-    fn serve_queues(self: &Rc<Self>) {
+    fn dispatch_queues(self: &Rc<Self>) {
         let now = self.now();
         let mut waiting = Vec::new();
         {
--- a/crates/kumquatnotch-holder/src/selection.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -161,14 +161,14 @@
     if usable.is_empty() {
         return Err(error);
     }
-    let fresh = |name: &TargetName| !request.tried.contains(name);
-    if request.untried_only || usable.iter().any(fresh) {
-        usable.retain(fresh);
+    let untried = |name: &TargetName| !request.tried.contains(name);
+    if request.untried_only || usable.iter().any(untried) {
+        usable.retain(untried);
     }
     // Unresponsive replicas are used only if there are no others.
-    let heard = |name: &TargetName| !entries[name].is_unresponsive();
-    if usable.iter().any(heard) {
-        usable.retain(heard);
+    let responsive = |name: &TargetName| !entries[name].is_unresponsive();
+    if usable.iter().any(responsive) {
+        usable.retain(responsive);
     }
     if usable.is_empty() { Err(Error::NoTarget) } else { Ok(usable) }
 }
