--- a/crates/kumquatnotch-holder/tests/common/mod.rs
+++ b/crates/kumquatnotch-holder/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A holder over scripted targets on a paused clock.
+//! Test harness: a holder over scripted targets on a paused clock.
 //!
-//! Each test file uses a part of this.
+//! Each test file uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::{
@@ -33,37 +33,37 @@
 
 pub const VERSION: IndexVersion = IndexVersion(7);
 
-/// What a scripted target does with a call.
+/// How a scripted target handles a call.
 #[derive(Clone, Debug)]
 pub enum Behaviour {
-    /// Answers with these hits after a time.
+    /// Answers with these hits after this time.
     Answer(Duration, Vec<Hit>),
-    /// Fails at once.
+    /// Fails immediately.
     Fail(Error),
     /// Never answers.
     Hang,
 }
 
-/// A scripted target.
+/// Behaviour and counters of a scripted target.
 pub struct ScriptedTarget {
     pub behaviour: RefCell<Behaviour>,
     pub phase: Cell<Phase>,
     pub up: Cell<bool>,
     pub incarnation: Cell<u64>,
     pub version: Cell<IndexVersion>,
-    /// What it holds besides the shard it declares.
+    /// Versions it holds besides that of the declared shard.
     pub extra_held: RefCell<Vec<HeldVersion>>,
-    /// The bodies of the calls it was sent.
+    /// Bodies of the calls it received, in order.
     pub calls: RefCell<Vec<String>>,
     pub in_flight: Cell<u32>,
     pub max_in_flight: Cell<u32>,
     pub crashes: Cell<u32>,
     pub probes: Cell<u32>,
-    /// How long it takes to find out that it is down.
+    /// Time until a probe fails while it is down.
     pub down_delay: Cell<Duration>,
-    /// The probes that it still answers after a crash.
+    /// Number of probes it still answers after a crash.
     pub probes_after_crash: Cell<u32>,
-    /// How many turns of our loop a probe takes besides the first.
+    /// Number of sleeps of 1 ms that a probe takes after the first.
     pub extra_probe_steps: Cell<u32>,
 }
 
@@ -75,7 +75,7 @@
     pub max_probing: Cell<u32>,
 }
 
-/// Everything of one test.
+/// A holder with its scripted targets and fake services.
 pub struct World {
     pub clock: PausedClock,
     pub scripts: Rc<ScriptedTargets>,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Marks that stay.
+/// Marks that do not expire.
 #[derive(Default)]
 pub struct FakeMarks(pub RefCell<Vec<Mark>>);
 
@@ -112,7 +112,7 @@
 }
 
 impl ScriptedTarget {
-    /// Whether it answers a probe though it has crashed.
+    /// Whether it answers a probe although it is down; uses up one of `probes_after_crash`.
     fn answers_probe(&self) -> bool {
         let left = self.probes_after_crash.get();
         self.probes_after_crash.set(left.saturating_sub(1));
@@ -208,12 +208,12 @@
 }
 
 impl World {
-    /// A holder of targets that are given as name and shard.
+    /// Creates a holder of targets given as pairs of name and shard.
     pub fn new(targets: &[(&str, &str)]) -> World {
         World::with(targets, Decisions::default())
     }
 
-    /// The same with decisions of the test's own.
+    /// Creates a holder with the given policies.
     pub fn with(targets: &[(&str, &str)], decisions: Decisions) -> World {
         let clock = PausedClock::default();
         let scripts = Rc::new(ScriptedTargets {
@@ -249,7 +249,7 @@
         *self.script(name).behaviour.borrow_mut() = behaviour;
     }
 
-    /// Runs `work` beside the holder's background work.
+    /// Runs `work` concurrently with the background work of the holder.
     pub fn run<T>(&self, work: impl Future<Output = T>) -> T {
         let both = async {
             let watch = std::pin::pin!(self.holder.run_background());
@@ -266,7 +266,7 @@
     pub async fn group(&self, request: GroupRequest) -> Result<GroupAnswer> {
         match self.holder.handle(PeerMessage::Group(Box::new(request))).await? {
             PeerReply::Group(answer) => Ok(*answer),
-            other => panic!("not an answer of a group: {other:?}"),
+            other => panic!("expected a group answer, got {other:?}"),
         }
     }
 
@@ -284,11 +284,11 @@
         let relay = RelayCall { selector: SelectorName::from("all"), call, deadline_ms };
         match self.holder.handle(PeerMessage::Relay(Box::new(relay))).await? {
             PeerReply::Relay(reply) => Ok(*reply),
-            other => panic!("not the reply of a target: {other:?}"),
+            other => panic!("expected a reply to a relay, got {other:?}"),
         }
     }
 
-    /// Sends `count` queries, one after another.
+    /// Sends `count` queries in sequence.
     pub async fn warm_up(&self, count: usize) {
         for index in 0..count {
             self.group(request(&["s0"], &format!("warm {index}"))).await.unwrap();
--- a/crates/kumquatnotch-holder/tests/crashes.rs
+++ b/crates/kumquatnotch-holder/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash targets, and what a holder makes of the lost connections.
+//! Tests of requests that crash targets, and of the checks after lost connections.
 
 mod common;
 
@@ -12,11 +12,10 @@
 const REPLICAS: [(&str, &str); 5] =
     [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
 
-/// What the caller sees: a lost connection, and three of five targets serve on.
-/// Order: a target crashes; that it is down shows late, so that the call would be
-/// due for a copy, or it still answers a probe on its way down. Why: the copy
-/// crashed a second one before the request was a suspect; a target that answered
-/// had not crashed, and the next one got the request like any other.
+// A request crashes a target. Either the probe of the crash check fails late, so that the call is
+// due for a hedge meanwhile, or the crashing target still answers a probe. In both cases the
+// request must become a suspect before it reaches another target; otherwise it would crash more
+// than two of the five. The caller sees a lost connection.
 #[parameterized(
     found_late = { 40, 0 },
     still_answers = { 0, 1 },
@@ -40,10 +39,9 @@
     assert_eq!(answer.missing[0].error, Error::ConnectionLost);
 }
 
-/// What the root sees: a lost connection, well before its patience ends.
-/// Order: the request crashes a target; the other one of the shard is busy for
-/// long, so that the suspect can't run alone there. Why: told nothing, the root took
-/// the shard for slow and sent the request to all others, which crashed too.
+// A request crashes a target, and the other replica of the shard stays busy, so the suspect cannot
+// run alone there. The root must get the lost connection well before its patience ends. Otherwise
+// it takes the shard for slow and sends the request to all other shards, which crash too.
 #[test]
 fn suspect_without_an_idle_replica_fails_before_the_deadline() {
     let world = World::new(&[("a", "s0"), ("b", "s0")]);
@@ -62,7 +60,7 @@
         let others = join(world.group(busy), world.group(again));
         match select(Box::pin(poison), Box::pin(others)).await {
             Either::Left((told, _)) => told,
-            Either::Right(_) => panic!("the others hang for longer"),
+            Either::Right(_) => panic!("the hanging calls ended before the suspect"),
         }
     });
 
@@ -70,10 +68,9 @@
     assert!(took < Duration::from_millis(250), "{took:?}");
 }
 
-/// What the root sees: a lost connection, not a shard without a target.
-/// Order: the request crashes the only target of its shard; nobody is left for
-/// another try. Why: the refusal of that try hid that the request had run, and
-/// the root went on to crash the targets of the other shards.
+// A request crashes the only target of its shard, so the retry fails for lack of a target. The
+// root must get the lost connection of the first attempt. The refusal of the retry would hide that
+// the request has run, and the root would send it to the other shards and crash their targets.
 #[test]
 fn executed_request_fails_with_connection_lost_not_no_target() {
     let world = World::new(&[("a", "s0")]);
--- a/crates/kumquatnotch-holder/tests/load.rs
+++ b/crates/kumquatnotch-holder/tests/load.rs
@@ -1,4 +1,4 @@
-//! Tests of the holder under load and crashes, beside the naive decisions.
+//! Tests of the holder under load and crashes, compared with baseline policies.
 
 mod common;
 
@@ -27,8 +27,8 @@
     }
 }
 
-// Some calls to a good replica hang, as on a connection that went silent. A
-// copy goes to the other replica, and the call that lost is cancelled.
+// Calls to a healthy replica hang, as on a connection that stopped responding. The call is hedged
+// on the other replica, and the hanging call is cancelled.
 #[test]
 fn late_call_is_hedged_and_the_loser_cancelled() {
     let late = |decisions| {
@@ -52,7 +52,7 @@
     assert_eq!(naive, Duration::from_millis(1_000));
 }
 
-/// Sends `count` queries at once; how many were inside the target at most.
+/// Sends `count` concurrent queries and returns the maximum in flight at the target.
 fn max_in_flight(decisions: Decisions, count: usize) -> u32 {
     let world = World::with(&[("a", "s0")], decisions);
     world.run(async {
@@ -68,8 +68,8 @@
     assert_eq!(max_in_flight(naive(), 20), 20);
 }
 
-// Demand is far over capacity. Those who can't be served in time learn it at
-// once with the time to come back; what is served still is.
+// Demand far exceeds capacity. Requests that cannot be answered in time are refused immediately
+// with a retry-after time, and all others are answered.
 #[test]
 fn overload_is_refused_at_once() {
     let world = World::new(&[("a", "s0")]);
@@ -99,8 +99,8 @@
     assert_eq!(served + refused.len(), 600);
 }
 
-// A request crashes the targets that run it, and its caller sends it again and
-// again, beside other callers. Two targets may fall; the others are answered.
+// A caller repeats a request that crashes every target that runs it, concurrently with requests of
+// other callers. Only two targets may crash, and the other callers must be answered.
 #[test]
 fn request_that_crashes_targets_is_contained() {
     let targets = [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
@@ -156,8 +156,8 @@
     assert_eq!(world.script("a").calls.borrow().last().map(String::as_str), Some("audit"));
 }
 
-// Forty targets restart at once. Nothing but probes goes to them, a few at a
-// time, and queries are answered again soon after they are back.
+// Forty targets restart at once. While they are down, the holder sends them no calls and only a
+// limited number of concurrent probes. Queries are answered within 1 s of their return.
 #[test]
 fn mass_restart_causes_no_call_or_probe_storm() {
     let names: Vec<(String, String)> =
--- a/crates/kumquatnotch-holder/tests/probes.rs
+++ b/crates/kumquatnotch-holder/tests/probes.rs
@@ -1,4 +1,4 @@
-//! Tests of when targets are probed, and of what a probe's end is taken for.
+//! Tests of the probe schedule and of the handling of probe results.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const PAIR: [(&str, &str); 2] = [("a", "s0"), ("b", "s1")];
 
-/// Asks "s0" every 100 ms for `seconds`.
+/// Queries the shard "s0" every 100 ms for `seconds`.
 async fn query_repeatedly(world: &World, seconds: usize) {
     for index in 0..seconds * 10 {
         world.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
@@ -24,9 +24,9 @@
     }
 }
 
-// Both targets are asked for; one answers calls all the time, the other none.
-// A probe tells nothing of the life of the first that its answers don't, and at
-// 1,600 targets probes cost a core. The second is probed each second as before.
+// The shards of both targets are requested, but only the first target answers calls throughout.
+// Its answers already show that it is alive, and probes of 1,600 targets take a whole core, so it
+// is probed less often. The idle target is still probed every second.
 #[test]
 fn target_that_answers_calls_is_probed_less() {
     let world = World::new(&PAIR);
@@ -41,8 +41,8 @@
     assert!((24..=40).contains(&idle), "{idle} probes of the idle target");
 }
 
-// Targets publish a version while they answer calls of the one before. Roots
-// hear of it only through probes, so these must not be put off for long.
+// A target publishes a version while it answers calls of the previous one. Roots learn of the new
+// version only through probes, so these must not be deferred for too long.
 #[test]
 fn new_version_is_discovered_while_calls_are_answered() {
     let world = World::new(&PAIR);
@@ -53,7 +53,7 @@
         let start = world.clock.now();
         world.script("a").version.set(newer);
         loop {
-            // It serves the version before for a while beside the newer one.
+            // For a while the target serves the previous version as well as the new one.
             let result = world.group(request(&["s0"], "q")).await.unwrap();
             let told = result.held.iter().flat_map(|shard| &shard.versions);
             if told.into_iter().any(|held| held.version == newer) {
@@ -66,8 +66,8 @@
     assert!(seen < Duration::from_millis(3_500), "{seen:?}");
 }
 
-// A shard is asked for, then not for minutes, then again. Its targets are left
-// alone in between and probed again afterwards.
+// A shard gets no requests for minutes and then one again. Its targets must not be probed once the
+// idle timeout has passed, and must be probed again after the new request.
 #[test]
 fn targets_of_idle_shards_are_not_probed() {
     let world = World::new(&PAIR);
@@ -89,9 +89,9 @@
     assert!((6..=18).contains(&after), "{after} probes");
 }
 
-// A root gives up while a holder asks a target for its versions, so the probe
-// is dropped in the middle. The target counted as being probed for ever, and
-// nothing that it did later was noticed.
+// A root cancels its request while the holder probes a target for its versions, so the probe is
+// dropped midway. The target must not stay marked as being probed, or no later change of it would
+// be noticed.
 #[test]
 fn dropped_probe_is_rescheduled() {
     let world = World::new(&PAIR);
@@ -109,8 +109,8 @@
     assert!(probes >= 3, "{probes} probes");
 }
 
-// Another node marks a target as draining, the document changes, and the mark
-// expires. The target takes no work just as long as the mark lasts.
+// Another node marks a target as draining, the document changes, and the mark expires. The target
+// must get no work until the mark expires, and must be used again afterwards.
 #[test]
 fn draining_mark_survives_a_document_change_and_expires() {
     let world = World::new(&[("a", "s0")]);
@@ -136,10 +136,10 @@
     assert_eq!((marked, renewed, ended), (0, 0, 1));
 }
 
-// What the caller sees: "no target can take the request now" for a target that
-// is well. Order: the holder is busy, each turn of its loop takes 150 ms, and a
-// probe takes five turns. Why: the target answered at once, but the holder took
-// the time in which it read nothing for silence, twice in a row.
+// The holder is busy: each iteration of its loop takes 150 ms, and a probe takes five of them. The
+// target answers immediately, but the holder reads the answer late. If it counted its own delay,
+// two probes in a row would time out, and callers would get "no target can take the request now"
+// for a healthy target.
 #[test]
 fn holder_delay_does_not_fail_probes() {
     let world = World::new(&[("a", "s0")]);
@@ -158,8 +158,8 @@
     assert!(world.script("a").probes.get() >= 4);
 }
 
-// The status page of a target hangs, but it answers calls. It is not silent, and
-// the only replica of its shard has to go on serving.
+// The status endpoint of a target hangs, but the target answers calls. It must not be marked down,
+// as it is the only replica of its shard.
 #[test]
 fn target_that_answers_calls_stays_up_without_probes() {
     let world = World::new(&[("a", "s0")]);
@@ -179,8 +179,8 @@
     assert_eq!(missing, 0);
 }
 
-// The holder is late now and then, and the target is silent in truth: calls and
-// probes hang. It has to be found out all the same, within a few seconds.
+// All calls to the target and all probes of it hang while the holder is late at times. The holder
+// must still detect within a few seconds that the target is down.
 #[test]
 fn unresponsive_target_is_detected_despite_holder_delays() {
     let world = World::new(&[("a", "s0")]);
@@ -199,9 +199,9 @@
     assert_eq!(error, Error::NoTarget);
 }
 
-// Connections to a target that is well are lost while the holder is busy, so the
-// check whether it crashed takes long by the clock. What the caller sees: its
-// request is taken for one that crashes targets and is refused for minutes.
+// Connections to healthy targets are lost while the holder is busy, so the crash checks exceed the
+// probe timeout. They must not count as crashes, or the request would be contained and its caller
+// refused for minutes.
 #[test]
 fn holder_delay_is_not_mistaken_for_a_crash() {
     let world = World::new(&[("a", "s0"), ("b", "s0")]);
