--- a/crates/kumquatnotch-holder/src/calls.rs
+++ b/crates/kumquatnotch-holder/src/calls.rs
@@ -94,10 +94,10 @@
     }
 
     /// Returns how the request of this fingerprint may run.
-    pub fn verdict(&self, print: kumquatnotch_core::ids::Fingerprint) -> Verdict {
-        match self.marks.left_ms(&MarkKind::Contained(print)) {
+    pub fn verdict(&self, fingerprint: kumquatnotch_core::ids::Fingerprint) -> Verdict {
+        match self.marks.left_ms(&MarkKind::Contained(fingerprint)) {
             Some(left) => Verdict::Refused(Duration::from_millis(left)),
-            None => self.containment.borrow().verdict(print, self.now()),
+            None => self.containment.borrow().verdict(fingerprint, self.now()),
         }
     }
 
--- a/crates/kumquatnotch-holder/src/crash.rs
+++ b/crates/kumquatnotch-holder/src/crash.rs
@@ -91,7 +91,7 @@
         }
         entry.crash_waiters = Some(Vec::new());
         let known = entry.replica.incarnation();
-        let alone = entry.alone.is_some();
+        let alone = entry.suspect_slot.is_some();
         CheckStart::First {
             known,
             spec: entry.spec.clone(),
--- a/crates/kumquatnotch-holder/src/selection.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -92,7 +92,7 @@
         };
         if request.alone {
             // Two concurrent calls of a suspect could crash two targets at once.
-            if table.alone.contains(fingerprint) {
+            if table.running_suspects.contains(fingerprint) {
                 return Selection::Wait;
             }
             return select_alone(&mut table.entries, &usable, request.id);
@@ -109,8 +109,8 @@
     fn candidate(&self, entry: &Entry, now: Instant) -> Candidate {
         let in_flight = entry.replica.in_flight();
         // A replica that runs a suspect, or is reserved for one, takes no other calls.
-        let closed = entry.alone.is_some()
-            || entry.reserved.is_some()
+        let closed = entry.suspect_slot.is_some()
+            || entry.reserved_for.is_some()
             || entry.fitness(now) != Fitness::Ready;
         let slots = if closed { in_flight } else { entry.allowed(self.options.holders) };
         Candidate {
@@ -179,7 +179,7 @@
     usable: &[TargetName],
     id: u64,
 ) -> Selection {
-    let open = |entry: &Entry| entry.reserved.is_none_or(|other| other == id);
+    let open = |entry: &Entry| entry.reserved_for.is_none_or(|other| other == id);
     let idle = usable.iter().find(|name| {
         let entry = &entries[*name];
         entry.replica.in_flight() == 0 && open(entry)
@@ -187,7 +187,7 @@
     if let Some(name) = idle {
         return Selection::Start(name.clone());
     }
-    if usable.iter().any(|name| entries[name].reserved == Some(id)) {
+    if usable.iter().any(|name| entries[name].reserved_for == Some(id)) {
         return Selection::Wait;
     }
     // Without a reservation a busy replica would never become idle.
@@ -196,7 +196,7 @@
         .filter(|name| open(&entries[*name]))
         .min_by_key(|name| entries[*name].replica.in_flight());
     if let Some(entry) = least.and_then(|name| entries.get_mut(name)) {
-        entry.reserved = Some(id);
+        entry.reserved_for = Some(id);
     }
     Selection::Wait
 }
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -70,7 +70,7 @@
     pub level: u32,
     pub started: Instant,
     /// Fingerprint of the suspect request that runs alone in the slot.
-    pub alone: Option<Fingerprint>,
+    pub suspect: Option<Fingerprint>,
     /// Whether the call ended other than by being abandoned.
     pub completed: bool,
 }
@@ -277,14 +277,23 @@
         entry.limit.on_start(level);
         entry.running.push((id, Running { print: work.fingerprint, shard: work.shard.clone() }));
         if alone {
-            entry.alone = Some(id);
-            entry.reserved = None;
-            table.alone.insert(work.fingerprint);
+            entry.suspect_slot = Some(id);
+            entry.reserved_for = None;
+            table.running_suspects.insert(work.fingerprint);
         }
         let spec = entry.spec.clone();
         let core = self.clone();
-        let alone = alone.then_some(work.fingerprint);
-        Slot { core, id, target: name.clone(), spec, level, started: now, alone, completed: false }
+        let suspect = alone.then_some(work.fingerprint);
+        Slot {
+            core,
+            id,
+            target: name.clone(),
+            spec,
+            level,
+            started: now,
+            suspect,
+            completed: false,
+        }
     }
 
     /// Releases a slot; `abandoned` is the time since the start of an abandoned call.
@@ -293,9 +302,9 @@
         let mut shards = Vec::new();
         {
             let mut table = self.table.borrow_mut();
-            let Table { entries, alone, schedule, .. } = &mut *table;
-            if let Some(print) = &slot.alone {
-                alone.remove(print);
+            let Table { entries, running_suspects, schedule, .. } = &mut *table;
+            if let Some(fingerprint) = &slot.suspect {
+                running_suspects.remove(fingerprint);
             }
             let Some(entry) = entries.get_mut(&slot.target) else {
                 return;
@@ -311,8 +320,8 @@
                 }
                 self.hedge.borrow_mut().on_latency(elapsed);
             }
-            if entry.alone == Some(slot.id) {
-                entry.alone = None;
+            if entry.suspect_slot == Some(slot.id) {
+                entry.suspect_slot = None;
             }
             shards.push(entry.spec.shard.clone());
             let held = entry.replica.held().iter().map(|held| &held.shard);
@@ -332,8 +341,8 @@
         let Table { shards, entries, .. } = &mut *table;
         if guard.alone {
             let entries = entries.values_mut();
-            let reserved = entries.filter(|entry| entry.reserved == Some(guard.id));
-            reserved.for_each(|entry| entry.reserved = None);
+            let reserved = entries.filter(|entry| entry.reserved_for == Some(guard.id));
+            reserved.for_each(|entry| entry.reserved_for = None);
         }
         let Some(shard) = shards.get_mut(guard.shard) else {
             return;
--- a/crates/kumquatnotch-holder/src/table.rs
+++ b/crates/kumquatnotch-holder/src/table.rs
@@ -46,7 +46,7 @@
     /// How long the targets of a shard are probed after its last request.
     idle_timeout: Duration,
     /// Suspect requests running alone; another call of the same request waits.
-    pub alone: HashSet<Fingerprint>,
+    pub running_suspects: HashSet<Fingerprint>,
 }
 
 /// Configuration and state of a target.
@@ -59,9 +59,9 @@
     /// Requests in flight, with the ids of their slots.
     pub running: Vec<(u64, Running)>,
     /// Slot of a suspect request that runs alone.
-    pub alone: Option<u64>,
+    pub suspect_slot: Option<u64>,
     /// Waiter for which the replica is kept free of other calls.
-    pub reserved: Option<u64>,
+    pub reserved_for: Option<u64>,
     /// Calls waiting for the crash check in progress, if there is one.
     pub crash_waiters: Option<Vec<oneshot::Sender<()>>>,
     /// Whether the target has a draining mark.
@@ -109,7 +109,7 @@
             schedule: ProbeSchedule::default(),
             marked_draining: Vec::new(),
             idle_timeout: options.idle_timeout,
-            alone: HashSet::default(),
+            running_suspects: HashSet::default(),
         }
     }
 
@@ -254,8 +254,8 @@
             limit,
             delay,
             running: Vec::new(),
-            alone: None,
-            reserved: None,
+            suspect_slot: None,
+            reserved_for: None,
             crash_waiters: None,
             marked_draining: false,
             probing: false,
