--- a/crates/kumquatnotch-holder/src/calls.rs
+++ b/crates/kumquatnotch-holder/src/calls.rs
@@ -226,8 +226,8 @@
         let mut table = self.table.borrow_mut();
         if let Some(entry) = table.entries.get_mut(&slot.target) {
             entry.replica.on_answer(latency, reply.load, now);
-            // The limit would take the latencies of cold caches for lost slots, and would be
-            // lowered just when the target has to catch up.
+            // To the limit, the latencies of cold caches look like lost slots. It would be lowered
+            // just when the target has to catch up.
             if entry.replica.is_settled() {
                 entry.limit.on_answer(slot.level, latency, now);
             }
--- a/crates/kumquatnotch-holder/src/group.rs
+++ b/crates/kumquatnotch-holder/src/group.rs
@@ -78,7 +78,7 @@
             fingerprint: request.fingerprint,
             eligible: eligible.clone(),
             deadline,
-            // A hedged copy of the whole group must not be hedged again per shard.
+            // If this is already a hedged copy of the whole group, its calls are not hedged again.
             hedgeable: !request.hedge,
             sent: Cell::new(false),
         }
--- a/crates/kumquatnotch-holder/src/selection.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -15,7 +15,7 @@
     table::{Entry, Pending, Table},
 };
 
-/// Number of slots per slot that is reserved for the desk class.
+/// Number of slots out of which one is reserved for the desk class.
 const SLOTS_PER_RESERVE: u32 = 4;
 
 /// Result of a selection.
@@ -165,7 +165,7 @@
     if request.untried_only || usable.iter().any(untried) {
         usable.retain(untried);
     }
-    // Unresponsive replicas are used only if there are no others.
+    // Unresponsive replicas are used only if there are no others, until they answer again.
     let responsive = |name: &TargetName| !entries[name].is_unresponsive();
     if usable.iter().any(responsive) {
         usable.retain(responsive);
