--- a/crates/kumquatnotch-holder/src/calls.rs
+++ b/crates/kumquatnotch-holder/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to targets: sending one, hedging it, trying it again.
+//! Calls to targets: sending, hedging and retrying.
 
 use std::{pin::Pin, rc::Rc, time::Duration};
 
@@ -17,45 +17,44 @@
     slots::{Slot, Work},
 };
 
-/// How long a target that says it drains is marked for all nodes.
+/// Time to live of the draining mark of a target.
 ///
-/// The mark is renewed while probes say the same, and a target that has come
-/// back is used again soon after.
+/// Probes renew the mark while the target drains, so a target that has returned is used again
+/// soon after.
 pub const DRAINING_SPAN: Duration = Duration::from_secs(10);
 
-/// The share of its time for which a request that has lost a target waits for
-/// another one to be empty.
+/// Share of its time left for which a request that lost its target waits for an idle replica.
 ///
-/// The root keeps a request from other shards while it waits for this one, half of
-/// its patience at most. A holder that said nothing until the deadline left the
-/// root to fan out a request that crashes each target.
-const ALONE_SHARE: f64 = 0.2;
+/// The root withholds a request from other shards while it waits for this one, for at most half of
+/// its patience. If the holder does not answer before then, the root fans out a request that may
+/// crash every target.
+const ALONE_WAIT_SHARE: f64 = 0.2;
 
-/// The delays after which a second copy goes before those who wait for a slot.
+/// Number of hedge delays after which a hedged copy bypasses the queue.
 ///
-/// A call on a connection that has gone silent would else wait as long as there
-/// is a queue, though it has waited longer than anyone in it.
-const PRESSING: u32 = 3;
+/// Otherwise a call on a silent connection would not be hedged while there is a queue, although it
+/// has waited longer than any call in the queue.
+const QUEUE_BYPASS_DELAYS: u32 = 3;
 
 impl Core {
-    /// Runs `work` on a replica of its shard, again on another if that is safe.
+    /// Runs `work` on a replica of its shard and retries it on another if that is safe.
     pub async fn run(self: &Rc<Self>, work: &Rc<Work>) -> Result<TargetReply> {
         self.retry.borrow_mut().on_call();
         let mut tried = Vec::new();
         let mut tries = 0;
-        // A refusal of a later try must not hide that an earlier one ran. A request
-        // that has crashed the last replica would end with "no target", and the
-        // root, which takes that for a shard that is lost, would try it elsewhere.
-        let mut ran: Option<Error> = None;
+        // Error of the last attempt that may have run. It takes precedence over the refusal of a
+        // later attempt: a request that crashed the last replica would otherwise fail with "no
+        // target", and the root would take the shard for lost and send the request elsewhere.
+        let mut last_run_error: Option<Error> = None;
         loop {
-            let alone = match self.verdict(work.print) {
+            let alone = match self.verdict(work.fingerprint) {
                 Verdict::Free => false,
                 Verdict::Alone => true,
-                Verdict::Refused(left) => return Err(ran.unwrap_or(contained(left))),
+                Verdict::Refused(left) => return Err(last_run_error.unwrap_or(contained(left))),
             };
-            let slot = match &ran {
+            let slot = match &last_run_error {
                 Some(error) if alone => {
-                    let acquired = self.acquire_soon(work, &tried).await;
+                    let acquired = self.acquire_alone(work, &tried).await;
                     acquired.map_err(|_| error.clone())?
                 }
                 Some(error) => {
@@ -69,15 +68,15 @@
                 Ok(reply) => return Ok(reply),
                 Err(error) => error,
             };
-            // The request has run, so the refusal "not run" would be untrue of it.
-            if matches!(self.verdict(work.print), Verdict::Refused(_)) {
+            // The request has run, so it must not be refused as "not run".
+            if matches!(self.verdict(work.fingerprint), Verdict::Refused(_)) {
                 return Err(error);
             }
-            let Some(wait) = self.next_attempt(work, &error, tries, &tried) else {
+            let Some(wait) = self.retry_delay(work, &error, tries, &tried) else {
                 return Err(error);
             };
             if !error.is_not_run() {
-                ran = Some(error);
+                last_run_error = Some(error);
             }
             self.meters.retries.increment(1);
             if !wait.is_zero() {
@@ -87,22 +86,22 @@
         }
     }
 
-    /// Waits for a replica with nothing else in flight, for a share of the time left.
-    async fn acquire_soon(self: &Rc<Self>, work: &Rc<Work>, tried: &[TargetName]) -> Result<Slot> {
+    /// Waits for an idle replica, for [`ALONE_WAIT_SHARE`] of the time left.
+    async fn acquire_alone(self: &Rc<Self>, work: &Rc<Work>, tried: &[TargetName]) -> Result<Slot> {
         let now = self.now();
-        let until = now + work.deadline.saturating_duration_since(now).mul_f64(ALONE_SHARE);
+        let until = now + work.deadline.saturating_duration_since(now).mul_f64(ALONE_WAIT_SHARE);
         timeout_at(&*self.clock, until, self.acquire(work, tried, true)).await?
     }
 
-    /// How the request of this fingerprint may run.
-    pub fn verdict(&self, print: kumquatnotch_core::ids::Fingerprint) -> Verdict {
-        match self.marks.left_ms(&MarkKind::Contained(print)) {
+    /// Returns how the request of this fingerprint may run.
+    pub fn verdict(&self, fingerprint: kumquatnotch_core::ids::Fingerprint) -> Verdict {
+        match self.marks.left_ms(&MarkKind::Contained(fingerprint)) {
             Some(left) => Verdict::Refused(Duration::from_millis(left)),
-            None => self.containment.borrow().verdict(print, self.now()),
+            None => self.containment.borrow().verdict(fingerprint, self.now()),
         }
     }
 
-    fn next_attempt(
+    fn retry_delay(
         &self,
         work: &Work,
         error: &Error,
@@ -113,19 +112,19 @@
             error,
             tries,
             exclusive: work.is_exclusive(),
-            other: self.has_other(work, tried),
+            other: self.has_untried(work, tried),
             deadline: work.deadline,
         };
         self.retry.borrow_mut().next(&attempt, self.now())
     }
 
-    fn has_other(&self, work: &Work, tried: &[TargetName]) -> bool {
+    fn has_untried(&self, work: &Work, tried: &[TargetName]) -> bool {
         let table = self.table.borrow();
         let names = table.index.get(&work.shard).map(Vec::as_slice).unwrap_or_default();
-        names.iter().any(|name| work.reach.contains(name) && !tried.contains(name))
+        names.iter().any(|name| work.eligible.contains(name) && !tried.contains(name))
     }
 
-    /// One attempt, with a second copy on another replica if it is late.
+    /// Makes one attempt, hedged on another replica if it is late.
     async fn attempt(
         self: &Rc<Self>,
         work: &Rc<Work>,
@@ -137,18 +136,18 @@
         self.hedge.borrow_mut().on_call();
         let first = self.call(work, slot);
         let delay = self.hedge.borrow().delay();
-        let Some(delay) = delay.filter(|_| work.hedged && !alone) else {
+        let Some(delay) = delay.filter(|_| work.hedgeable && !alone) else {
             return first.await;
         };
         let mut first = Box::pin(first);
-        let mut late = 0;
+        let mut hedge_delays = 0;
         let slot = loop {
             first = match select(first, sleep(&*self.clock, delay)).await {
                 Either::Left((result, _)) => return result,
                 Either::Right(((), first)) => first,
             };
-            late += 1;
-            if let Some(slot) = self.hedge_slot(work, tried, late >= PRESSING) {
+            hedge_delays += 1;
+            if let Some(slot) = self.hedge_slot(work, tried, hedge_delays >= QUEUE_BYPASS_DELAYS) {
                 break slot;
             }
         };
@@ -156,38 +155,38 @@
         first_success(first, Box::pin(self.call(work, slot))).await
     }
 
-    /// A slot for a second copy, if one is free and the budget pays for it.
+    /// Takes a slot for a hedged copy if one is free and the hedge budget allows it.
     fn hedge_slot(
         self: &Rc<Self>,
         work: &Work,
         tried: &[TargetName],
-        pressing: bool,
+        bypass_queue: bool,
     ) -> Option<Slot> {
-        // The lost connection may be the request's own doing. A copy sent before
-        // its target was asked would crash a second replica, unproved again, as
-        // the first crash has not made the request a suspect yet.
-        if self.is_checked(tried) {
+        // The request itself may have crashed the target whose connection was lost. Until the
+        // crash check ends, the request is not a suspect yet, and a hedged copy could crash a
+        // second replica without identifying the request as the cause.
+        if self.has_crash_check(tried) {
             return None;
         }
-        let slot = self.spare_slot(work, tried, pressing)?;
+        let slot = self.spare_slot(work, tried, bypass_queue)?;
         if !self.hedge.borrow_mut().spend() {
-            // It was never used, so it tells nothing of the replica.
+            // The slot was never used, so its release must not count as an abandoned call.
             let mut slot = slot;
-            slot.settled = true;
+            slot.completed = true;
             return None;
         }
         self.meters.hedges.increment(1);
         Some(slot)
     }
 
-    /// Whether one of `tried` is being asked whether it crashed.
-    fn is_checked(&self, tried: &[TargetName]) -> bool {
+    /// Whether a crash check of one of `tried` is in progress.
+    fn has_crash_check(&self, tried: &[TargetName]) -> bool {
         let table = self.table.borrow();
         let mut entries = tried.iter().filter_map(|name| table.entries.get(name));
-        entries.any(|entry| entry.checking.is_some())
+        entries.any(|entry| entry.crash_waiters.is_some())
     }
 
-    /// Sends `work` to the replica of `slot` and learns from how it ends.
+    /// Sends `work` to the replica of `slot` and records the outcome.
     async fn call(self: &Rc<Self>, work: &Rc<Work>, mut slot: Slot) -> Result<TargetReply> {
         let call = TargetCall {
             id: self.random.number(),
@@ -205,9 +204,9 @@
         let result = self.targets.call(&slot.target, &spec, &call, work.deadline).await;
         match result {
             Ok(reply) if work.version.is_some_and(|version| version != reply.version) => {
-                slot.settled = true;
+                slot.completed = true;
                 // Hits of another version would mix two snapshots in one answer.
-                Err(Error::protocol("answered from another version"))
+                Err(Error::protocol("reply is from another index version"))
             }
             Ok(reply) => {
                 self.on_reply(work, &mut slot, &reply);
@@ -215,52 +214,52 @@
             }
             Err(error) => {
                 self.on_error(work, &mut slot, &error).await;
-                Err(public(error))
+                Err(redact(error))
             }
         }
     }
 
     fn on_reply(&self, work: &Work, slot: &mut Slot, reply: &TargetReply) {
-        slot.settled = true;
+        slot.completed = true;
         let now = self.now();
         let latency = now.saturating_duration_since(slot.started);
         let mut table = self.table.borrow_mut();
         if let Some(entry) = table.entries.get_mut(&slot.target) {
             entry.replica.on_answer(latency, reply.load, now);
-            // Cold caches would look like slots that were lost, and the limit
-            // would be cut just when the target has to catch up.
+            // To the limit, the latencies of cold caches look like lost slots. It would be lowered
+            // just when the target has to catch up.
             if entry.replica.is_settled() {
                 entry.limit.on_answer(slot.level, latency, now);
             }
-            entry.given_up = 0;
+            entry.abandoned_calls = 0;
         }
         if let Some(shard) = table.shards.get_mut(&work.shard) {
             shard.add_service(latency);
         }
         drop(table);
         self.hedge.borrow_mut().on_latency(latency);
-        self.containment.borrow_mut().on_answer(work.print, &work.shard);
+        self.containment.borrow_mut().on_answer(work.fingerprint, &work.shard);
         self.meters.record_service(&work.tenant, work.class, latency);
     }
 
     async fn on_error(self: &Rc<Self>, work: &Work, slot: &mut Slot, error: &Error) {
         let now = self.now();
         let target = &slot.target;
-        // The text of an error may hold a rival's data, so only its code is logged.
+        // The text of an error may contain data of another tenant, so only its code is logged.
         tracing::debug!(%target, code = error.code(), "holder: call failed");
         match error {
             Error::ConnectionLost => {
                 self.check_crash(target).await;
-                slot.settled = true;
+                slot.completed = true;
                 return;
             }
-            // These say how long the target kept us waiting, as a dropped call does.
+            // The elapsed time is recorded as for an abandoned call when the slot is released.
             Error::TimedOut => return,
             Error::ConnectionSilent => {
                 self.meters.silences.increment(1);
                 return;
             }
-            _ => slot.settled = true,
+            _ => slot.completed = true,
         }
         let mut table = self.table.borrow_mut();
         let Some(entry) = table.entries.get_mut(target) else {
@@ -276,8 +275,8 @@
             Error::Draining => {
                 entry.replica.on_draining();
                 drop(table);
-                self.mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
-                tracing::info!(%target, "holder: target drains");
+                self.set_mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
+                tracing::info!(%target, "holder: target is draining");
             }
             Error::VersionGone { version } => {
                 let version = kumquatnotch_core::ids::IndexVersion(*version);
@@ -286,30 +285,28 @@
             Error::ConnectFailed | Error::ConnectRefused => {
                 entry.replica.on_unreachable(now, &self.random);
                 let at = entry.replica.down_until().unwrap_or(now);
-                table.plan(target, at);
+                table.schedule_probe(target, at);
             }
             _ => {}
         }
     }
 }
 
-/// The refusal of a contained request.
+/// Returns the refusal of a contained request.
 pub fn contained(left: Duration) -> Error {
     Error::Contained { retry_ms: left.as_millis() as u64 }
 }
 
-/// `error` without the target's own words, which may hold what only one tenant may see.
-fn public(error: Error) -> Error {
+/// Removes the text of the target from `error`, as it may contain private data of a tenant.
+fn redact(error: Error) -> Error {
     match error {
-        Error::TargetFailed { .. } => {
-            Error::TargetFailed { detail: "it reported a failure".to_owned() }
-        }
-        Error::Protocol { .. } => Error::protocol("the target's reply can't be read"),
+        Error::TargetFailed { .. } => Error::TargetFailed { detail: "details withheld".to_owned() },
+        Error::Protocol { .. } => Error::protocol("invalid reply from the target"),
         error => error,
     }
 }
 
-/// The first success of two calls; the last error if both fail.
+/// Returns the first success of two calls, or the last error if both fail.
 async fn first_success<T>(
     first: Pin<Box<impl Future<Output = Result<T>>>>,
     second: Pin<Box<impl Future<Output = Result<T>>>>,
--- a/crates/kumquatnotch-holder/src/options.rs
+++ b/crates/kumquatnotch-holder/src/options.rs
@@ -7,20 +7,20 @@
 /// Options of a [`crate::HolderService`].
 #[derive(Clone, Debug)]
 pub struct HolderOptions {
-    /// The data centre of this node.
+    /// Data centre of this node.
     pub centre: DataCentre,
-    /// How many holders share the slots of a replica.
+    /// Number of holders that share the slots of a replica.
     pub holders: u32,
-    /// The time between two probes of a target.
-    pub probe_every: Duration,
-    /// How long a probe may take.
+    /// Interval between probes of a target, before jitter.
+    pub probe_interval: Duration,
+    /// Timeout of a probe.
     pub probe_timeout: Duration,
-    /// How long a shard is probed after it was last asked for.
-    pub asked_for: Duration,
-    /// The one-way delay assumed within a region.
-    pub near: Duration,
-    /// The one-way delay assumed between regions.
-    pub far: Duration,
+    /// How long the targets of a shard are probed after its last request.
+    pub idle_timeout: Duration,
+    /// One-way network delay assumed between data centres of a region.
+    pub near_delay: Duration,
+    /// One-way network delay assumed between regions.
+    pub far_delay: Duration,
 }
 
 impl Default for HolderOptions {
@@ -28,11 +28,11 @@
         HolderOptions {
             centre: DataCentre::from("local"),
             holders: 1,
-            probe_every: Duration::from_secs(1),
+            probe_interval: Duration::from_secs(1),
             probe_timeout: Duration::from_millis(400),
-            asked_for: Duration::from_secs(60),
-            near: Duration::from_micros(500),
-            far: Duration::from_millis(15),
+            idle_timeout: Duration::from_secs(60),
+            near_delay: Duration::from_micros(500),
+            far_delay: Duration::from_millis(15),
         }
     }
 }
--- a/crates/kumquatnotch-holder/src/offers.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which replica a call is offered, if any.
+//! Selection of the replica that runs a call.
 
 use std::time::Instant;
 
@@ -15,42 +15,50 @@
     table::{Entry, Pending, Table},
 };
 
-/// One slot out of this many is kept free for the desk.
+/// Number of slots out of which one is reserved for the desk class.
 const SLOTS_PER_RESERVE: u32 = 4;
 
-/// Whether a call can be given a slot.
-pub enum Offer {
+/// Result of a selection.
+pub enum Selection {
+    /// Start on this replica.
     Start(TargetName),
+    /// Wait for a slot.
     Wait,
-    /// No replica can run it, whatever it waits for.
+    /// No replica can run the call, even after a wait.
     Never(Error),
 }
 
-/// The turn of a call that nobody waits before.
-pub const ALONE_TURN: SlotOffer = SlotOffer { ahead: 0, guaranteed: false };
+/// Offer to a call with no waiters before it.
+pub const IMMEDIATE_OFFER: SlotOffer = SlotOffer { ahead: 0, guaranteed: false };
 
-pub struct Request<'a> {
+/// A call for which a replica is selected.
+pub struct SlotRequest<'a> {
     pub work: &'a Work,
     pub tried: &'a [TargetName],
     pub alone: bool,
     pub id: u64,
-    /// Whether only replicas that were not tried will do.
-    pub strict: bool,
+    /// Whether replicas that were tried are excluded.
+    pub untried_only: bool,
 }
 
-impl<'a> Request<'a> {
-    pub fn of(pending: &'a Pending) -> Request<'a> {
+impl<'a> SlotRequest<'a> {
+    pub fn of(pending: &'a Pending) -> SlotRequest<'a> {
         let Pending { waiter, work, tried, alone, .. } = pending;
-        Request { work, tried, alone: *alone, id: waiter.id, strict: false }
+        SlotRequest { work, tried, alone: *alone, id: waiter.id, untried_only: false }
     }
 }
 
 impl Core {
-    /// Whether an audit has to leave the last free slots to the desk.
+    /// Whether the remaining free slots are reserved for the desk and closed to this audit call.
     ///
-    /// A slot can't be taken back, so without a reserve every desk call that
-    /// meets full slots waits for the end of an audit's call.
-    pub fn keeps_reserve(&self, table: &Table, request: &Request<'_>, now: Instant) -> bool {
+    /// A running call cannot be preempted, so without a reserve a desk call that finds all slots
+    /// occupied would wait for an audit call to end.
+    pub fn is_reserved_for_desk(
+        &self,
+        table: &Table,
+        request: &SlotRequest<'_>,
+        now: Instant,
+    ) -> bool {
         if request.work.class != Class::Audit {
             return false;
         }
@@ -66,43 +74,43 @@
         slots != u32::MAX && slots - busy <= slots / SLOTS_PER_RESERVE
     }
 
-    /// Finds `request` a replica.
-    pub fn offer(
+    /// Selects a replica for `request`.
+    pub fn select_replica(
         &self,
         table: &mut Table,
-        request: &Request<'_>,
-        turn: SlotOffer,
+        request: &SlotRequest<'_>,
+        offer: SlotOffer,
         now: Instant,
-    ) -> Offer {
-        let Work { shard, print, .. } = request.work;
+    ) -> Selection {
+        let Work { shard, fingerprint, .. } = request.work;
         let Some(names) = table.index.get(shard) else {
-            return Offer::Never(Error::NoTarget);
+            return Selection::Never(Error::NoTarget);
         };
         let usable = match usable(&table.entries, names, request, now) {
             Ok(usable) => usable,
-            Err(error) => return Offer::Never(error),
+            Err(error) => return Selection::Never(error),
         };
         if request.alone {
-            // Two copies of one suspect would crash two targets at once.
-            if table.alone.contains(print) {
-                return Offer::Wait;
+            // Two concurrent calls of a suspect could crash two targets at once.
+            if table.running_suspects.contains(fingerprint) {
+                return Selection::Wait;
             }
-            return offer_alone(&mut table.entries, &usable, request.id);
+            return select_alone(&mut table.entries, &usable, request.id);
         }
         let candidates: Vec<Candidate> =
             usable.iter().map(|name| self.candidate(&table.entries[name], now)).collect();
-        let need = CallProfile { ahead: turn.ahead, urgent: request.work.class == Class::Desk };
+        let need = CallProfile { ahead: offer.ahead, urgent: request.work.class == Class::Desk };
         match self.choice.pick(&candidates, need, &self.random) {
-            Pick::Take(index) => Offer::Start(usable[index].clone()),
-            Pick::Wait => Offer::Wait,
+            Pick::Take(index) => Selection::Start(usable[index].clone()),
+            Pick::Wait => Selection::Wait,
         }
     }
 
     fn candidate(&self, entry: &Entry, now: Instant) -> Candidate {
         let in_flight = entry.replica.in_flight();
-        // Nothing joins a suspect request, or a replica that is emptied for one.
-        let closed = entry.alone.is_some()
-            || entry.reserved.is_some()
+        // A replica that runs a suspect, or is reserved for one, takes no other calls.
+        let closed = entry.suspect_slot.is_some()
+            || entry.reserved_for.is_some()
             || entry.fitness(now) != Fitness::Ready;
         let slots = if closed { in_flight } else { entry.allowed(self.options.holders) };
         Candidate {
@@ -117,17 +125,17 @@
     }
 }
 
-/// The replicas that could run `request`, now or once they have a free slot.
+/// Returns the replicas that can run `request` now or once they have a free slot.
 fn usable(
     entries: &HashMap<TargetName, Entry>,
     names: &[TargetName],
-    request: &Request<'_>,
+    request: &SlotRequest<'_>,
     now: Instant,
 ) -> Result<Vec<TargetName>> {
-    let Work { shard, version, reach, deadline, .. } = request.work;
+    let Work { shard, version, eligible, deadline, .. } = request.work;
     let mut usable = Vec::with_capacity(names.len());
     let mut error = Error::NoTarget;
-    for name in names.iter().filter(|name| reach.contains(*name)) {
+    for name in names.iter().filter(|name| eligible.contains(*name)) {
         let entry = &entries[name];
         match entry.fitness(now) {
             Fitness::Ready => {}
@@ -143,7 +151,7 @@
             Some(version) => entry.replica.holds(shard, *version),
             None => entry.replica.serves(shard),
         };
-        // Before the first probe the document is all there is to go by.
+        // Before the first probe only the declared shard is known.
         if holds.unwrap_or(entry.spec.shard == *shard) {
             usable.push(name.clone());
         } else if let Some(version) = version {
@@ -153,38 +161,42 @@
     if usable.is_empty() {
         return Err(error);
     }
-    let fresh = |name: &TargetName| !request.tried.contains(name);
-    if request.strict || usable.iter().any(fresh) {
-        usable.retain(fresh);
+    let untried = |name: &TargetName| !request.tried.contains(name);
+    if request.untried_only || usable.iter().any(untried) {
+        usable.retain(untried);
     }
-    // One that has gone quiet is passed over until it was heard of again.
-    let heard = |name: &TargetName| !entries[name].is_quiet();
-    if usable.iter().any(heard) {
-        usable.retain(heard);
+    // Unresponsive replicas are used only if there are no others, until they answer again.
+    let responsive = |name: &TargetName| !entries[name].is_unresponsive();
+    if usable.iter().any(responsive) {
+        usable.retain(responsive);
     }
     if usable.is_empty() { Err(Error::NoTarget) } else { Ok(usable) }
 }
 
-/// Finds a suspect request a replica with nothing in flight, or empties one.
-fn offer_alone(entries: &mut HashMap<TargetName, Entry>, usable: &[TargetName], id: u64) -> Offer {
-    let open = |entry: &Entry| entry.reserved.is_none_or(|other| other == id);
+/// Selects an idle replica for a suspect request, or reserves one until it is idle.
+fn select_alone(
+    entries: &mut HashMap<TargetName, Entry>,
+    usable: &[TargetName],
+    id: u64,
+) -> Selection {
+    let open = |entry: &Entry| entry.reserved_for.is_none_or(|other| other == id);
     let idle = usable.iter().find(|name| {
         let entry = &entries[*name];
         entry.replica.in_flight() == 0 && open(entry)
     });
     if let Some(name) = idle {
-        return Offer::Start(name.clone());
+        return Selection::Start(name.clone());
     }
-    if usable.iter().any(|name| entries[name].reserved == Some(id)) {
-        return Offer::Wait;
+    if usable.iter().any(|name| entries[name].reserved_for == Some(id)) {
+        return Selection::Wait;
     }
-    // Without a reservation a busy replica would never be empty.
+    // Without a reservation a busy replica would never become idle.
     let least = usable
         .iter()
         .filter(|name| open(&entries[*name]))
         .min_by_key(|name| entries[*name].replica.in_flight());
     if let Some(entry) = least.and_then(|name| entries.get_mut(name)) {
-        entry.reserved = Some(id);
+        entry.reserved_for = Some(id);
     }
-    Offer::Wait
+    Selection::Wait
 }
--- a/crates/kumquatnotch-holder/src/table.rs
+++ b/crates/kumquatnotch-holder/src/table.rs
@@ -1,5 +1,4 @@
-//! The table of targets and shards: what the document says of them, and what
-//! was observed.
+//! The table of targets and shards: their configuration and observed state.
 
 use std::{
     rc::Rc,
@@ -20,74 +19,74 @@
     replica::{Fitness, Replica},
 };
 
-use crate::{HolderOptions, agenda::Agenda, slots::Slot, slots::Work};
+use crate::{HolderOptions, schedule::ProbeSchedule, slots::Slot, slots::Work};
 
-/// The targets that a selector may reach.
-pub type Reach = Rc<HashSet<TargetName>>;
+/// Set of the targets that a selector matches.
+pub type TargetSet = Rc<HashSet<TargetName>>;
 
-/// The service time assumed before anything was answered.
-const FIRST_SERVICE: f64 = 0.006;
-/// The weight of a new service time in the moving mean.
-const SERVICE_WEIGHT: f64 = 0.05;
+/// Service time assumed before the first answer.
+const INITIAL_SERVICE_SECONDS: f64 = 0.006;
+/// Weight of a new sample in the moving average of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.05;
 
-/// The calls given up without an answer in between that make a target quiet.
-const MOST_GIVEN_UP: u32 = 3;
+/// Number of consecutive abandoned calls after which a target counts as unresponsive.
+const MAX_ABANDONED_CALLS: u32 = 3;
 
 /// The state of a holder.
 pub struct Table {
     pub document: Option<Rc<Document>>,
     pub entries: HashMap<TargetName, Entry>,
     pub shards: HashMap<ShardName, Shard>,
-    /// The targets that declare or hold a shard.
+    /// Targets that declare or hold a shard, sorted by name.
     pub index: HashMap<ShardName, Vec<TargetName>>,
-    pub reach: HashMap<SelectorName, Reach>,
-    pub agenda: Agenda,
-    /// The targets that other nodes say are draining.
-    pub marked: Vec<TargetName>,
-    /// How long a shard is probed after it was last asked for.
-    asked_for: Duration,
-    /// Suspect requests that run alone now; a second copy of one waits.
-    pub alone: HashSet<Fingerprint>,
+    pub eligible: HashMap<SelectorName, TargetSet>,
+    pub schedule: ProbeSchedule,
+    /// Targets with a draining mark.
+    pub marked_draining: Vec<TargetName>,
+    /// How long the targets of a shard are probed after its last request.
+    idle_timeout: Duration,
+    /// Suspect requests running alone; another call of the same request waits.
+    pub running_suspects: HashSet<Fingerprint>,
 }
 
-/// A target.
+/// Configuration and state of a target.
 pub struct Entry {
     pub spec: Rc<TargetSpec>,
     pub replica: Replica,
     pub limit: Box<dyn Limit>,
-    /// The one-way delay to it.
+    /// Assumed one-way network delay to the target.
     pub delay: Duration,
-    /// What is in flight to it, by the number of the slot.
+    /// Requests in flight, with the ids of their slots.
     pub running: Vec<(u64, Running)>,
-    /// The slot of a suspect request that runs alone.
-    pub alone: Option<u64>,
-    /// The waiter for which it is being emptied.
-    pub reserved: Option<u64>,
-    /// Those who wait to hear whether it crashed.
-    pub checking: Option<Vec<oneshot::Sender<()>>>,
-    /// Whether other nodes say that it is draining.
-    pub marked: bool,
+    /// Slot of a suspect request that runs alone.
+    pub suspect_slot: Option<u64>,
+    /// Waiter for which the replica is kept free of other calls.
+    pub reserved_for: Option<u64>,
+    /// Calls waiting for the crash check in progress, if there is one.
+    pub crash_waiters: Option<Vec<oneshot::Sender<()>>>,
+    /// Whether the target has a draining mark.
+    pub marked_draining: bool,
     pub probing: bool,
     pub next_probe: Option<Instant>,
-    /// When it last told its state.
-    pub told: Option<Instant>,
-    /// The shards in whose index it stands.
-    pub indexed: Vec<ShardName>,
-    /// The probes that failed in a row.
-    pub unheard: u32,
-    /// The calls given up since it was last heard of.
-    pub given_up: u32,
+    /// When a probe last succeeded.
+    pub last_status: Option<Instant>,
+    /// Shards under which the target is indexed.
+    pub indexed_shards: Vec<ShardName>,
+    /// Number of consecutive failed probes.
+    pub failed_probes: u32,
+    /// Number of calls abandoned since the last answer or successful probe.
+    pub abandoned_calls: u32,
 }
 
-/// A shard that was asked for.
+/// State of a requested shard.
 pub struct Shard {
     pub queue: Box<dyn WaitQueue>,
     pub pending: HashMap<u64, Pending>,
-    pub asked: Instant,
-    /// When the desk last asked for it.
-    pub urgent: Option<Instant>,
-    /// The moving mean of its service time, in seconds.
-    pub service: f64,
+    pub last_request: Instant,
+    /// Time of the last request of the desk class.
+    pub last_desk_request: Option<Instant>,
+    /// Moving average of the service time, in seconds.
+    pub service_seconds: f64,
 }
 
 /// A call that waits for a slot.
@@ -106,16 +105,16 @@
             entries: HashMap::default(),
             shards: HashMap::default(),
             index: HashMap::default(),
-            reach: HashMap::default(),
-            agenda: Agenda::default(),
-            marked: Vec::new(),
-            asked_for: options.asked_for,
-            alone: HashSet::default(),
+            eligible: HashMap::default(),
+            schedule: ProbeSchedule::default(),
+            marked_draining: Vec::new(),
+            idle_timeout: options.idle_timeout,
+            running_suspects: HashSet::default(),
         }
     }
 
-    /// Takes over `document`; the targets that are gone or have moved.
-    pub fn follow(
+    /// Applies `document` and returns the targets that were removed or have a new address.
+    pub fn apply_document(
         &mut self,
         document: &Rc<Document>,
         options: &HolderOptions,
@@ -149,86 +148,89 @@
             }
         }
         self.document = Some(document.clone());
-        self.reach.clear();
+        self.eligible.clear();
         self.rebuild_index();
-        self.agenda.spoil();
+        self.schedule.invalidate();
         gone
     }
 
-    /// The targets that `selector` may reach.
-    pub fn reach(&mut self, selector: &SelectorName) -> Result<Reach> {
-        if let Some(reach) = self.reach.get(selector) {
-            return Ok(reach.clone());
+    /// Returns the targets that `selector` matches.
+    pub fn eligible(&mut self, selector: &SelectorName) -> Result<TargetSet> {
+        if let Some(eligible) = self.eligible.get(selector) {
+            return Ok(eligible.clone());
         }
         let document = self.document.as_ref().ok_or(Error::NotReady)?;
         let Some(spec) = document.rules.selectors.get(selector) else {
             return Err(Error::UnknownSelector { name: selector.to_string() });
         };
-        let reach: Reach = Rc::new(document.select(spec).map(|(name, _)| name.clone()).collect());
-        self.reach.insert(selector.clone(), reach.clone());
-        Ok(reach)
+        let eligible: TargetSet =
+            Rc::new(document.select(spec).map(|(name, _)| name.clone()).collect());
+        self.eligible.insert(selector.clone(), eligible.clone());
+        Ok(eligible)
     }
 
-    /// The shard, known from now on as asked for.
-    pub fn ask(
+    /// Records a request for a shard and returns the state of the shard.
+    pub fn touch_shard(
         &mut self,
         name: &ShardName,
         now: Instant,
         queue: fn() -> Box<dyn WaitQueue>,
     ) -> &mut Shard {
-        let known = self.shards.get(name).map(|shard| now.saturating_duration_since(shard.asked));
-        if known.is_none_or(|since| since > self.asked_for) {
-            self.agenda.add_shard(name);
+        let known =
+            self.shards.get(name).map(|shard| now.saturating_duration_since(shard.last_request));
+        if known.is_none_or(|since| since > self.idle_timeout) {
+            self.schedule.add_shard(name);
         }
         let shard = self.shards.entry(name.clone()).or_insert_with(|| Shard {
             queue: queue(),
             pending: HashMap::default(),
-            asked: now,
-            urgent: None,
-            service: FIRST_SERVICE,
+            last_request: now,
+            last_desk_request: None,
+            service_seconds: INITIAL_SERVICE_SECONDS,
         });
-        shard.asked = now;
+        shard.last_request = now;
         shard
     }
 
-    /// How fast the replicas of a shard work.
-    pub fn pace(&self, name: &ShardName, holders: u32, now: Instant) -> ServiceRate {
+    /// Returns the service rate of the usable replicas of a shard.
+    pub fn service_rate(&self, name: &ShardName, holders: u32, now: Instant) -> ServiceRate {
         let targets = self.index.get(name).map(Vec::as_slice).unwrap_or_default();
         let entries = targets.iter().filter_map(|target| self.entries.get(target));
         let usable = entries.filter(|entry| entry.fitness(now) == Fitness::Ready);
         let slots = usable.map(|entry| entry.allowed(holders)).fold(0, u32::saturating_add);
-        let service = self.shards.get(name).map_or(FIRST_SERVICE, |shard| shard.service);
+        let service =
+            self.shards.get(name).map_or(INITIAL_SERVICE_SECONDS, |shard| shard.service_seconds);
         ServiceRate { slots, service: Duration::from_secs_f64(service) }
     }
 
-    /// Every target belongs to the shard it declares and to those it holds.
+    /// Indexes every target under the shard it declares and those it holds.
     fn rebuild_index(&mut self) {
         self.index.clear();
         let mut entries: Vec<_> = self.entries.iter_mut().collect();
         entries.sort_unstable_by_key(|(name, _)| *name);
         for (name, entry) in entries {
-            entry.indexed = entry.shards();
-            for shard in &entry.indexed {
+            entry.indexed_shards = entry.shards();
+            for shard in &entry.indexed_shards {
                 self.index.entry(shard.clone()).or_default().push(name.clone());
             }
         }
     }
 
-    /// Moves a target to the shards that it holds now.
+    /// Updates the index after the shards held by a target have changed.
     pub fn reindex(&mut self, name: &TargetName) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
         let shards = entry.shards();
-        if shards == entry.indexed {
+        if shards == entry.indexed_shards {
             return;
         }
-        for shard in std::mem::replace(&mut entry.indexed, shards) {
+        for shard in std::mem::replace(&mut entry.indexed_shards, shards) {
             if let Some(targets) = self.index.get_mut(&shard) {
                 targets.retain(|other| other != name);
             }
         }
-        for shard in &entry.indexed {
+        for shard in &entry.indexed_shards {
             let targets = self.index.entry(shard.clone()).or_default();
             if let Err(at) = targets.binary_search(name) {
                 targets.insert(at, name.clone());
@@ -238,9 +240,9 @@
 }
 
 impl Shard {
-    /// A call took this long at a target.
+    /// Adds the duration of a call to the moving average.
     pub fn add_service(&mut self, span: Duration) {
-        self.service += (span.as_secs_f64() - self.service) * SERVICE_WEIGHT;
+        self.service_seconds += (span.as_secs_f64() - self.service_seconds) * SERVICE_TIME_WEIGHT;
     }
 }
 
@@ -252,36 +254,36 @@
             limit,
             delay,
             running: Vec::new(),
-            alone: None,
-            reserved: None,
-            checking: None,
-            marked: false,
+            suspect_slot: None,
+            reserved_for: None,
+            crash_waiters: None,
+            marked_draining: false,
             probing: false,
             next_probe: None,
-            told: None,
-            indexed: Vec::new(),
-            unheard: 0,
-            given_up: 0,
+            last_status: None,
+            indexed_shards: Vec::new(),
+            failed_probes: 0,
+            abandoned_calls: 0,
         }
     }
 
-    /// Whether it may be given a call now, whoever says that it may not.
+    /// Whether it can be given a call now, including draining marks and crash checks.
     pub fn fitness(&self, now: Instant) -> Fitness {
-        if self.spec.drain || self.marked {
+        if self.spec.drain || self.marked_draining {
             return Fitness::Draining;
         }
-        if self.checking.is_some() {
+        if self.crash_waiters.is_some() {
             return Fitness::Down;
         }
         self.replica.fitness(now)
     }
 
-    /// Whether it can be given calls, now or within a moment.
+    /// Whether it can be given calls now or once it stops shedding load.
     pub fn is_usable(&self, now: Instant) -> bool {
         matches!(self.fitness(now), Fitness::Ready | Fitness::Shedding(_))
     }
 
-    /// The shard it declares and those it holds.
+    /// Returns the shard it declares and those it holds.
     fn shards(&self) -> Vec<ShardName> {
         let mut shards = vec![self.spec.shard.clone()];
         for held in self.replica.held() {
@@ -292,25 +294,25 @@
         shards
     }
 
-    /// A call to it was given up; whether it has to be probed at once.
-    pub fn on_given_up(&mut self, elapsed: Duration, now: Instant) -> bool {
+    /// Records an abandoned call; returns whether the target must be probed immediately.
+    pub fn on_abandoned(&mut self, elapsed: Duration, now: Instant) -> bool {
         self.replica.on_cancelled(elapsed);
-        self.given_up += 1;
-        // A target that was cut off answers nothing and refuses nothing; a
-        // probe at once tells it from one that is slow.
-        let sooner = self.is_quiet() && self.next_probe.is_some_and(|at| at > now);
+        self.abandoned_calls += 1;
+        // A target that is cut off neither answers nor refuses calls. An immediate probe
+        // distinguishes it from a slow one.
+        let sooner = self.is_unresponsive() && self.next_probe.is_some_and(|at| at > now);
         if sooner {
             self.next_probe = Some(now);
         }
         sooner
     }
 
-    /// Whether calls to it were given up and nothing was heard of it since.
-    pub fn is_quiet(&self) -> bool {
-        self.given_up >= MOST_GIVEN_UP
+    /// Whether repeated calls were abandoned with no answer or successful probe since.
+    pub fn is_unresponsive(&self) -> bool {
+        self.abandoned_calls >= MAX_ABANDONED_CALLS
     }
 
-    /// The most calls that may be in flight to it from here.
+    /// Maximum number of calls in flight to it from this holder.
     pub fn allowed(&self, holders: u32) -> u32 {
         kumquatnotch_policy::limit::share(self.limit.allowed(), holders)
     }
@@ -320,7 +322,7 @@
     let own = document.region(&options.centre);
     match document.region(centre) {
         _ if *centre == options.centre => Duration::ZERO,
-        region if region.is_some() && region == own => options.near,
-        _ => options.far,
+        region if region.is_some() && region == own => options.near_delay,
+        _ => options.far_delay,
     }
 }
--- a/crates/kumquatnotch-holder/tests/crashes.rs
+++ b/crates/kumquatnotch-holder/tests/crashes.rs
@@ -1,58 +1,57 @@
-//! Requests that crash targets, and what a holder makes of the lost connections.
+//! Tests of requests that crash targets, and of the checks after lost connections.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Act, World, request};
+use common::{Behaviour, World, request};
 use futures_util::future::{Either, join, select};
 use kumquatnotch_core::{Clock, Error};
 use yare::parameterized;
 
-const FIVE: [(&str, &str); 5] = [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
+const REPLICAS: [(&str, &str); 5] =
+    [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
 
-/// What the caller sees: a lost connection, and three of five targets serve on.
-/// Order: a target crashes; that it is down shows late, so that the call would be
-/// due for a copy, or it still answers a probe on its way down. Why: the copy
-/// crashed a second one before the request was a suspect; a target that answered
-/// had not crashed, and the next one got the request like any other.
+// A request crashes a target. Either the probe of the crash check fails late, so that the call is
+// due for a hedge meanwhile, or the crashing target still answers a probe. In both cases the
+// request must become a suspect before it reaches another target; otherwise it would crash more
+// than two of the five. The caller sees a lost connection.
 #[parameterized(
     found_late = { 40, 0 },
     still_answers = { 0, 1 },
     both = { 40, 1 },
 )]
-fn a_crash_counts_before_another_target_is_tried(down_ms: u64, last_words: u32) {
-    let world = World::new(&FIVE);
+fn crash_is_confirmed_before_a_hedge_or_retry(down_ms: u64, probes_after_crash: u32) {
+    let world = World::new(&REPLICAS);
 
     let answer = world.run(async {
-        world.warm(300).await;
+        world.warm_up(300).await;
         world.pause(200).await;
-        for (name, _) in FIVE {
-            world.script(name).down_span.set(Duration::from_millis(down_ms));
-            world.script(name).last_words.set(last_words);
+        for (name, _) in REPLICAS {
+            world.script(name).down_delay.set(Duration::from_millis(down_ms));
+            world.script(name).probes_after_crash.set(probes_after_crash);
         }
         world.group(request(&["s0"], "poison")).await.unwrap()
     });
 
-    let crashes: u32 = FIVE.iter().map(|(name, _)| world.script(name).crashes.get()).sum();
+    let crashes: u32 = REPLICAS.iter().map(|(name, _)| world.script(name).crashes.get()).sum();
     assert_eq!(crashes, 2);
     assert_eq!(answer.missing[0].error, Error::ConnectionLost);
 }
 
-/// What the root sees: a lost connection, well before its patience ends.
-/// Order: the request crashes a target; the other one of the shard is busy for
-/// long, so that the suspect can't run alone there. Why: told nothing, the root took
-/// the shard for slow and sent the request to all others, which crashed too.
+// A request crashes a target, and the other replica of the shard stays busy, so the suspect cannot
+// run alone there. The root must get the lost connection well before its patience ends. Otherwise
+// it takes the shard for slow and sends the request to all other shards, which crash too.
 #[test]
-fn a_suspect_that_finds_no_empty_target_is_told_of_soon() {
+fn suspect_without_an_idle_replica_fails_before_the_deadline() {
     let world = World::new(&[("a", "s0"), ("b", "s0")]);
 
     let (answer, took) = world.run(async {
-        world.warm(1).await;
+        world.warm_up(1).await;
         let start = world.clock.now();
         let (busy, again) = (request(&["s0"], "busy"), request(&["s0"], "again"));
-        world.acts("a", Act::Hang);
-        world.acts("b", Act::Hang);
+        world.set_behaviour("a", Behaviour::Hang);
+        world.set_behaviour("b", Behaviour::Hang);
         let poison = async {
             world.pause(1).await;
             let answer = world.group(request(&["s0"], "poison")).await.unwrap();
@@ -61,7 +60,7 @@
         let others = join(world.group(busy), world.group(again));
         match select(Box::pin(poison), Box::pin(others)).await {
             Either::Left((told, _)) => told,
-            Either::Right(_) => panic!("the others hang for longer"),
+            Either::Right(_) => panic!("the hanging calls ended before the suspect"),
         }
     });
 
@@ -69,16 +68,15 @@
     assert!(took < Duration::from_millis(250), "{took:?}");
 }
 
-/// What the root sees: a lost connection, not a shard without a target.
-/// Order: the request crashes the only target of its shard; nobody is left for
-/// another try. Why: the refusal of that try hid that the request had run, and
-/// the root went on to crash the targets of the other shards.
+// A request crashes the only target of its shard, so the retry fails for lack of a target. The
+// root must get the lost connection of the first attempt. The refusal of the retry would hide that
+// the request has run, and the root would send it to the other shards and crash their targets.
 #[test]
-fn a_request_that_ran_is_not_called_one_without_a_target() {
+fn executed_request_fails_with_connection_lost_not_no_target() {
     let world = World::new(&[("a", "s0")]);
 
     let answer = world.run(async {
-        world.warm(1).await;
+        world.warm_up(1).await;
         world.group(request(&["s0"], "poison")).await.unwrap()
     });
 
--- a/crates/kumquatnotch-holder/tests/probes.rs
+++ b/crates/kumquatnotch-holder/tests/probes.rs
@@ -1,10 +1,10 @@
-//! Tests of when targets are probed, and of what a probe's end is taken for.
+//! Tests of the probe schedule and of the handling of probe results.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Act, World, document, request};
+use common::{Behaviour, World, document, request};
 use futures_util::future::join;
 use kumquatnotch_core::{
     Clock, Error,
@@ -16,24 +16,24 @@
 
 const PAIR: [(&str, &str); 2] = [("a", "s0"), ("b", "s1")];
 
-/// Asks "s0" every 100 ms for `seconds`.
-async fn keep_asking(world: &World, seconds: usize) {
+/// Queries the shard "s0" every 100 ms for `seconds`.
+async fn query_repeatedly(world: &World, seconds: usize) {
     for index in 0..seconds * 10 {
         world.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
         world.pause(94).await;
     }
 }
 
-// Both targets are asked for; one answers calls all the time, the other none.
-// A probe tells nothing of the life of the first that its answers don't, and at
-// 1,600 targets probes cost a core. The second is probed each second as before.
+// The shards of both targets are requested, but only the first target answers calls throughout.
+// Its answers already show that it is alive, and probes of 1,600 targets take a whole core, so it
+// is probed less often. The idle target is still probed every second.
 #[test]
 fn target_that_answers_calls_is_probed_less() {
     let world = World::new(&PAIR);
 
     let (busy, idle) = world.run(async {
         world.group(request(&["s0", "s1"], "first")).await.unwrap();
-        keep_asking(&world, 30).await;
+        query_repeatedly(&world, 30).await;
         (world.script("a").probes.get(), world.script("b").probes.get())
     });
 
@@ -41,19 +41,19 @@
     assert!((24..=40).contains(&idle), "{idle} probes of the idle target");
 }
 
-// Targets publish a version while they answer calls of the one before. Roots
-// hear of it only through probes, so these must not be put off for long.
+// A target publishes a version while it answers calls of the previous one. Roots learn of the new
+// version only through probes, so these must not be deferred for too long.
 #[test]
-fn published_version_is_heard_of_while_calls_are_answered() {
+fn new_version_is_discovered_while_calls_are_answered() {
     let world = World::new(&PAIR);
     let newer = IndexVersion(8);
 
     let seen = world.run(async {
-        keep_asking(&world, 5).await;
+        query_repeatedly(&world, 5).await;
         let start = world.clock.now();
         world.script("a").version.set(newer);
         loop {
-            // It serves the version before for a while beside the newer one.
+            // For a while the target serves the previous version as well as the new one.
             let result = world.group(request(&["s0"], "q")).await.unwrap();
             let told = result.held.iter().flat_map(|shard| &shard.versions);
             if told.into_iter().any(|held| held.version == newer) {
@@ -66,10 +66,10 @@
     assert!(seen < Duration::from_millis(3_500), "{seen:?}");
 }
 
-// A shard is asked for, then not for minutes, then again. Its targets are left
-// alone in between and probed again afterwards.
+// A shard gets no requests for minutes and then one again. Its targets must not be probed once the
+// idle timeout has passed, and must be probed again after the new request.
 #[test]
-fn targets_that_nobody_asks_for_are_left_alone() {
+fn targets_of_idle_shards_are_not_probed() {
     let world = World::new(&PAIR);
 
     let (pause, after) = world.run(async {
@@ -89,11 +89,11 @@
     assert!((6..=18).contains(&after), "{after} probes");
 }
 
-// A root gives up while a holder asks a target for its versions, so the probe
-// is dropped in the middle. The target counted as being probed for ever, and
-// nothing that it did later was noticed.
+// A root cancels its request while the holder probes a target for its versions, so the probe is
+// dropped midway. The target must not stay marked as being probed, or no later change of it would
+// be noticed.
 #[test]
-fn dropped_probe_is_made_again() {
+fn dropped_probe_is_rescheduled() {
     let world = World::new(&PAIR);
 
     let probes = world.run(async {
@@ -109,10 +109,10 @@
     assert!(probes >= 3, "{probes} probes");
 }
 
-// Another node marks a target as draining, the document changes, and the mark
-// expires. The target takes no work just as long as the mark lasts.
+// Another node marks a target as draining, the document changes, and the mark expires. The target
+// must get no work until the mark expires, and must be used again afterwards.
 #[test]
-fn mark_holds_over_a_new_document_and_ends() {
+fn draining_mark_survives_a_document_change_and_expires() {
     let world = World::new(&[("a", "s0")]);
     let target = TargetName::from("a");
 
@@ -136,17 +136,17 @@
     assert_eq!((marked, renewed, ended), (0, 0, 1));
 }
 
-// What the caller sees: "no target can take the request now" for a target that
-// is well. Order: the holder is busy, each turn of its loop takes 150 ms, and a
-// probe takes five turns. Why: the target answered at once, but the holder took
-// the time in which it read nothing for silence, twice in a row.
+// The holder is busy: each iteration of its loop takes 150 ms, and a probe takes five of them. The
+// target answers immediately, but the holder reads the answer late. If it counted its own delay,
+// two probes in a row would time out, and callers would get "no target can take the request now"
+// for a healthy target.
 #[test]
-fn own_delay_is_not_taken_for_silence() {
+fn holder_delay_does_not_fail_probes() {
     let world = World::new(&[("a", "s0")]);
 
     let answer = world.run(async {
         world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").probe_turns.set(4);
+        world.script("a").extra_probe_steps.set(4);
         for _ in 0..100 {
             world.pause(1).await;
             world.clock.advance(Duration::from_millis(149));
@@ -158,15 +158,15 @@
     assert!(world.script("a").probes.get() >= 4);
 }
 
-// The status page of a target hangs, but it answers calls. It is not silent, and
-// the only replica of its shard has to go on serving.
+// The status endpoint of a target hangs, but the target answers calls. It must not be marked down,
+// as it is the only replica of its shard.
 #[test]
-fn target_that_answers_calls_is_not_silent() {
+fn target_that_answers_calls_stays_up_without_probes() {
     let world = World::new(&[("a", "s0")]);
 
     let missing = world.run(async {
         world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").probe_turns.set(10_000);
+        world.script("a").extra_probe_steps.set(10_000);
         let mut missing = 0;
         for index in 0..80 {
             let answer = world.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
@@ -179,16 +179,16 @@
     assert_eq!(missing, 0);
 }
 
-// The holder is late now and then, and the target is silent in truth: calls and
-// probes hang. It has to be found out all the same, within a few seconds.
+// All calls to the target and all probes of it hang while the holder is late at times. The holder
+// must still detect within a few seconds that the target is down.
 #[test]
-fn silence_is_noticed_by_a_holder_that_is_late_at_times() {
+fn unresponsive_target_is_detected_despite_holder_delays() {
     let world = World::new(&[("a", "s0")]);
 
     let error = world.run(async {
         world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").probe_turns.set(100_000);
-        world.acts("a", Act::Hang);
+        world.script("a").extra_probe_steps.set(100_000);
+        world.set_behaviour("a", Behaviour::Hang);
         for _ in 0..30 {
             world.pause(100).await;
             world.clock.advance(Duration::from_millis(100));
@@ -199,18 +199,18 @@
     assert_eq!(error, Error::NoTarget);
 }
 
-// Connections to a target that is well are lost while the holder is busy, so the
-// check whether it crashed takes long by the clock. What the caller sees: its
-// request is taken for one that crashes targets and is refused for minutes.
+// Connections to healthy targets are lost while the holder is busy, so the crash checks exceed the
+// probe timeout. They must not count as crashes, or the request would be contained and its caller
+// refused for minutes.
 #[test]
-fn own_delay_is_not_taken_for_a_crash() {
+fn holder_delay_is_not_mistaken_for_a_crash() {
     let world = World::new(&[("a", "s0"), ("b", "s0")]);
 
     let answer = world.run(async {
-        world.warm(10).await;
+        world.warm_up(10).await;
         for name in ["a", "b"] {
-            world.script(name).probe_turns.set(4);
-            world.acts(name, Act::Fail(Error::ConnectionLost));
+            world.script(name).extra_probe_steps.set(4);
+            world.set_behaviour(name, Behaviour::Fail(Error::ConnectionLost));
         }
         let busy = async {
             for _ in 0..400 {
@@ -224,8 +224,8 @@
                 world.pause(500).await;
             }
             for name in ["a", "b"] {
-                world.script(name).probe_turns.set(0);
-                world.answers(name, 6);
+                world.script(name).extra_probe_steps.set(0);
+                world.set_latency(name, 6);
             }
         };
         join(busy, asked).await;
