--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -8,20 +8,20 @@
 //! dropped from the list.
 //!
 //! Promised: what was accepted is accepted once and told truly; a version that a
-//! node puts in force was accepted; within its life a node never goes back; and
+//! node puts in force was accepted; within its phase a node never goes back; and
 //! once an operator was told "in force everywhere", no node serves with an older
 //! version, also not one that is born or wakes later.
 
 use crate::Model;
 
 /// How many nodes there are.
-const NODES: usize = 3;
+const NODE_COUNT: usize = 3;
 /// How many operators there are, each with one change.
-const OPERATORS: usize = 2;
+const OPERATOR_COUNT: usize = 2;
 /// The most crashes and freezes together.
-const FAULT_LIMIT: u8 = 2;
+const MAX_FAULTS: u8 = 2;
 /// The most copies of the head that are still on the way to nodes.
-const NEWS_LIMIT: usize = 2;
+const MAX_IN_TRANSIT: usize = 2;
 
 /// A safeguard that is taken away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,17 +29,17 @@
     /// Nothing is taken away.
     None,
     /// A node takes any version it hears of.
-    TakeLower,
+    AcceptOlder,
     /// A node that was born serves before it has a version.
-    ServeUnborn,
+    ServeWithoutVersion,
     /// A node that wakes serves before it has asked again.
-    NoRecheck,
+    ServeAfterWake,
     /// The platform's service takes a write whatever the revision is.
-    BlindWrite,
+    UnconditionalWrite,
     /// An operator whose reply was lost takes the write as failed.
-    LostIsFailed,
+    LostReplyIsRefusal,
     /// A node that was born takes the first answer of any peer, also one unborn.
-    ServeEmpty,
+    AcceptEmptyAnswer,
 }
 
 /// The specification, with one safeguard taken away or none.
@@ -52,18 +52,18 @@
 /// A node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Node {
-    life: Life,
+    phase: NodePhase,
     /// The version in force; zero for none.
     version: u8,
-    /// The highest version in force in this life.
+    /// The highest version in force in this phase.
     highest: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Life {
+enum NodePhase {
     Down,
     /// Born, or woken and about to ask again: it does not serve.
-    Asking,
+    Syncing,
     Serving,
     Frozen,
 }
@@ -76,7 +76,7 @@
     /// It has read this version and sent its write.
     Sent(u8),
     /// The reply did not come; it will write again under the same expectation.
-    Unsure(u8),
+    Retrying(u8),
     /// It was told that its change is in force as this version.
     Accepted(u8),
     /// It was told that its change is not, and never will be.
@@ -98,10 +98,10 @@
     /// The operator that wrote each version, the first version first.
     accepted: Vec<u8>,
     writes: Vec<Write>,
-    operators: [Operator; OPERATORS],
-    nodes: [Node; NODES],
+    operators: [Operator; OPERATOR_COUNT],
+    nodes: [Node; NODE_COUNT],
     /// Copies of the head on their way to nodes.
-    news: Vec<u8>,
+    in_transit: Vec<u8>,
     outage: bool,
     faults: u8,
     /// The version that an operator was told is in force everywhere.
@@ -112,13 +112,13 @@
     type State = State;
 
     fn initial(&self) -> State {
-        let node = Node { life: Life::Asking, version: 0, highest: 0 };
+        let node = Node { phase: NodePhase::Syncing, version: 0, highest: 0 };
         State {
             accepted: vec![],
             writes: vec![],
-            operators: [Operator::Idle; OPERATORS],
-            nodes: [node; NODES],
-            news: vec![],
+            operators: [Operator::Idle; OPERATOR_COUNT],
+            nodes: [node; NODE_COUNT],
+            in_transit: vec![],
             outage: false,
             faults: 0,
             confirmed: 0,
@@ -129,13 +129,13 @@
         let mut next = Vec::new();
         self.operator_steps(state, &mut next);
         self.platform_steps(state, &mut next);
-        for node in 0..NODES {
+        for node in 0..NODE_COUNT {
             self.node_steps(state, node, &mut next);
         }
-        self.status_step(state, &mut next);
+        self.confirmation_step(state, &mut next);
         for state in &mut next {
             state.writes.sort_unstable();
-            state.news.sort_unstable();
+            state.in_transit.sort_unstable();
         }
         next
     }
@@ -149,10 +149,10 @@
             if node.version < node.highest {
                 return Some("a node went back to an older version");
             }
-            if node.life == Life::Serving && node.version == 0 {
+            if node.phase == NodePhase::Serving && node.version == 0 {
                 return Some("a node serves without a version");
             }
-            if node.life == Life::Serving && node.version < state.confirmed {
+            if node.phase == NodePhase::Serving && node.version < state.confirmed {
                 return Some("a node serves with an older version than was confirmed everywhere");
             }
         }
@@ -187,15 +187,15 @@
                     // The reply does not come in time; the write may still be on its way.
                     let mut lost = state.clone();
                     lost.operators[index] = match self.mutation {
-                        Mutation::LostIsFailed => Operator::Refused,
-                        _ => Operator::Unsure(base),
+                        Mutation::LostReplyIsRefusal => Operator::Refused,
+                        _ => Operator::Retrying(base),
                     };
                     for write in &mut lost.writes {
                         write.awaited &= usize::from(write.operator) != index;
                     }
                     next.push(lost);
                 }
-                Operator::Unsure(base) if !state.outage => {
+                Operator::Retrying(base) if !state.outage => {
                     // At most one older copy stays on the way, to keep this small.
                     let copies = state.writes.iter().filter(|w| usize::from(w.operator) == index);
                     if copies.count() < 2 {
@@ -208,11 +208,11 @@
     }
 
     fn platform_steps(&self, state: &State, next: &mut Vec<State>) {
-        let mut flipped = state.clone();
-        flipped.outage = !state.outage;
-        if state.faults < FAULT_LIMIT || state.outage {
-            flipped.faults += u8::from(!state.outage);
-            next.push(flipped);
+        let mut toggled = state.clone();
+        toggled.outage = !state.outage;
+        if state.faults < MAX_FAULTS || state.outage {
+            toggled.faults += u8::from(!state.outage);
+            next.push(toggled);
         }
         if state.outage {
             return;
@@ -230,7 +230,7 @@
         let write = state.writes.remove(at);
         let operator = usize::from(write.operator);
         let matches = usize::from(write.base) == state.accepted.len();
-        if matches || self.mutation == Mutation::BlindWrite {
+        if matches || self.mutation == Mutation::UnconditionalWrite {
             state.accepted.push(write.operator);
         }
         if write.awaited {
@@ -247,58 +247,58 @@
     fn node_steps(&self, state: &State, index: usize, next: &mut Vec<State>) {
         let node = state.nodes[index];
         let head = state.accepted.len() as u8;
-        let put = |node: Node| {
+        let with_node = |node: Node| {
             let mut state = state.clone();
             state.nodes[index] = node;
             state
         };
-        match node.life {
-            Life::Down => {
-                next.push(put(Node { life: Life::Asking, version: 0, highest: 0 }));
+        match node.phase {
+            NodePhase::Down => {
+                next.push(with_node(Node { phase: NodePhase::Syncing, version: 0, highest: 0 }));
                 return;
             }
-            Life::Frozen => {
-                let life = match self.mutation {
-                    Mutation::NoRecheck => Life::Serving,
-                    _ => Life::Asking,
+            NodePhase::Frozen => {
+                let phase = match self.mutation {
+                    Mutation::ServeAfterWake => NodePhase::Serving,
+                    _ => NodePhase::Syncing,
                 };
-                next.push(put(Node { life, ..node }));
+                next.push(with_node(Node { phase, ..node }));
                 return;
             }
-            Life::Asking | Life::Serving => {}
+            NodePhase::Syncing | NodePhase::Serving => {}
         }
-        if state.faults < FAULT_LIMIT {
-            let mut down = put(Node { life: Life::Down, version: 0, highest: 0 });
+        if state.faults < MAX_FAULTS {
+            let mut down = with_node(Node { phase: NodePhase::Down, version: 0, highest: 0 });
             down.faults += 1;
             next.push(down);
-            if node.life == Life::Serving {
-                let mut frozen = put(Node { life: Life::Frozen, ..node });
+            if node.phase == NodePhase::Serving {
+                let mut frozen = with_node(Node { phase: NodePhase::Frozen, ..node });
                 frozen.faults += 1;
                 next.push(frozen);
             }
         }
         // It hears of a version, from any copy, also an old one; copies may be
         // taken again (duplicated) or never (lost).
-        for version in &state.news {
-            next.push(put(self.hear(node, *version)));
+        for version in &state.in_transit {
+            next.push(with_node(self.receive(node, *version)));
         }
         // It sends a copy of what it has.
-        if node.version > 0 && !state.news.contains(&node.version) {
+        if node.version > 0 && !state.in_transit.contains(&node.version) {
             let mut state = state.clone();
-            if state.news.len() == NEWS_LIMIT {
-                state.news.remove(0);
+            if state.in_transit.len() == MAX_IN_TRANSIT {
+                state.in_transit.remove(0);
             }
-            state.news.push(node.version);
+            state.in_transit.push(node.version);
             next.push(state);
         }
         // It reads the platform's service, and serves from then on.
         if !state.outage && head > 0 {
-            next.push(put(self.serve(self.hear(node, head))));
+            next.push(with_node(self.serve(self.receive(node, head))));
         }
-        if node.life == Life::Asking {
-            self.ask_peers(state, node, &mut |node| next.push(put(node)));
-            if self.mutation == Mutation::ServeUnborn {
-                next.push(put(Node { life: Life::Serving, ..node }));
+        if node.phase == NodePhase::Syncing {
+            self.ask_peers(state, node, &mut |node| next.push(with_node(node)));
+            if self.mutation == Mutation::ServeWithoutVersion {
+                next.push(with_node(Node { phase: NodePhase::Serving, ..node }));
             }
         }
     }
@@ -307,29 +307,29 @@
     fn ask_peers(&self, state: &State, node: Node, push: &mut dyn FnMut(Node)) {
         for peer in state.nodes {
             let answers = match self.mutation {
-                Mutation::ServeEmpty => peer.life != Life::Down && peer.version > 0,
-                _ => peer.life == Life::Serving,
+                Mutation::AcceptEmptyAnswer => peer.phase != NodePhase::Down && peer.version > 0,
+                _ => peer.phase == NodePhase::Serving,
             };
             if answers {
-                push(self.serve(self.hear(node, peer.version)));
+                push(self.serve(self.receive(node, peer.version)));
             }
         }
     }
 
-    fn hear(&self, node: Node, version: u8) -> Node {
-        if version <= node.version && self.mutation != Mutation::TakeLower {
+    fn receive(&self, node: Node, version: u8) -> Node {
+        if version <= node.version && self.mutation != Mutation::AcceptOlder {
             return node;
         }
         Node { version, highest: node.highest.max(version), ..node }
     }
 
     fn serve(&self, node: Node) -> Node {
-        Node { life: Life::Serving, ..node }
+        Node { phase: NodePhase::Serving, ..node }
     }
 
     /// An operator asks every node that the membership lists.
-    fn status_step(&self, state: &State, next: &mut Vec<State>) {
-        let listed = state.nodes.iter().filter(|node| node.life == Life::Serving);
+    fn confirmation_step(&self, state: &State, next: &mut Vec<State>) {
+        let listed = state.nodes.iter().filter(|node| node.phase == NodePhase::Serving);
         let Some(lowest) = listed.map(|node| node.version).min() else {
             return;
         };
--- a/crates/spec/src/leaving.rs
+++ b/crates/spec/src/leaving.rs
@@ -1,8 +1,8 @@
 //! How a node leaves without refusing a caller that was advised to use it.
 //!
 //! Time goes in ticks. Callers are advised by the leaving node and by another,
-//! which hears of the leaving after up to [`SPREAD`] ticks. An address may be
-//! kept for [`VALID`] ticks; a request takes up to [`WORK`] ticks. The node
+//! which hears of the leaving after up to [`MAX_PROPAGATION`] ticks. An address may be
+//! kept for [`ADVICE_VALIDITY`] ticks; a request takes up to [`MAX_REQUEST_TICKS`] ticks. The node
 //! refuses new requests from some ticks after it began to leave, and exits once
 //! those in flight have ended.
 //!
@@ -11,13 +11,13 @@
 use crate::Model;
 
 /// The most ticks until every node has heard of a leaving one.
-pub const SPREAD: u8 = 2;
+pub const MAX_PROPAGATION: u8 = 2;
 /// The ticks for which advice may be kept.
-pub const VALID: u8 = 3;
+pub const ADVICE_VALIDITY: u8 = 3;
 /// The most ticks that a request takes.
-pub const WORK: u8 = 2;
+pub const MAX_REQUEST_TICKS: u8 = 2;
 /// The end of the clock.
-const END: u8 = 10;
+const CLOCK_END: u8 = 10;
 
 /// A safeguard that is taken away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,11 +25,11 @@
     /// Nothing is taken away.
     None,
     /// New requests are refused once the node's own advice has lapsed.
-    IgnoreSpread,
+    IgnorePropagation,
     /// New requests are refused at once.
-    CloseAtOnce,
+    RefuseAtOnce,
     /// The node exits as soon as it refuses new requests.
-    CutWork,
+    ExitBeforeDone,
     /// The node goes on advising itself while it leaves.
     AdviseSelf,
 }
@@ -45,14 +45,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     /// Ticks since the node began to leave; `None` before.
-    since: Option<u8>,
+    leaving_ticks: Option<u8>,
     clock: u8,
     /// Whether the other node has heard of it.
-    heard: bool,
+    peer_informed: bool,
     /// Ticks for which the caller may still use the address.
-    advice: u8,
+    advice_left: u8,
     /// Ticks that the running request still takes; zero for none.
-    work: u8,
+    request_left: u8,
     exited: bool,
     refused: bool,
     cut: bool,
@@ -63,11 +63,11 @@
 
     fn initial(&self) -> State {
         State {
-            since: None,
+            leaving_ticks: None,
             clock: 0,
-            heard: false,
-            advice: 0,
-            work: 0,
+            peer_informed: false,
+            advice_left: 0,
+            request_left: 0,
             exited: false,
             refused: false,
             cut: false,
@@ -76,21 +76,21 @@
 
     fn steps(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
-        if state.clock < END {
+        if state.clock < CLOCK_END {
             next.extend(self.tick(state));
         }
-        if state.since.is_none() {
-            next.push(State { since: Some(0), ..state.clone() });
+        if state.leaving_ticks.is_none() {
+            next.push(State { leaving_ticks: Some(0), ..state.clone() });
         }
-        if state.since.is_some() && !state.heard {
-            next.push(State { heard: true, ..state.clone() });
+        if state.leaving_ticks.is_some() && !state.peer_informed {
+            next.push(State { peer_informed: true, ..state.clone() });
         }
         self.caller_steps(state, &mut next);
         if self.refuses(state)
             && !state.exited
-            && (state.work == 0 || self.mutation == Mutation::CutWork)
+            && (state.request_left == 0 || self.mutation == Mutation::ExitBeforeDone)
         {
-            next.push(State { exited: true, cut: state.work > 0, ..state.clone() });
+            next.push(State { exited: true, cut: state.request_left > 0, ..state.clone() });
         }
         next
     }
@@ -109,41 +109,42 @@
 impl LeavingModel {
     /// A tick; none while the other node is due to have heard and has not.
     fn tick(&self, state: &State) -> Option<State> {
-        if state.since.is_some_and(|since| since >= SPREAD) && !state.heard {
+        if state.leaving_ticks.is_some_and(|ticks| ticks >= MAX_PROPAGATION) && !state.peer_informed
+        {
             return None;
         }
         Some(State {
-            since: state.since.map(|since| since + 1),
+            leaving_ticks: state.leaving_ticks.map(|ticks| ticks + 1),
             clock: state.clock + 1,
-            advice: state.advice.saturating_sub(1),
-            work: state.work.saturating_sub(1),
+            advice_left: state.advice_left.saturating_sub(1),
+            request_left: state.request_left.saturating_sub(1),
             ..state.clone()
         })
     }
 
     fn caller_steps(&self, state: &State, next: &mut Vec<State>) {
-        let advised_here = state.since.is_none() || self.mutation == Mutation::AdviseSelf;
-        let advised_there = !state.heard;
+        let advised_here = state.leaving_ticks.is_none() || self.mutation == Mutation::AdviseSelf;
+        let advised_there = !state.peer_informed;
         if (advised_here && !state.exited) || advised_there {
-            next.push(State { advice: VALID, ..state.clone() });
+            next.push(State { advice_left: ADVICE_VALIDITY, ..state.clone() });
         }
-        if state.advice == 0 {
+        if state.advice_left == 0 {
             return;
         }
         if state.exited || self.refuses(state) {
             next.push(State { refused: true, ..state.clone() });
-        } else if state.work == 0 {
-            next.push(State { work: WORK, ..state.clone() });
+        } else if state.request_left == 0 {
+            next.push(State { request_left: MAX_REQUEST_TICKS, ..state.clone() });
         }
     }
 
     /// Whether new requests are refused.
     fn refuses(&self, state: &State) -> bool {
         let wait = match self.mutation {
-            Mutation::CloseAtOnce => 0,
-            Mutation::IgnoreSpread => VALID,
-            _ => SPREAD + VALID,
+            Mutation::RefuseAtOnce => 0,
+            Mutation::IgnorePropagation => ADVICE_VALIDITY,
+            _ => MAX_PROPAGATION + ADVICE_VALIDITY,
         };
-        state.since.is_some_and(|since| since >= wait)
+        state.leaving_ticks.is_some_and(|ticks| ticks >= wait)
     }
 }
--- a/crates/spec/src/ticket.rs
+++ b/crates/spec/src/ticket.rs
@@ -11,9 +11,9 @@
 use crate::Model;
 
 /// The most times that the issuer sends, after certain refusals.
-const SEND_LIMIT: u8 = 2;
+const MAX_SENDS: u8 = 2;
 /// The most restarts of the issuer.
-const RESTART_LIMIT: u8 = 1;
+const MAX_RESTARTS: u8 = 1;
 
 /// A safeguard that is taken away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Another node runs the request itself if the issuer does not answer.
     RunElsewhere,
     /// The issuer sends again after its connection broke.
-    ResendLost,
+    ResendAfterLoss,
     /// A time-out after sending is told as "not run".
     TimeoutNotRun,
     /// The issuer forgets an outcome while the ticket can still be used.
@@ -45,18 +45,18 @@
 
 /// What the issuer knows of the ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Known {
+enum TicketState {
     Nothing,
     /// It waits for capacity; nothing was sent.
     Queued,
     /// It was sent this often, and the reply is awaited.
     Sent(u8),
-    Outcome(Told),
+    Outcome(Reply),
 }
 
 /// What a caller is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum Reply {
     Done,
     NotRun,
     Unknown,
@@ -64,7 +64,7 @@
 
 /// One sending of the request, as it goes from hop to hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Hop {
+enum Delivery {
     ToHolder,
     AtHolder,
     ToTarget,
@@ -82,13 +82,13 @@
     restarts: u8,
     issuer_up: bool,
     issuer_frozen: bool,
-    known: Known,
+    ticket: TicketState,
     /// The sendings under way, the latest last; earlier ones are not awaited.
-    hops: Vec<Hop>,
+    deliveries: Vec<Delivery>,
     awaited: bool,
     runs: u8,
-    told_done: bool,
-    told_not_run: bool,
+    replied_done: bool,
+    replied_not_run: bool,
     elsewhere: bool,
 }
 
@@ -100,12 +100,12 @@
             restarts: 0,
             issuer_up: true,
             issuer_frozen: false,
-            known: Known::Nothing,
-            hops: vec![],
+            ticket: TicketState::Nothing,
+            deliveries: vec![],
             awaited: false,
             runs: 0,
-            told_done: false,
-            told_not_run: false,
+            replied_done: false,
+            replied_not_run: false,
             elsewhere: false,
         }
     }
@@ -117,8 +117,8 @@
         if state.issuer_up && !state.issuer_frozen {
             self.issuer_steps(state, &mut next);
         }
-        for at in 0..state.hops.len() {
-            self.hop_steps(state, at, &mut next);
+        for at in 0..state.deliveries.len() {
+            self.delivery_steps(state, at, &mut next);
         }
         next
     }
@@ -127,10 +127,10 @@
         if state.runs > 1 {
             return Some("it ran twice");
         }
-        if state.told_not_run && state.runs > 0 {
+        if state.replied_not_run && state.runs > 0 {
             return Some("told not run, but it ran");
         }
-        if state.told_done && state.runs == 0 {
+        if state.replied_done && state.runs == 0 {
             return Some("told done, but it did not run");
         }
         None
@@ -147,14 +147,14 @@
             next.push(up);
             return;
         }
-        let mut flipped = state.clone();
-        flipped.issuer_frozen = !state.issuer_frozen;
-        next.push(flipped);
-        if state.restarts < RESTART_LIMIT {
+        let mut toggled = state.clone();
+        toggled.issuer_frozen = !state.issuer_frozen;
+        next.push(toggled);
+        if state.restarts < MAX_RESTARTS {
             let mut down = state.clone();
             down.issuer_up = false;
             down.issuer_frozen = false;
-            down.known = Known::Nothing;
+            down.ticket = TicketState::Nothing;
             down.awaited = false;
             next.push(down);
         }
@@ -166,7 +166,7 @@
         if !reachable && self.mutation == Mutation::RunElsewhere && !state.elsewhere {
             let mut state = state.clone();
             state.elsewhere = true;
-            state.hops.push(Hop::ToHolder);
+            state.deliveries.push(Delivery::ToHolder);
             next.push(state);
         }
         if !reachable {
@@ -174,41 +174,41 @@
             return;
         }
         let foreign = state.restarts > 0 && self.mutation != Mutation::AnyIncarnation;
-        match state.known {
+        match state.ticket {
             // A ticket of an earlier life: "outcome unknown", and it never runs.
-            Known::Nothing if foreign => {}
-            Known::Nothing => {
+            TicketState::Nothing if foreign => {}
+            TicketState::Nothing => {
                 let mut state = state.clone();
-                state.known = Known::Queued;
+                state.ticket = TicketState::Queued;
                 next.push(state);
             }
-            Known::Outcome(told) => next.push(tell(state, told)),
+            TicketState::Outcome(reply) => next.push(reply_to_caller(state, reply)),
             // A duplicate waits for the one run.
-            Known::Queued | Known::Sent(_) => {}
+            TicketState::Queued | TicketState::Sent(_) => {}
         }
     }
 
     fn issuer_steps(&self, state: &State, next: &mut Vec<State>) {
-        match state.known {
-            Known::Queued => {
+        match state.ticket {
+            TicketState::Queued => {
                 next.push(send(state, 1));
                 // The deadline passes in the queue, or the caller is refused.
-                next.push(conclude(state, Told::NotRun));
+                next.push(complete(state, Reply::NotRun));
             }
-            Known::Sent(count) => {
-                let told = match self.mutation {
-                    Mutation::TimeoutNotRun => Told::NotRun,
-                    _ => Told::Unknown,
+            TicketState::Sent(count) => {
+                let reply = match self.mutation {
+                    Mutation::TimeoutNotRun => Reply::NotRun,
+                    _ => Reply::Unknown,
                 };
-                next.push(conclude(state, told));
+                next.push(complete(state, reply));
                 self.read_reply(state, count, next);
             }
-            Known::Outcome(_) if self.mutation == Mutation::ForgetEarly => {
+            TicketState::Outcome(_) if self.mutation == Mutation::ForgetEarly => {
                 let mut state = state.clone();
-                state.known = Known::Nothing;
+                state.ticket = TicketState::Nothing;
                 next.push(state);
             }
-            Known::Outcome(_) | Known::Nothing => {}
+            TicketState::Outcome(_) | TicketState::Nothing => {}
         }
     }
 
@@ -216,18 +216,18 @@
         if !state.awaited {
             return;
         }
-        match state.hops.last() {
-            Some(Hop::Ran) => next.push(conclude(state, Told::Done)),
+        match state.deliveries.last() {
+            Some(Delivery::Ran) => next.push(complete(state, Reply::Done)),
             // A certain refusal: the same request may be sent again, or given up.
-            Some(Hop::Refused) => {
-                next.push(conclude(state, Told::NotRun));
-                if count < SEND_LIMIT {
+            Some(Delivery::Refused) => {
+                next.push(complete(state, Reply::NotRun));
+                if count < MAX_SENDS {
                     next.push(send(state, count + 1));
                 }
             }
-            Some(Hop::Lost) => {
-                next.push(conclude(state, Told::Unknown));
-                if self.mutation == Mutation::ResendLost && count < SEND_LIMIT {
+            Some(Delivery::Lost) => {
+                next.push(complete(state, Reply::Unknown));
+                if self.mutation == Mutation::ResendAfterLoss && count < MAX_SENDS {
                     next.push(send(state, count + 1));
                 }
             }
@@ -236,55 +236,59 @@
     }
 
     /// One sending moves on: to the next hop, or into a fault of that hop.
-    fn hop_steps(&self, state: &State, at: usize, next: &mut Vec<State>) {
-        let mut put = |hops: &[Hop], runs: u8| {
-            for hop in hops {
+    fn delivery_steps(&self, state: &State, at: usize, next: &mut Vec<State>) {
+        let mut advance = |deliveries: &[Delivery], runs: u8| {
+            for delivery in deliveries {
                 let mut state = state.clone();
-                state.hops[at] = *hop;
+                state.deliveries[at] = *delivery;
                 state.runs += runs;
                 next.push(state);
             }
         };
-        match state.hops[at] {
+        match state.deliveries[at] {
             // It arrives, the connection can't be opened, or it breaks.
-            Hop::ToHolder => put(&[Hop::AtHolder, Hop::Refused, Hop::Lost], 0),
+            Delivery::ToHolder => {
+                advance(&[Delivery::AtHolder, Delivery::Refused, Delivery::Lost], 0)
+            }
             // The holder sends it on, gives up while it waits, or crashes.
-            Hop::AtHolder => put(&[Hop::ToTarget, Hop::Refused, Hop::Lost], 0),
-            Hop::ToTarget => {
+            Delivery::AtHolder => {
+                advance(&[Delivery::ToTarget, Delivery::Refused, Delivery::Lost], 0)
+            }
+            Delivery::ToTarget => {
                 // It is shed or can't be sent; the connection breaks before the
                 // target reads it; the target runs it, and the reply may be lost.
-                put(&[Hop::Refused, Hop::Lost], 0);
-                put(&[Hop::Ran, Hop::Lost], 1);
+                advance(&[Delivery::Refused, Delivery::Lost], 0);
+                advance(&[Delivery::Ran, Delivery::Lost], 1);
                 if self.mutation == Mutation::HolderResends && state.runs < 2 {
-                    put(&[Hop::ToTarget], 1);
+                    advance(&[Delivery::ToTarget], 1);
                 }
             }
-            Hop::Refused if self.mutation == Mutation::HolderSendsLate && state.runs < 2 => {
-                put(&[Hop::ToTarget], 0);
+            Delivery::Refused if self.mutation == Mutation::HolderSendsLate && state.runs < 2 => {
+                advance(&[Delivery::ToTarget], 0);
             }
-            Hop::Ran | Hop::Refused | Hop::Lost => {}
+            Delivery::Ran | Delivery::Refused | Delivery::Lost => {}
         }
     }
 }
 
 fn send(state: &State, count: u8) -> State {
     let mut state = state.clone();
-    state.known = Known::Sent(count);
-    state.hops.push(Hop::ToHolder);
+    state.ticket = TicketState::Sent(count);
+    state.deliveries.push(Delivery::ToHolder);
     state.awaited = true;
     state
 }
 
-fn conclude(state: &State, told: Told) -> State {
-    let mut state = tell(state, told);
-    state.known = Known::Outcome(told);
+fn complete(state: &State, reply: Reply) -> State {
+    let mut state = reply_to_caller(state, reply);
+    state.ticket = TicketState::Outcome(reply);
     state.awaited = false;
     state
 }
 
-fn tell(state: &State, told: Told) -> State {
+fn reply_to_caller(state: &State, reply: Reply) -> State {
     let mut state = state.clone();
-    state.told_done |= told == Told::Done;
-    state.told_not_run |= told == Told::NotRun;
+    state.replied_done |= reply == Reply::Done;
+    state.replied_not_run |= reply == Reply::NotRun;
     state
 }
--- a/crates/spec/tests/spec.rs
+++ b/crates/spec/tests/spec.rs
@@ -29,13 +29,14 @@
 }
 
 #[parameterized(
-    take_lower = { config::Mutation::TakeLower, "a node went back to an older version" },
-    serve_unborn = { config::Mutation::ServeUnborn, "a node serves without a version" },
-    no_recheck = { config::Mutation::NoRecheck,
+    accept_older = { config::Mutation::AcceptOlder, "a node went back to an older version" },
+    serve_without_version = { config::Mutation::ServeWithoutVersion,
+        "a node serves without a version" },
+    serve_after_wake = { config::Mutation::ServeAfterWake,
         "a node serves with an older version than was confirmed everywhere" },
-    blind_write = { config::Mutation::BlindWrite, "a change was accepted twice" },
-    lost_is_failed = { config::Mutation::LostIsFailed, "told refused, but accepted" },
-    serve_empty = { config::Mutation::ServeEmpty,
+    unconditional_write = { config::Mutation::UnconditionalWrite, "a change was accepted twice" },
+    lost_reply_is_refusal = { config::Mutation::LostReplyIsRefusal, "told refused, but accepted" },
+    accept_empty_answer = { config::Mutation::AcceptEmptyAnswer,
         "a node serves with an older version than was confirmed everywhere" },
 )]
 fn a_mutation_of_configuration_is_caught(mutation: config::Mutation, expected: &str) {
@@ -47,7 +48,7 @@
 #[parameterized(
     any_incarnation = { ticket::Mutation::AnyIncarnation, "told not run, but it ran" },
     run_elsewhere = { ticket::Mutation::RunElsewhere, "told not run, but it ran" },
-    resend_lost = { ticket::Mutation::ResendLost, "told not run, but it ran" },
+    resend_after_loss = { ticket::Mutation::ResendAfterLoss, "told not run, but it ran" },
     timeout_not_run = { ticket::Mutation::TimeoutNotRun, "told not run, but it ran" },
     forget_early = { ticket::Mutation::ForgetEarly, "told not run, but it ran" },
     holder_resends = { ticket::Mutation::HolderResends, "it ran twice" },
@@ -60,9 +61,11 @@
 }
 
 #[parameterized(
-    ignore_spread = { leaving::Mutation::IgnoreSpread, "a caller with valid advice was refused" },
-    close_at_once = { leaving::Mutation::CloseAtOnce, "a caller with valid advice was refused" },
-    cut_work = { leaving::Mutation::CutWork, "a request was cut" },
+    ignore_propagation = { leaving::Mutation::IgnorePropagation,
+        "a caller with valid advice was refused" },
+    refuse_at_once = { leaving::Mutation::RefuseAtOnce,
+        "a caller with valid advice was refused" },
+    exit_before_done = { leaving::Mutation::ExitBeforeDone, "a request was cut" },
     advise_self = { leaving::Mutation::AdviseSelf, "a caller with valid advice was refused" },
 )]
 fn a_mutation_of_leaving_is_caught(mutation: leaving::Mutation, expected: &str) {
