--- a/crates/history/src/callers.rs
+++ b/crates/history/src/callers.rs
@@ -22,31 +22,31 @@
 
 use crate::{
     cluster::Node,
-    layout::{self, CENTRES, DEADLINE_MS, HOLD_SELECTOR, MARKER, SEARCH_SELECTOR},
+    layout::{self, CENTRES, CRASH_MARKER, DEADLINE_MS, HOLD_SELECTOR, SEARCH_SELECTOR},
     record::{Attempt, Failure, Outcome, Request},
-    recorder::Run,
+    run_context::RunContext,
 };
 
 /// How long a caller waits beyond the deadline of its request.
-const PATIENCE: Duration = Duration::from_millis(DEADLINE_MS + 1_500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 1_500);
 
 /// How long a caller waits for advice.
-const ADVICE_LIMIT: Duration = Duration::from_millis(500);
+const ADVICE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How often a request is sent at most, and the pause between.
-const TRIES: usize = 6;
-const TRY_PAUSE_MS: u64 = 150;
+const MAX_ATTEMPTS: usize = 6;
+const RETRY_DELAY_MS: u64 = 150;
 
 /// The shares of requests that are not plain searches.
 const EXCLUSIVE_SHARE: f64 = 0.2;
 const POISON_SHARE: f64 = 0.002;
-const TWIN_SHARE: f64 = 0.1;
+const DUPLICATE_SHARE: f64 = 0.1;
 
 /// How many searches a burst has.
-const BURST: usize = 12;
+const BURST_SIZE: usize = 12;
 
 /// The longest time a caller thinks between requests, in milliseconds.
-const THINK_MS: usize = 40;
+const MAX_THINK_TIME_MS: usize = 40;
 
 /// Numbers of errors after which the same ticket is sent again.
 const STILL_RUNNING: u16 = 3002;
@@ -58,7 +58,7 @@
 
 /// One caller.
 pub struct Caller {
-    run: Rc<Run>,
+    run: Rc<RunContext>,
     random: Random,
     tenant: TenantName,
     bearer: String,
@@ -70,7 +70,7 @@
 
 /// A request that is ready to be sent, again and again if need be.
 #[derive(Clone)]
-struct Prepared {
+struct PreparedRequest {
     nonce: u64,
     path: &'static str,
     body: Value,
@@ -89,7 +89,7 @@
 
 impl Caller {
     /// The caller of that number.
-    pub fn new(run: &Rc<Run>, number: usize) -> Caller {
+    pub fn new(run: &Rc<RunContext>, number: usize) -> Caller {
         let tenant = OWNERS[number % OWNERS.len()];
         Caller {
             run: run.clone(),
@@ -104,30 +104,30 @@
     }
 
     /// Asks until the run is over.
-    pub async fn work(mut self) {
+    pub async fn run_until_over(mut self) {
         while !self.run.over.get() {
             let share = self.random.fraction();
             if share < EXCLUSIVE_SHARE {
-                self.hold().await;
+                self.send_exclusive().await;
             } else if share < EXCLUSIVE_SHARE + POISON_SHARE {
-                self.poison().await;
+                self.send_poison().await;
             } else {
-                let search = self.search("rooms");
+                let search = self.prepare_search("rooms");
                 self.send(&search).await;
             }
-            self.run.sleep_ms(self.random.below(THINK_MS) as u64).await;
+            self.run.sleep_ms(self.random.below(MAX_THINK_TIME_MS) as u64).await;
         }
     }
 
     /// Sends many searches at once to one node, each on a connection of its own.
     pub async fn burst(self, entry: SocketAddr) {
-        let clients = (0..BURST).map(|_| Client::new(entry, PATIENCE));
-        let clients: Vec<(Client, Prepared)> =
-            clients.map(|client| (client, self.search("burst"))).collect();
-        join_all(clients.iter().map(|(client, search)| self.send_by(client, search))).await;
+        let clients = (0..BURST_SIZE).map(|_| Client::new(entry, RESPONSE_TIMEOUT));
+        let clients: Vec<(Client, PreparedRequest)> =
+            clients.map(|client| (client, self.prepare_search("burst"))).collect();
+        join_all(clients.iter().map(|(client, search)| self.send_via(client, search))).await;
     }
 
-    fn search(&self, words: &str) -> Prepared {
+    fn prepare_search(&self, words: &str) -> PreparedRequest {
         let nonce = self.random.number();
         let limit = 1 + self.random.below(20) as u32;
         let query = json!({ "nonce": nonce, "words": words });
@@ -137,22 +137,22 @@
             "limit": limit,
             "deadline_ms": DEADLINE_MS,
         });
-        Prepared { nonce, path: "/v1/search", body, request: Request::Search { limit } }
+        PreparedRequest { nonce, path: "/v1/search", body, request: Request::Search { limit } }
     }
 
     /// A request that crashes the targets, which its caller sends again.
-    async fn poison(&mut self) {
-        self.run.record("poison request", "");
-        let poison = self.search(MARKER);
-        for _ in 0..TRIES {
+    async fn send_poison(&mut self) {
+        self.run.record_fault("poison request", "");
+        let poison = self.prepare_search(CRASH_MARKER);
+        for _ in 0..MAX_ATTEMPTS {
             self.send(&poison).await;
-            self.run.sleep_ms(TRY_PAUSE_MS).await;
+            self.run.sleep_ms(RETRY_DELAY_MS).await;
         }
     }
 
     /// A non-idempotent request, sent again under its ticket until its outcome is known.
-    async fn hold(&mut self) {
-        let Some(ticket) = self.ticket().await else {
+    async fn send_exclusive(&mut self) {
+        let Some(ticket) = self.request_ticket().await else {
             return;
         };
         let nonce = self.random.number();
@@ -165,20 +165,20 @@
             "deadline_ms": DEADLINE_MS,
         });
         let request = Request::Exclusive { ticket, key };
-        let hold = Prepared { nonce, path: "/v1/exclusive", body, request };
-        if self.random.chance(TWIN_SHARE) {
+        let hold = PreparedRequest { nonce, path: "/v1/exclusive", body, request };
+        if self.random.chance(DUPLICATE_SHARE) {
             self.send_twice(&hold).await;
         }
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let outcome = self.send(&hold).await;
             if is_settled(&outcome) {
                 return;
             }
-            self.run.sleep_ms(TRY_PAUSE_MS).await;
+            self.run.sleep_ms(RETRY_DELAY_MS).await;
         }
     }
 
-    async fn ticket(&mut self) -> Option<String> {
+    async fn request_ticket(&mut self) -> Option<String> {
         let client = self.client().await?;
         let headers = [("authorization", self.bearer.as_str())];
         let answer = client.send("POST", "/v1/tickets", &headers, Default::default()).await;
@@ -195,23 +195,23 @@
     }
 
     /// Sends the same to two nodes at once, as an impatient caller does.
-    async fn send_twice(&mut self, prepared: &Prepared) {
-        self.run.record("twin request", "");
+    async fn send_twice(&mut self, prepared: &PreparedRequest) {
+        self.run.record_fault("twin request", "");
         let Some(first) = self.client().await else {
             return;
         };
         let Some(other) = self.random.pick(&self.advice).copied() else {
             return;
         };
-        let other = self.client_of(other);
-        join(self.send_by(&first, prepared), self.send_by(&other, prepared)).await;
+        let other = self.client_for(other);
+        join(self.send_via(&first, prepared), self.send_via(&other, prepared)).await;
     }
 
-    async fn send(&mut self, prepared: &Prepared) -> Outcome {
+    async fn send(&mut self, prepared: &PreparedRequest) -> Outcome {
         let Some(client) = self.client().await else {
             return Outcome::NotConnected;
         };
-        let outcome = self.send_by(&client, prepared).await;
+        let outcome = self.send_via(&client, prepared).await;
         match &outcome {
             Outcome::NotConnected | Outcome::Broken | Outcome::TimedOut => self.advice.clear(),
             // The node that was named doesn't serve; the next one named may.
@@ -223,16 +223,16 @@
         outcome
     }
 
-    async fn send_by(&self, client: &Client, prepared: &Prepared) -> Outcome {
+    async fn send_via(&self, client: &Client, prepared: &PreparedRequest) -> Outcome {
         let Some(node) = self.run.cluster.node_at(client.address()) else {
             return Outcome::NotConnected;
         };
-        let (life, kept, sent_us) = (node.life(), client.is_open(), now_us());
+        let (life, kept, sent_us) = (node.instance(), client.is_open(), now_us());
         let headers = [("authorization", self.bearer.as_str())];
         let body = prepared.body.to_string().into();
         let answer = client.send("POST", prepared.path, &headers, body).await;
         let outcome = match answer {
-            Ok(answer) => read(&answer, &prepared.request),
+            Ok(answer) => parse_reply(&answer, &prepared.request),
             Err(error) if error.kind() == ErrorKind::NotConnected => Outcome::NotConnected,
             Err(error) if error.kind() == ErrorKind::TimedOut => Outcome::TimedOut,
             Err(_) => Outcome::Broken,
@@ -254,26 +254,26 @@
     /// The client of the address that this caller was told to use.
     async fn client(&mut self) -> Option<Rc<Client>> {
         if self.advice.is_empty() || Instant::now() >= self.valid_until {
-            self.ask().await;
+            self.refresh_advice().await;
         }
         let address = self.advice.first().copied()?;
-        Some(self.client_of(address))
+        Some(self.client_for(address))
     }
 
-    fn client_of(&mut self, address: SocketAddr) -> Rc<Client> {
-        let new = || Rc::new(Client::new(address, PATIENCE));
+    fn client_for(&mut self, address: SocketAddr) -> Rc<Client> {
+        let new = || Rc::new(Client::new(address, RESPONSE_TIMEOUT));
         self.clients.entry(address).or_insert_with(new).clone()
     }
 
     /// Asks the nodes in random order which address to use.
-    async fn ask(&mut self) {
+    async fn refresh_advice(&mut self) {
         self.advice.clear();
         let mut entries: Vec<SocketAddr> =
             self.run.cluster.nodes.iter().map(|node: &Node| node.entry).collect();
         self.random.shuffle(&mut entries);
         for entry in entries {
             let path = format!("/v1/entry?near={}", self.centre);
-            let answer = Client::new(entry, ADVICE_LIMIT).get(&path).await;
+            let answer = Client::new(entry, ADVICE_TIMEOUT).get(&path).await;
             let Ok(advice) = answer.and_then(|answer| answer.json::<EntryAdvice>()) else {
                 continue;
             };
@@ -283,7 +283,7 @@
                 return;
             }
         }
-        self.run.sleep_ms(TRY_PAUSE_MS).await;
+        self.run.sleep_ms(RETRY_DELAY_MS).await;
     }
 }
 
@@ -298,7 +298,7 @@
     }
 }
 
-fn read(answer: &standins::http::Answer, request: &Request) -> Outcome {
+fn parse_reply(answer: &standins::http::Answer, request: &Request) -> Outcome {
     if answer.status != 200 {
         return match answer.json::<ErrorBody>() {
             Ok(body) => Outcome::Failed(body.error),
--- a/crates/history/src/checker.rs
+++ b/crates/history/src/checker.rs
@@ -72,7 +72,7 @@
     pub config_us: u64,
     /// For how long a node may take a declared shard of which it has heard nothing
     /// for one of the snapshot, in microseconds.
-    pub caution_us: u64,
+    pub extra_shard_us: u64,
     /// How many targets a request may crash while it is contained.
     pub crashes: usize,
     /// How long it is contained, in microseconds.
@@ -84,7 +84,7 @@
         Bounds {
             leaving_us: 5_000_000,
             config_us: 5_000_000,
-            caution_us: 5_000_000,
+            extra_shard_us: 5_000_000,
             crashes: 4,
             contained_us: 600_000_000,
         }
--- a/crates/history/src/cluster.rs
+++ b/crates/history/src/cluster.rs
@@ -28,14 +28,14 @@
 use crate::{
     layout::{self, CENTRES},
     process::{Process, free_ports},
-    record::Life,
+    record::NodeInstance,
 };
 
 /// How long callers may keep the addresses they were given.
-pub const ADVICE_VALID: Duration = Duration::from_secs(2);
+pub const ADVICE_VALIDITY: Duration = Duration::from_secs(2);
 
 /// How long a stand-in may take for a change of faults.
-const CONTROL_LIMIT: Duration = Duration::from_secs(5);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Links for each node: from its peers, and to the platform.
 const LINKS_PER_NODE: usize = 2;
@@ -53,7 +53,7 @@
     /// The number of its start.
     pub start: Cell<u32>,
     /// Whether a fault has it in its hands.
-    pub busy: Cell<bool>,
+    pub has_fault: Cell<bool>,
     /// Its process; `None` while it is down.
     pub process: RefCell<Option<Process>>,
     settings: PathBuf,
@@ -62,8 +62,8 @@
 
 impl Node {
     /// The life it is in.
-    pub fn life(&self) -> Life {
-        Life { node: self.name.clone(), start: self.start.get() }
+    pub fn instance(&self) -> NodeInstance {
+        NodeInstance { node: self.name.clone(), start: self.start.get() }
     }
 }
 
@@ -115,7 +115,7 @@
             peer_link: number * LINKS_PER_NODE,
             platform_link: number * LINKS_PER_NODE + 1,
             start: Cell::new(0),
-            busy: Cell::new(false),
+            has_fault: Cell::new(false),
             process: RefCell::new(None),
             settings: folder.join(format!("n{number}.toml")),
             peer: peers[number],
@@ -155,7 +155,7 @@
     }
 
     /// Tells the platform which VMs there are.
-    pub async fn list_vms(&self, leaving: Option<usize>) -> io::Result<()> {
+    pub async fn set_vm_list(&self, leaving: Option<usize>) -> io::Result<()> {
         let vm = |(number, node): (usize, &Node)| Vm {
             peer: self.relay.links[node.peer_link],
             centre: DataCentre::from(CENTRES[number % CENTRES.len()].0),
@@ -199,7 +199,7 @@
                 ..PlatformSettings::default()
             },
             join: JoinSettings::default(),
-            advice: AdviceSettings { valid: ADVICE_VALID, ..AdviceSettings::default() },
+            advice: AdviceSettings { valid: ADVICE_VALIDITY, ..AdviceSettings::default() },
             ..Settings::default()
         };
         let text = toml::to_string(&settings).map_err(io::Error::other)?;
@@ -208,7 +208,7 @@
 }
 
 async fn control(address: SocketAddr, path: &str, body: &impl Serialize) -> io::Result<()> {
-    let answer = Client::new(address, CONTROL_LIMIT).post(path, body).await?;
+    let answer = Client::new(address, CONTROL_TIMEOUT).post(path, body).await?;
     match answer.status {
         204 => Ok(()),
         status => Err(io::Error::other(format!("{path} gave {status}"))),
--- a/crates/history/src/configuration.rs
+++ b/crates/history/src/configuration.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     checker::{Bounds, Findings, Promise},
-    record::{Accepted, History, Life, Reading},
+    record::{Accepted, History, NodeInstance, Reading},
 };
 
 /// Looks for nodes that are behind or go back, and for accepted changes lost.
@@ -19,7 +19,7 @@
     let readings = readings(history);
     check_accepted(history, findings);
     check_order(&readings, findings);
-    check_spread(history, &readings, bounds, findings);
+    check_propagation(history, &readings, bounds, findings);
 }
 
 /// The readings of each life, in the order in which they began.
@@ -51,11 +51,11 @@
 
 /// A reading that began after another of the same life was there must not be older.
 fn check_order(readings: &[Reading], findings: &mut Findings) {
-    let mut lives: BTreeMap<&Life, Vec<&Reading>> = BTreeMap::new();
+    let mut by_instance: BTreeMap<&NodeInstance, Vec<&Reading>> = BTreeMap::new();
     for reading in readings {
-        lives.entry(&reading.life).or_default().push(reading);
+        by_instance.entry(&reading.life).or_default().push(reading);
     }
-    for (life, readings) in lives {
+    for (life, readings) in by_instance {
         let mut ended: Vec<&Reading> = readings.clone();
         ended.sort_by_key(|reading| reading.ended_us);
         let mut ended = ended.into_iter().peekable();
@@ -73,11 +73,16 @@
     }
 }
 
-fn check_spread(history: &History, readings: &[Reading], bounds: &Bounds, findings: &mut Findings) {
+fn check_propagation(
+    history: &History,
+    readings: &[Reading],
+    bounds: &Bounds,
+    findings: &mut Findings,
+) {
     for reading in readings {
         let late = |accepted: &&Accepted| {
             accepted.version > reading.version
-                && due(accepted, reading, history, bounds) < reading.sent_us
+                && deadline(accepted, reading, history, bounds) < reading.sent_us
         };
         if let Some(accepted) = history.accepted.iter().find(late) {
             let span = reading.sent_us.saturating_sub(accepted.at_us) / 1_000;
@@ -90,34 +95,34 @@
     }
 }
 
-fn due(accepted: &Accepted, reading: &Reading, history: &History, bounds: &Bounds) -> u64 {
-    let mut due = accepted.at_us + bounds.config_us;
+fn deadline(accepted: &Accepted, reading: &Reading, history: &History, bounds: &Bounds) -> u64 {
+    let mut deadline = accepted.at_us + bounds.config_us;
     for disturbance in &history.disturbances {
         let concerns = disturbance.node.as_ref().is_none_or(|node| *node == reading.life.node);
-        if concerns && disturbance.from_us <= due && disturbance.until_us >= accepted.at_us {
-            due = due.max(disturbance.until_us + bounds.config_us);
+        if concerns && disturbance.from_us <= deadline && disturbance.until_us >= accepted.at_us {
+            deadline = deadline.max(disturbance.until_us + bounds.config_us);
         }
     }
-    due
+    deadline
 }
 
 /// How long each accepted version took to be read on every node, in microseconds;
 /// only of those that no disturbance put off.
 ///
 /// Readings are taken at intervals, so this is too long by up to one of them.
-pub fn spread_times(history: &History, bounds: &Bounds) -> Vec<u64> {
+pub fn propagation_times(history: &History, bounds: &Bounds) -> Vec<u64> {
     let readings = readings(history);
-    let is_calm = |accepted: &&Accepted| {
+    let is_undisturbed = |accepted: &&Accepted| {
         let until = accepted.at_us + bounds.config_us;
         let mut disturbances = history.disturbances.iter();
         !disturbances.any(|found| found.from_us <= until && found.until_us >= accepted.at_us)
     };
-    let spread = |accepted: &Accepted| {
+    let propagation_time = |accepted: &Accepted| {
         let behind = readings.iter().filter(|reading| {
             reading.version < accepted.version && reading.sent_us > accepted.at_us
         });
         let last = behind.map(|reading| reading.sent_us).max();
         last.map_or(0, |last| last - accepted.at_us)
     };
-    history.accepted.iter().filter(is_calm).map(spread).collect()
+    history.accepted.iter().filter(is_undisturbed).map(propagation_time).collect()
 }
--- a/crates/history/src/containment.rs
+++ b/crates/history/src/containment.rs
@@ -12,17 +12,17 @@
 
 use crate::{
     checker::{Bounds, Findings, Promise},
-    layout::MARKER,
+    layout::CRASH_MARKER,
     record::History,
 };
 
 /// How long faults of nodes last.
-const FAULT_SPAN_US: u64 = 3_000_000;
+const FAULT_DURATION_US: u64 = 3_000_000;
 
 /// Looks for requests that crashed too many targets while they were contained.
 pub fn check(history: &History, bounds: &Bounds, findings: &mut Findings) {
     for (nonce, times) in crashes(history) {
-        let most = most_in(&times, bounds.contained_us);
+        let most = max_in_window(&times, bounds.contained_us);
         if most > bounds.crashes && !is_disturbed(history, &times) {
             let detail = format!("{nonce:x} crashed {most} targets while it was contained");
             findings.add(Promise::Containment, detail);
@@ -35,7 +35,7 @@
     let (Some(first), Some(last)) = (times.first(), times.last()) else {
         return false;
     };
-    let span = first.saturating_sub(FAULT_SPAN_US)..=*last;
+    let span = first.saturating_sub(FAULT_DURATION_US)..=*last;
     let of_nodes = |fault: &str| fault.starts_with("node ") || fault.starts_with("link");
     history.faults.iter().any(|made| of_nodes(&made.fault) && span.contains(&made.at_us))
 }
@@ -44,7 +44,7 @@
 pub fn crashes(history: &History) -> BTreeMap<u64, Vec<u64>> {
     let mut crashes: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
     let lost = history.runs.iter().filter(|run| run.end == RunEnd::Lost);
-    for run in lost.filter(|run| run.body.contains(MARKER)) {
+    for run in lost.filter(|run| run.body.contains(CRASH_MARKER)) {
         let nonce = data::field(&run.body, "nonce").as_u64().unwrap_or_default();
         crashes.entry(nonce).or_default().push(run.start_us);
     }
@@ -53,7 +53,7 @@
 }
 
 /// The most of `times`, which are sorted, that lie within a `span`.
-pub fn most_in(times: &[u64], span: u64) -> usize {
+pub fn max_in_window(times: &[u64], span: u64) -> usize {
     let within =
         |first: &u64| times.iter().filter(|at| (*first..first + span).contains(at)).count();
     times.iter().map(within).max().unwrap_or_default()
--- a/crates/history/src/coverage.rs
+++ b/crates/history/src/coverage.rs
@@ -25,14 +25,14 @@
 
 use crate::{
     checker::{Bounds, Findings, Promise},
-    record::{History, Life},
+    record::{History, NodeInstance},
 };
 
 /// What the name of a missing shard holds if the tier has never seen its name.
 const UNSEEN: &str = "/unseen-";
 
 /// Answers this far apart, in microseconds, are not of one spell of caution.
-const CAUTION_GAP_US: u64 = 2_000_000;
+const EXTRA_SHARD_GAP_US: u64 = 2_000_000;
 
 /// Looks for answers that cover less than they say.
 pub fn check(history: &History, bounds: &Bounds, findings: &mut Findings) {
@@ -42,33 +42,33 @@
             continue;
         };
         let runs = runs.get(&attempt.nonce).map(Vec::as_slice).unwrap_or_default();
-        let ran = ran(answer, layout, runs);
+        let completed = completed_shards(answer, layout, runs);
         let faults = [
             count_fault(answer, layout, history),
-            lost_fault(answer),
-            run_fault(answer, &ran),
-            hits_fault(answer, &ran, limit),
+            empty_fault(answer),
+            run_fault(answer, &completed),
+            hits_fault(answer, &completed, limit),
         ];
         for fault in faults.into_iter().flatten() {
             findings.add(Promise::Coverage, format!("{:x}: {fault}", attempt.nonce));
         }
     }
-    check_caution(history, bounds, findings);
+    check_extra_shards(history, bounds, findings);
 }
 
 /// Looks for shards that a node took for ones of the snapshot for too long.
-fn check_caution(history: &History, bounds: &Bounds, findings: &mut Findings) {
-    let mut seen: BTreeMap<(&Life, &ShardName), Vec<u64>> = BTreeMap::new();
+fn check_extra_shards(history: &History, bounds: &Bounds, findings: &mut Findings) {
+    let mut seen: BTreeMap<(&NodeInstance, &ShardName), Vec<u64>> = BTreeMap::new();
     for (attempt, _, answer) in history.answers() {
         let layout = history.layouts.get(&answer.coverage.version);
-        for shard in layout.map(|layout| strangers(answer, layout)).unwrap_or_default() {
+        for shard in layout.map(|layout| extra_shards(answer, layout)).unwrap_or_default() {
             seen.entry((&attempt.life, shard)).or_default().push(attempt.sent_us);
         }
     }
     for ((life, shard), mut times) in seen {
         times.sort_unstable();
         let span = longest_span(&times);
-        if span > bounds.caution_us {
+        if span > bounds.extra_shard_us {
             let span = span / 1_000;
             let node = &life.node;
             let detail = format!("{node} counted {shard}, not of the snapshot, for {span} ms");
@@ -79,13 +79,13 @@
 
 /// The longest time over which there are `times` without a gap, which are sorted.
 fn longest_span(times: &[u64]) -> u64 {
-    let near = |a: &u64, b: &u64| b - a <= CAUTION_GAP_US;
+    let near = |a: &u64, b: &u64| b - a <= EXTRA_SHARD_GAP_US;
     let spans = times.chunk_by(near).filter_map(|chunk| Some(chunk.last()? - chunk.first()?));
     spans.max().unwrap_or_default()
 }
 
 /// The missing shards that have a name, but not one of the snapshot.
-fn strangers<'a>(answer: &'a Answer, layout: &[ShardName]) -> Vec<&'a ShardName> {
+fn extra_shards<'a>(answer: &'a Answer, layout: &[ShardName]) -> Vec<&'a ShardName> {
     let missing = answer.coverage.missing.iter().map(|miss| &miss.shard);
     missing.filter(|shard| !layout.contains(shard) && !shard.contains(UNSEEN)).collect()
 }
@@ -93,14 +93,14 @@
 fn count_fault(answer: &Answer, layout: &[ShardName], history: &History) -> Option<String> {
     let coverage = &answer.coverage;
     let missing: HashSet<&ShardName> = coverage.missing.iter().map(|miss| &miss.shard).collect();
-    let strangers = strangers(answer, layout);
-    if let Some(shard) = strangers.iter().find(|shard| !history.declared.contains(**shard)) {
+    let extra_shards = extra_shards(answer, layout);
+    if let Some(shard) = extra_shards.iter().find(|shard| !history.declared.contains(**shard)) {
         return Some(format!("shard {shard} is missing, but is no shard at all"));
     }
     if missing.len() != coverage.missing.len() {
         return Some("a shard is missing twice".to_owned());
     }
-    if coverage.asked as usize != layout.len() + strangers.len() {
+    if coverage.asked as usize != layout.len() + extra_shards.len() {
         return Some(format!("asked {} of {} shards", coverage.asked, layout.len()));
     }
     if coverage.asked as usize != coverage.covered as usize + missing.len() {
@@ -110,12 +110,16 @@
     None
 }
 
-fn lost_fault(answer: &Answer) -> Option<String> {
+fn empty_fault(answer: &Answer) -> Option<String> {
     (answer.coverage.covered == 0).then(|| "a success that covers nothing".to_owned())
 }
 
 /// The shards that ran the request to its end and are not said to be missing.
-fn ran<'a>(answer: &Answer, layout: &'a [ShardName], runs: &[&RunRecord]) -> Vec<&'a ShardName> {
+fn completed_shards<'a>(
+    answer: &Answer,
+    layout: &'a [ShardName],
+    runs: &[&RunRecord],
+) -> Vec<&'a ShardName> {
     let version = Some(answer.coverage.version);
     let is_missing =
         |shard: &ShardName| answer.coverage.missing.iter().any(|miss| miss.shard == *shard);
@@ -126,14 +130,15 @@
     layout.iter().filter(|shard| !is_missing(shard) && has_run(shard)).collect()
 }
 
-fn run_fault(answer: &Answer, ran: &[&ShardName]) -> Option<String> {
+fn run_fault(answer: &Answer, completed: &[&ShardName]) -> Option<String> {
     let covered = answer.coverage.covered as usize;
-    (ran.len() < covered).then(|| format!("{covered} covered, but {} ran to their end", ran.len()))
+    (completed.len() < covered)
+        .then(|| format!("{covered} covered, but {} ran to their end", completed.len()))
 }
 
-fn hits_fault(answer: &Answer, ran: &[&ShardName], limit: u32) -> Option<String> {
-    let mut choices = choices(ran, answer.coverage.covered as usize).into_iter();
-    match choices.any(|shards| has_best_hits(answer, &shards, limit)) {
+fn hits_fault(answer: &Answer, completed: &[&ShardName], limit: u32) -> Option<String> {
+    let mut combinations = combinations(completed, answer.coverage.covered as usize).into_iter();
+    match combinations.any(|shards| has_best_hits(answer, &shards, limit)) {
         true => None,
         false => Some(format!("{} hits, not the best of what is covered", answer.hits.len())),
     }
@@ -152,13 +157,13 @@
 }
 
 /// Every way to choose `count` of `shards`.
-fn choices<'a>(shards: &[&'a ShardName], count: usize) -> Vec<Vec<&'a ShardName>> {
+fn combinations<'a>(shards: &[&'a ShardName], count: usize) -> Vec<Vec<&'a ShardName>> {
     if count == 0 {
         return vec![Vec::new()];
     }
     let mut all = Vec::new();
     for (at, shard) in shards.iter().enumerate() {
-        for mut rest in choices(&shards[at + 1..], count - 1) {
+        for mut rest in combinations(&shards[at + 1..], count - 1) {
             rest.push(shard);
             all.push(rest);
         }
--- a/crates/history/src/environment_faults.rs
+++ b/crates/history/src/environment_faults.rs
@@ -12,10 +12,11 @@
 
 use crate::{
     layout::{
-        HOLD_SHARDS, MARKER, NEW_SHARDS, REPLICAS, SEARCH_SHARDS, first_held, new_held, target_name,
+        CRASH_MARKER, HOLD_SHARDS, REPARTITIONED_SHARDS, REPLICAS, SEARCH_SHARDS, initial_shard,
+        repartitioned_shard, target_name,
     },
     record::Drain,
-    recorder::Run,
+    run_context::RunContext,
 };
 
 /// How long a target that drains by itself does so: past the time after which
@@ -26,9 +27,9 @@
 const KEEP_MS: u64 = 2_000;
 
 /// Makes one fault of a target after the other until the run is over.
-pub async fn disturb_targets(run: Rc<Run>) {
+pub async fn inject_target_faults(run: Rc<RunContext>) {
     let random = run.generator();
-    let marker = Some(MARKER.to_owned());
+    let marker = Some(CRASH_MARKER.to_owned());
     change(&run, FaultChange { marker, ..FaultChange::default() }).await;
     while !run.over.get() {
         run.sleep_ms(200 + random.below(800) as u64).await;
@@ -37,32 +38,32 @@
         let span = 500 + random.below(2_000) as u64;
         match random.below(7) {
             0 => {
-                run.record("target crashed", &target);
+                run.record_fault("target crashed", &target);
                 let restart_ms = Some(span);
                 change(&run, FaultChange { crash: true, restart_ms, ..fault() }).await;
             }
             1 => {
-                run.record("target silent", &target);
+                run.record_fault("target silent", &target);
                 change(&run, FaultChange { silence: true, ..fault() }).await;
             }
             2 => {
-                run.record("straggler", &target);
+                run.record_fault("straggler", &target);
                 change(&run, FaultChange { factor: Some(20.0), ..fault() }).await;
                 run.sleep_ms(span).await;
                 change(&run, FaultChange { factor: Some(1.0), ..fault() }).await;
             }
             3 => {
-                run.record("target cold", &target);
+                run.record_fault("target cold", &target);
                 change(&run, FaultChange { cold_ms: Some(span), ..fault() }).await;
             }
             4 => {
-                run.record("target sheds", &target);
+                run.record_fault("target sheds", &target);
                 change(&run, FaultChange { shed: Some(true), ..fault() }).await;
                 run.sleep_ms(span).await;
                 change(&run, FaultChange { shed: Some(false), ..fault() }).await;
             }
             5 => {
-                run.record("target lies", &target);
+                run.record_fault("target lies", &target);
                 let (load, lie) = (Some(random.below(100) as i64), Some(Phase::Ready));
                 change(&run, FaultChange { load, lie, ..fault() }).await;
                 run.sleep_ms(span).await;
@@ -73,8 +74,8 @@
     }
 }
 
-async fn drain(run: &Run, target: &TargetName) {
-    run.record("target drains", target);
+async fn drain(run: &RunContext, target: &TargetName) {
+    run.record_fault("target drains", target);
     let fault = || FaultChange { target: Some(target.clone()), ..FaultChange::default() };
     let from_us = now_us();
     change(run, FaultChange { drain: Some(true), lie: Some(Phase::Draining), ..fault() }).await;
@@ -86,31 +87,31 @@
 }
 
 /// Makes one fault of the platform after the other until the run is over.
-pub async fn disturb_platform(run: Rc<Run>) {
+pub async fn inject_platform_faults(run: Rc<RunContext>) {
     let random = run.generator();
     while !run.over.get() {
         run.sleep_ms(1_000 + random.below(3_000) as u64).await;
         let span = 500 + random.below(4_000) as u64;
         match random.below(4) {
             0 => {
-                run.record("platform out", "");
+                run.record_fault("platform out", "");
                 let out = |outage| StoreFaultChange { outage: Some(outage), ..Default::default() };
-                disturb_for(&run, span, out(true), out(false)).await;
+                apply_platform_fault(&run, span, out(true), out(false)).await;
             }
             1 => {
-                run.record("platform hangs", "");
+                run.record_fault("platform hangs", "");
                 let hang = |hang| StoreFaultChange { hang: Some(hang), ..Default::default() };
-                disturb_for(&run, span, hang(true), hang(false)).await;
+                apply_platform_fault(&run, span, hang(true), hang(false)).await;
             }
             2 => {
-                run.record("platform slow", "");
+                run.record_fault("platform slow", "");
                 let slow = |delay| StoreFaultChange { delay_ms: Some(delay), ..Default::default() };
                 change_platform(&run, slow(200)).await;
                 run.sleep_ms(span).await;
                 change_platform(&run, slow(2)).await;
             }
             _ => {
-                run.record("reply to a write lost", "");
+                run.record_fault("reply to a write lost", "");
                 let lose_replies = Some(1 + random.below(4) as u32);
                 change_platform(&run, StoreFaultChange { lose_replies, ..Default::default() })
                     .await;
@@ -119,16 +120,21 @@
     }
 }
 
-async fn disturb_for(run: &Run, span: u64, make: StoreFaultChange, mend: StoreFaultChange) {
+async fn apply_platform_fault(
+    run: &RunContext,
+    span: u64,
+    make: StoreFaultChange,
+    mend: StoreFaultChange,
+) {
     let from_us = now_us();
     change_platform(run, make).await;
     run.sleep_ms(span).await;
     change_platform(run, mend).await;
-    run.disturb(None, from_us);
+    run.record_disturbance(None, from_us);
 }
 
 /// Publishes new versions of the index, the third one with another layout.
-pub async fn publish_index(run: Rc<Run>) {
+pub async fn publish_index(run: Rc<RunContext>) {
     let random = run.generator();
     let mut version = 1;
     while !run.over.get() {
@@ -136,24 +142,25 @@
         version += 1;
         let is_new = version % 2 == 1;
         let fault = if is_new { "repartitioned" } else { "index published" };
-        run.record(fault, &version.to_string());
-        let count = if is_new { NEW_SHARDS } else { SEARCH_SHARDS };
+        run.record_fault(fault, &version.to_string());
+        let count = if is_new { REPARTITIONED_SHARDS } else { SEARCH_SHARDS };
         let held = |number: usize| match is_new {
-            true => new_held(version, number),
-            false => first_held(version, number),
+            true => repartitioned_shard(version, number),
+            false => initial_shard(version, number),
         };
         let shards: Vec<ShardName> = (0..count).map(|number| held(number).shard).collect();
         run.history.borrow_mut().layouts.insert(IndexVersion(version), shards);
         for target in 0..SEARCH_SHARDS * REPLICAS.len() {
             // In the first layout each shard stays with the targets named for it.
-            let shard = if is_new { target % NEW_SHARDS } else { target / REPLICAS.len() };
+            let shard =
+                if is_new { target % REPARTITIONED_SHARDS } else { target / REPLICAS.len() };
             let publish = Some(held(shard));
             let target = Some(search_target(target));
             change(&run, FaultChange { target, publish, ..FaultChange::default() }).await;
             run.sleep_ms(random.below(40) as u64).await;
         }
         run.sleep_ms(KEEP_MS).await;
-        run.record("earlier index dropped", &(version - 1).to_string());
+        run.record_fault("earlier index dropped", &(version - 1).to_string());
         for target in 0..SEARCH_SHARDS * REPLICAS.len() {
             let unpublish = Some(IndexVersion(version - 1));
             let target = Some(search_target(target));
@@ -176,13 +183,13 @@
 }
 
 /// A stand-in that does not take a change is reported; the run goes on.
-async fn change(run: &Run, change: FaultChange) {
+async fn change(run: &RunContext, change: FaultChange) {
     if let Err(error) = run.cluster.change_targets(&change).await {
         eprintln!("history: a fault could not be made: {error}");
     }
 }
 
-async fn change_platform(run: &Run, change: StoreFaultChange) {
+async fn change_platform(run: &RunContext, change: StoreFaultChange) {
     if let Err(error) = run.cluster.change_platform(&change).await {
         eprintln!("history: a fault could not be made: {error}");
     }
--- a/crates/history/src/exclusives.rs
+++ b/crates/history/src/exclusives.rs
@@ -10,8 +10,10 @@
 /// Looks for requests that ran twice, or whose outcome changed.
 pub fn check(history: &History, findings: &mut Findings) {
     let runs = history.runs_by_nonce();
-    let tries = history.tries();
-    for (nonce, attempts) in tries.into_iter().filter(|(_, attempts)| is_exclusive(attempts)) {
+    let attempts_by_nonce = history.attempts_by_nonce();
+    for (nonce, attempts) in
+        attempts_by_nonce.into_iter().filter(|(_, attempts)| is_exclusive(attempts))
+    {
         let runs = runs.get(&nonce).map(Vec::as_slice).unwrap_or_default();
         if runs.len() > 1 {
             let targets: Vec<&str> = runs.iter().map(|run| run.target.as_str()).collect();
--- a/crates/history/src/layout.rs
+++ b/crates/history/src/layout.rs
@@ -19,7 +19,7 @@
 pub const SEARCH_SHARDS: usize = 6;
 
 /// How many it has after it was repartitioned.
-pub const NEW_SHARDS: usize = 4;
+pub const REPARTITIONED_SHARDS: usize = 4;
 
 /// How many shards take non-idempotent requests.
 pub const HOLD_SHARDS: usize = 2;
@@ -37,7 +37,7 @@
 pub const DEADLINE_MS: u64 = 1_000;
 
 /// A request that holds this crashes every target that runs it.
-pub const MARKER: &str = "poison";
+pub const CRASH_MARKER: &str = "poison";
 
 const SEARCH_COLLECTION: &str = "rooms";
 const HOLD_COLLECTION: &str = "holds";
@@ -56,16 +56,16 @@
 }
 
 /// A shard of the search collection before it was repartitioned.
-pub fn first_held(version: u64, number: usize) -> HeldVersion {
-    held(version, format!("s{number}"), SEARCH_COLLECTION, SEARCH_SHARDS)
+pub fn initial_shard(version: u64, number: usize) -> HeldVersion {
+    held_version(version, format!("s{number}"), SEARCH_COLLECTION, SEARCH_SHARDS)
 }
 
 /// A shard of the search collection after it was repartitioned.
-pub fn new_held(version: u64, number: usize) -> HeldVersion {
-    held(version, format!("r{number}"), SEARCH_COLLECTION, NEW_SHARDS)
+pub fn repartitioned_shard(version: u64, number: usize) -> HeldVersion {
+    held_version(version, format!("r{number}"), SEARCH_COLLECTION, REPARTITIONED_SHARDS)
 }
 
-fn held(version: u64, shard: String, collection: &str, total: usize) -> HeldVersion {
+fn held_version(version: u64, shard: String, collection: &str, total: usize) -> HeldVersion {
     HeldVersion {
         version: IndexVersion(version),
         shard: ShardName::from(shard),
@@ -79,7 +79,7 @@
     let search = (0..SEARCH_SHARDS).flat_map(|shard| {
         REPLICAS.map(|replica| TargetPlan {
             name: target_name("s", shard, replica),
-            held: vec![first_held(1, shard)],
+            held: vec![initial_shard(1, shard)],
             ..TargetPlan::default()
         })
     });
@@ -89,7 +89,7 @@
             slots: 6,
             connections: 110,
             connect_ms: 1,
-            held: vec![held(1, format!("h{shard}"), HOLD_COLLECTION, HOLD_SHARDS)],
+            held: vec![held_version(1, format!("h{shard}"), HOLD_COLLECTION, HOLD_SHARDS)],
             ..TargetPlan::default()
         })
     });
--- a/crates/history/src/leaving.rs
+++ b/crates/history/src/leaving.rs
@@ -18,10 +18,10 @@
     let runs = history.runs.iter().map(|run| (&run.target, run.arrived_us));
     let refused = history.drained.iter().map(|refusal| (&refusal.target, refusal.arrived_us));
     let offers: Vec<(&TargetName, u64)> = runs.chain(refused).collect();
-    for drain in history.drains.iter().chain(&taken_out(history)) {
-        let due = due(drain, history, bounds);
+    for drain in history.drains.iter().chain(&exclusion_periods(history)) {
+        let deadline = deadline(drain, history, bounds);
         let late = offers.iter().filter(|(target, _)| **target == drain.target);
-        let late = late.map(|(_, at)| *at).filter(|at| *at > due && *at < drain.until_us);
+        let late = late.map(|(_, at)| *at).filter(|at| *at > deadline && *at < drain.until_us);
         if let Some(last) = late.clone().max() {
             let span = (last - drain.from_us) / 1_000;
             let detail =
@@ -35,7 +35,7 @@
 ///
 /// A version that nobody told of, as the reply to its write was lost, may have
 /// taken any target in.
-fn taken_out(history: &History) -> Vec<Drain> {
+fn exclusion_periods(history: &History) -> Vec<Drain> {
     let mut accepted: Vec<&Accepted> = history.accepted.iter().collect();
     accepted.sort_by_key(|accepted| accepted.version);
     let reaches = accepted.iter().filter_map(|accepted| accepted.reach.as_ref());
@@ -71,12 +71,12 @@
 
 /// When the last new work may come; an outage of the platform that begins
 /// before then puts it off, as the order can't spread.
-fn due(drain: &Drain, history: &History, bounds: &Bounds) -> u64 {
-    let mut due = drain.from_us + bounds.leaving_us;
+fn deadline(drain: &Drain, history: &History, bounds: &Bounds) -> u64 {
+    let mut deadline = drain.from_us + bounds.leaving_us;
     for outage in history.disturbances.iter().filter(|disturbance| disturbance.node.is_none()) {
-        if outage.from_us <= due && outage.until_us >= drain.from_us {
-            due = due.max(outage.until_us + bounds.leaving_us);
+        if outage.from_us <= deadline && outage.until_us >= drain.from_us {
+            deadline = deadline.max(outage.until_us + bounds.leaving_us);
         }
     }
-    due
+    deadline
 }
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -10,12 +10,12 @@
 
 pub mod answers;
 pub mod callers;
-pub mod changes;
 pub mod checker;
 pub mod cluster;
 pub mod configuration;
 pub mod containment;
 pub mod coverage;
+pub mod environment_faults;
 pub mod exclusives;
 pub mod layout;
 pub mod leaving;
@@ -23,10 +23,10 @@
 pub mod operators;
 pub mod process;
 pub mod record;
-pub mod recorder;
 pub mod refusals;
 pub mod report;
+pub mod run_context;
 pub mod runner;
 pub mod shutdown;
 pub mod snapshot;
-pub mod world_faults;
+pub mod target_changes;
--- a/crates/history/src/node_faults.rs
+++ b/crates/history/src/node_faults.rs
@@ -7,37 +7,37 @@
 use rustix::process::Signal;
 use standins::{now_us, relay::LinkChange};
 
-use crate::{callers::Caller, record::Shutdown, recorder::Run};
+use crate::{callers::Caller, record::Shutdown, run_context::RunContext};
 
 /// How long a graceful shutdown may take.
-const SHUTDOWN_LIMIT: Duration = Duration::from_secs(30);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long before a shutdown a burst of requests is sent.
 const BURST_LEAD: Duration = Duration::from_millis(8);
 
 /// Makes one fault after the other until the run is over.
-pub async fn disturb(run: Rc<Run>) {
+pub async fn inject_faults(run: Rc<RunContext>) {
     let random = run.generator();
     while !run.over.get() {
         run.sleep_ms(300 + random.below(1_500) as u64).await;
         let number = random.below(run.cluster.nodes.len());
         let node = &run.cluster.nodes[number];
-        if run.over.get() || node.busy.replace(true) {
+        if run.over.get() || node.has_fault.replace(true) {
             continue;
         }
         match random.below(5) {
             0 => kill(&run, number, &random).await,
             1 => pause(&run, number, &random).await,
             2 => shut_down(&run, number).await,
-            3 => cut(&run, number, &random).await,
-            _ => silence(&run, number).await,
+            3 => cut_link(&run, number, &random).await,
+            _ => silence_links(&run, number).await,
         }
-        node.busy.set(false);
+        node.has_fault.set(false);
     }
 }
 
-async fn kill(run: &Run, number: usize, random: &Random) {
-    run.record("node killed", &run.cluster.nodes[number].name);
+async fn kill(run: &RunContext, number: usize, random: &Random) {
+    run.record_fault("node killed", &run.cluster.nodes[number].name);
     if let Some(mut process) = run.cluster.nodes[number].process.take() {
         process.kill();
     }
@@ -45,22 +45,22 @@
     relaunch(run, number);
 }
 
-async fn pause(run: &Run, number: usize, random: &Random) {
-    run.record("node paused", &run.cluster.nodes[number].name);
+async fn pause(run: &RunContext, number: usize, random: &Random) {
+    run.record_fault("node paused", &run.cluster.nodes[number].name);
     let from_us = now_us();
     signal(run, number, Signal::STOP);
     run.sleep_ms(500 + random.below(5_000) as u64).await;
     signal(run, number, Signal::CONT);
-    run.disturb(Some(number), from_us);
+    run.record_disturbance(Some(number), from_us);
 }
 
-async fn shut_down(run: &Rc<Run>, number: usize) {
-    run.record("node shut down", &run.cluster.nodes[number].name);
+async fn shut_down(run: &Rc<RunContext>, number: usize) {
+    run.record_fault("node shut down", &run.cluster.nodes[number].name);
     // The platform says so first, as it does when it takes a VM away; a fault
     // of the platform may hide that.
-    let _ = run.cluster.list_vms(Some(number)).await;
+    let _ = run.cluster.set_vm_list(Some(number)).await;
     let node = &run.cluster.nodes[number];
-    let life = node.life();
+    let life = node.instance();
     let terminate = async {
         monoio::time::sleep(BURST_LEAD).await;
         let asked_us = now_us();
@@ -74,23 +74,23 @@
     let Some(mut process) = process else {
         return;
     };
-    let status = process.wait(SHUTDOWN_LIMIT).await.ok().flatten();
+    let status = process.wait(SHUTDOWN_TIMEOUT).await.ok().flatten();
     let exited_us = status.map(|_| now_us());
     let success = status.is_some_and(|status| status.success());
     let shutdown = Shutdown { life, asked_us, exited_us, success };
     run.history.borrow_mut().shutdowns.push(shutdown);
-    let _ = run.cluster.list_vms(None).await;
+    let _ = run.cluster.set_vm_list(None).await;
     relaunch(run, number);
 }
 
 /// Cuts what comes from peers, what goes back to them, or the platform.
-async fn cut(run: &Run, number: usize, random: &Random) {
+async fn cut_link(run: &RunContext, number: usize, random: &Random) {
     let node = &run.cluster.nodes[number];
     let (name, link) = match random.below(2) {
         0 => ("link from peers cut", node.peer_link),
         _ => ("link to the platform cut", node.platform_link),
     };
-    run.record(name, &run.cluster.nodes[number].name);
+    run.record_fault(name, &run.cluster.nodes[number].name);
     let up = random.chance(0.7);
     let cut = |up, down| LinkChange {
         link: Some(link),
@@ -103,8 +103,8 @@
     let _ = run.cluster.change_links(&cut(false, false)).await;
 }
 
-async fn silence(run: &Run, number: usize) {
-    run.record("links of a node silent", &run.cluster.nodes[number].name);
+async fn silence_links(run: &RunContext, number: usize) {
+    run.record_fault("links of a node silent", &run.cluster.nodes[number].name);
     let node = &run.cluster.nodes[number];
     for link in [node.peer_link, node.platform_link] {
         let silence = LinkChange { link: Some(link), silence: true, ..LinkChange::default() };
@@ -112,13 +112,13 @@
     }
 }
 
-fn signal(run: &Run, number: usize, signal: Signal) {
+fn signal(run: &RunContext, number: usize, signal: Signal) {
     if let Some(process) = run.cluster.nodes[number].process.borrow().as_ref() {
         let _ = process.signal(signal);
     }
 }
 
-fn relaunch(run: &Run, number: usize) {
+fn relaunch(run: &RunContext, number: usize) {
     if let Err(error) = run.cluster.relaunch(number) {
         eprintln!("history: a node could not be started: {error}");
     }
--- a/crates/history/src/operators.rs
+++ b/crates/history/src/operators.rs
@@ -20,21 +20,21 @@
     cluster::Node,
     layout,
     record::{Accepted, Reading},
-    recorder::Run,
+    run_context::RunContext,
 };
 
 /// How long a drain lasts: past the time after which no new work may come.
 const DRAIN_MS: u64 = 8_000;
 
 /// How often each node is asked what is in force, in milliseconds.
-const WATCH_MS: u64 = 200;
+const POLL_INTERVAL_MS: u64 = 200;
 
 /// How long a node may take to tell.
-const WATCH_LIMIT: Duration = Duration::from_millis(500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// One operator.
 pub struct Operator {
-    pub(crate) run: Rc<Run>,
+    pub(crate) run: Rc<RunContext>,
     pub(crate) random: Random,
     store: DocumentStore,
     name: String,
@@ -53,7 +53,7 @@
 
 impl Operator {
     /// The operator of that number, who reaches the platform directly.
-    pub fn new(run: &Rc<Run>, number: usize) -> Operator {
+    pub fn new(run: &Rc<RunContext>, number: usize) -> Operator {
         let address = run.cluster.platform;
         let random = run.generator();
         let clock = Rc::new(RuntimeClock);
@@ -63,11 +63,11 @@
     }
 
     /// Puts the first document in force.
-    pub async fn found(&self, document: &Document) -> Result<()> {
+    pub async fn publish_initial(&self, document: &Document) -> Result<()> {
         let base = self.store.current().await?;
         let sent_us = now_us();
         let result = self.store.publish(&base, document, self.authorship("found")).await;
-        self.record(&result, sent_us, Some(reach(document)));
+        self.record(&result, sent_us, Some(eligible_targets(document)));
         result.map(|_| ())
     }
 
@@ -87,9 +87,9 @@
             let sent_us = now_us();
             let result = self.store.publish(&base, &document, self.authorship("weigh")).await;
             if matches!(result, Err(Error::Conflict { .. })) {
-                self.run.record("conflict of operators", "");
+                self.run.record_fault("conflict of operators", "");
             }
-            self.record(&result, sent_us, Some(reach(&document)));
+            self.record(&result, sent_us, Some(eligible_targets(&document)));
             self.run.sleep_ms(200 + self.random.below(1_000) as u64).await;
         }
     }
@@ -103,7 +103,7 @@
             // How long it is out follows from the configurations: a rollback may
             // take it in again.
             if self.drain(&target, true).await {
-                self.run.record("drain by an operator", &target);
+                self.run.record_fault("drain by an operator", &target);
                 self.run.sleep_ms(DRAIN_MS).await;
             }
             self.drain(&target, false).await;
@@ -112,7 +112,7 @@
     }
 
     /// The version in the platform's service.
-    pub async fn stored(&self) -> Result<ConfigVersion> {
+    pub async fn stored_version(&self) -> Result<ConfigVersion> {
         Ok(self.store.current().await?.document.version)
     }
 
@@ -131,7 +131,7 @@
         let reached = RefCell::new(None);
         let change = |document: &mut Document| {
             change(document)?;
-            reached.replace(Some(reach(document)));
+            reached.replace(Some(eligible_targets(document)));
             Ok(())
         };
         let result = self.store.amend(change, self.authorship(note)).await;
@@ -150,7 +150,7 @@
         let result = self.store.roll_back(&base, version, self.authorship("roll back")).await;
         let now = self.store.current().await.ok().map(|now| now.document);
         let reached = now.filter(|now| result.as_ref().is_ok_and(|own| *own == now.version));
-        self.record(&result, sent_us, reached.as_ref().map(reach));
+        self.record(&result, sent_us, reached.as_ref().map(eligible_targets));
         result.map(|_| ())
     }
 
@@ -172,22 +172,22 @@
 }
 
 /// The targets that may get work under `document`.
-fn reach(document: &Document) -> BTreeSet<TargetName> {
+fn eligible_targets(document: &Document) -> BTreeSet<TargetName> {
     let selected = document.rules.selectors.values().flat_map(|spec| document.select(spec));
     selected.filter(|(_, target)| !target.drain).map(|(name, _)| name.clone()).collect()
 }
 
 /// Reads what is in force on each node until the run is over.
-pub async fn watch(run: Rc<Run>) {
+pub async fn poll_versions(run: Rc<RunContext>) {
     while !run.over.get() {
-        join_all(run.cluster.nodes.iter().map(|node| read(&run, node))).await;
-        run.sleep_ms(WATCH_MS).await;
+        join_all(run.cluster.nodes.iter().map(|node| poll_version(&run, node))).await;
+        run.sleep_ms(POLL_INTERVAL_MS).await;
     }
 }
 
-async fn read(run: &Run, node: &Node) {
-    let client = Client::new(node.entry, WATCH_LIMIT);
-    let (life, sent_us) = (node.life(), now_us());
+async fn poll_version(run: &RunContext, node: &Node) {
+    let client = Client::new(node.entry, POLL_TIMEOUT);
+    let (life, sent_us) = (node.instance(), now_us());
     let ready = client.get("/readyz").await.is_ok_and(|answer| answer.status == 200);
     if !ready {
         return;
--- a/crates/history/src/process.rs
+++ b/crates/history/src/process.rs
@@ -15,7 +15,7 @@
 use serde::de::DeserializeOwned;
 
 /// How often an ending process is looked at.
-const WAIT_PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A process that is killed when this is dropped.
 pub struct Process {
@@ -54,7 +54,7 @@
     }
 
     /// How it ended, if it has.
-    pub fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
+    pub fn try_wait(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.try_wait()
     }
 
@@ -65,7 +65,7 @@
             if let Some(status) = self.child.try_wait()? {
                 return Ok(Some(status));
             }
-            monoio::time::sleep(WAIT_PAUSE).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(None)
     }
@@ -102,14 +102,14 @@
 const NODE_PORTS: Range<u16> = 12_000..32_000;
 
 /// How often a port is drawn before the search is given up.
-const PORT_TRIES: usize = 1_000;
+const MAX_PORT_ATTEMPTS: usize = 1_000;
 
 /// Ports of the loopback address that are free now.
 pub fn free_ports(count: usize) -> io::Result<Vec<u16>> {
     // Runs side by side must not draw the same, so this has no seed.
     let random = Random::from_entropy();
     let mut listeners = Vec::new();
-    for _ in 0..PORT_TRIES {
+    for _ in 0..MAX_PORT_ATTEMPTS {
         if listeners.len() == count {
             break;
         }
--- a/crates/history/src/record.rs
+++ b/crates/history/src/record.rs
@@ -16,7 +16,7 @@
 
 /// One life of a node, as the run started it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct NodeInstance {
     /// The node.
     pub node: NodeName,
     /// The number of its start, from zero.
@@ -31,7 +31,7 @@
     /// The tenant.
     pub tenant: TenantName,
     /// The node it was sent to.
-    pub life: Life,
+    pub life: NodeInstance,
     /// Whether its connection had carried a request before.
     pub kept: bool,
     /// When it was sent.
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Shutdown {
     /// The node.
-    pub life: Life,
+    pub life: NodeInstance,
     /// When it was asked.
     pub asked_us: u64,
     /// When it ended; `None` if it had to be killed.
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reading {
     /// The node.
-    pub life: Life,
+    pub life: NodeInstance,
     /// When the reading began.
     pub sent_us: u64,
     /// When it was there.
@@ -159,7 +159,7 @@
 
 /// A fault that was made.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FaultMade {
+pub struct InjectedFault {
     /// When.
     pub at_us: u64,
     /// Which.
@@ -194,7 +194,7 @@
     /// Times in which news could not spread.
     pub disturbances: Vec<Disturbance>,
     /// The faults, in order.
-    pub faults: Vec<FaultMade>,
+    pub faults: Vec<InjectedFault>,
 }
 
 impl History {
@@ -228,11 +228,11 @@
     }
 
     /// The attempts of each request, by its nonce.
-    pub fn tries(&self) -> BTreeMap<u64, Vec<&Attempt>> {
-        let mut tries: BTreeMap<u64, Vec<&Attempt>> = BTreeMap::new();
+    pub fn attempts_by_nonce(&self) -> BTreeMap<u64, Vec<&Attempt>> {
+        let mut attempts_by_nonce: BTreeMap<u64, Vec<&Attempt>> = BTreeMap::new();
         for attempt in &self.attempts {
-            tries.entry(attempt.nonce).or_default().push(attempt);
+            attempts_by_nonce.entry(attempt.nonce).or_default().push(attempt);
         }
-        tries
+        attempts_by_nonce
     }
 }
--- a/crates/history/src/refusals.rs
+++ b/crates/history/src/refusals.rs
@@ -14,11 +14,11 @@
 /// Looks for refused requests that ran.
 pub fn check(history: &History, findings: &mut Findings) {
     let runs = history.runs_by_nonce();
-    let tries = history.tries();
+    let attempts_by_nonce = history.attempts_by_nonce();
     for (attempt, failure) in history.failures().filter(|(_, failure)| failure.not_run) {
-        let siblings = tries.get(&attempt.nonce).map(Vec::as_slice).unwrap_or_default();
+        let siblings = attempts_by_nonce.get(&attempt.nonce).map(Vec::as_slice).unwrap_or_default();
         let runs = runs.get(&attempt.nonce).map(Vec::as_slice).unwrap_or_default();
-        if let Some(run) = runs.iter().find(|run| belies(run, attempt, siblings)) {
+        if let Some(run) = runs.iter().find(|run| contradicts(run, attempt, siblings)) {
             let detail = format!(
                 "{:x} was refused with {} as not run, but ran on {}, {} us after the refusal",
                 attempt.nonce,
@@ -31,7 +31,7 @@
     }
 }
 
-fn belies(run: &RunRecord, refused: &Attempt, siblings: &[&Attempt]) -> bool {
+fn contradicts(run: &RunRecord, refused: &Attempt, siblings: &[&Attempt]) -> bool {
     let is_search = matches!(refused.request, Request::Search { .. });
     if is_search && run.start_us < refused.sent_us {
         return false;
--- a/crates/history/src/report.rs
+++ b/crates/history/src/report.rs
@@ -6,14 +6,14 @@
 
 use crate::{
     checker::Bounds,
-    configuration::spread_times,
-    containment::{crashes, most_in},
+    configuration::propagation_times,
+    containment::{crashes, max_in_window},
     record::{History, Outcome, Request},
     runner::Verdict,
 };
 
 /// How many violations of each promise are printed in full.
-const SHOWN: usize = 5;
+const MAX_SHOWN: usize = 5;
 
 /// The report as text.
 pub fn report(verdict: &Verdict) -> String {
@@ -33,38 +33,38 @@
     for (name, count) in faults(history) {
         writeln!(text, "  {name}: {count}")?;
     }
-    write_figures(text, verdict)?;
+    write_statistics(text, verdict)?;
     writeln!(text, "violations: {}", findings.violations.len())?;
     for (promise, count) in findings.counts() {
         writeln!(text, "  {promise:?}: {count}")?;
         let details = findings.violations.iter().filter(|found| found.promise == promise);
-        for violation in details.take(SHOWN) {
+        for violation in details.take(MAX_SHOWN) {
             writeln!(text, "    {}", violation.detail)?;
         }
     }
     Ok(())
 }
 
-fn write_figures(text: &mut String, verdict: &Verdict) -> std::fmt::Result {
+fn write_statistics(text: &mut String, verdict: &Verdict) -> std::fmt::Result {
     let history = &verdict.history;
     let mut spans: Vec<u64> =
         history.answers().map(|(attempt, ..)| attempt.ended_us - attempt.sent_us).collect();
-    let mut spreads = spread_times(history, &Bounds::default());
+    let mut spreads = propagation_times(history, &Bounds::default());
     let asked: u64 = history.answers().map(|(.., answer)| answer.coverage.asked as u64).sum();
     let covered: u64 = history.answers().map(|(.., answer)| answer.coverage.covered as u64).sum();
     let full = history.answers().filter(|(.., answer)| answer.coverage.is_full()).count();
     let runs = history.runs.iter().filter(|run| !run.exclusive).count();
     let done = history.runs.iter().filter(|run| run.end == RunEnd::Done).count();
-    let (half, tail) = (quantile(&mut spans, 0.5), quantile(&mut spans, 0.99));
-    writeln!(text, "answers: median {} us, 99 in 100 within {} us", half, tail)?;
+    let (median, p99) = (quantile(&mut spans, 0.5), quantile(&mut spans, 0.99));
+    writeln!(text, "answers: median {} us, 99 in 100 within {} us", median, p99)?;
     writeln!(text, "coverage: {covered} of {asked} shards, {full} answers cover all")?;
     writeln!(text, "runs on targets: {runs} of searches, {done} of all to their end")?;
     writeln!(text, "shed: {}, connections over limits: {}", verdict.shed, verdict.over_limit)?;
-    let (half, most) = (quantile(&mut spreads, 0.5), quantile(&mut spreads, 1.0));
+    let (median, most) = (quantile(&mut spreads, 0.5), quantile(&mut spreads, 1.0));
     writeln!(text, "configurations: {} accepted", history.accepted.len())?;
     writeln!(
         text,
-        "  undisturbed: {}, everywhere after {half} us, {most} us at most",
+        "  undisturbed: {}, everywhere after {median} us, {most} us at most",
         spreads.len()
     )?;
     writeln!(text, "readings of nodes: {}", history.readings.len())?;
@@ -79,7 +79,7 @@
     let all: usize = crashes.values().map(Vec::len).sum();
     let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
     for times in crashes.values() {
-        *counts.entry(most_in(times, bounds.contained_us)).or_default() += 1;
+        *counts.entry(max_in_window(times, bounds.contained_us)).or_default() += 1;
     }
     writeln!(text, "requests that crash: {}, {all} crashes", crashes.len())?;
     for (count, requests) in counts {
--- a/crates/history/src/run_context.rs
+++ b/crates/history/src/run_context.rs
@@ -10,11 +10,11 @@
 
 use crate::{
     cluster::Cluster,
-    record::{Disturbance, FaultMade, History},
+    record::{Disturbance, History, InjectedFault},
 };
 
 /// What the tasks of a run share.
-pub struct Run {
+pub struct RunContext {
     /// The processes.
     pub cluster: Cluster,
     /// What has happened so far.
@@ -24,10 +24,10 @@
     random: Random,
 }
 
-impl Run {
+impl RunContext {
     /// A run on `cluster` after `seed`.
-    pub fn new(cluster: Cluster, seed: u64) -> Run {
-        Run {
+    pub fn new(cluster: Cluster, seed: u64) -> RunContext {
+        RunContext {
             cluster,
             history: RefCell::default(),
             over: Cell::new(false),
@@ -41,8 +41,9 @@
     }
 
     /// Records a fault that is made now.
-    pub fn record(&self, fault: &str, whom: &str) {
-        let made = FaultMade { at_us: now_us(), fault: fault.to_owned(), whom: whom.to_owned() };
+    pub fn record_fault(&self, fault: &str, whom: &str) {
+        let made =
+            InjectedFault { at_us: now_us(), fault: fault.to_owned(), whom: whom.to_owned() };
         self.history.borrow_mut().faults.push(made);
     }
 
@@ -51,12 +52,12 @@
         let until = now_us() + span * 1_000;
         while !self.over.get() && now_us() < until {
             let left = Duration::from_micros(until.saturating_sub(now_us()));
-            monoio::time::sleep(left.min(STEP)).await;
+            monoio::time::sleep(left.min(MAX_SLEEP_STEP)).await;
         }
     }
 
     /// Records that news could not spread from `from_us` until now.
-    pub fn disturb(&self, node: Option<usize>, from_us: u64) {
+    pub fn record_disturbance(&self, node: Option<usize>, from_us: u64) {
         let node = node.map(|number| self.cluster.nodes[number].name.clone());
         let disturbance = Disturbance { node, from_us, until_us: now_us() };
         self.history.borrow_mut().disturbances.push(disturbance);
@@ -64,4 +65,4 @@
 }
 
 /// How long a sleeping task takes at most to see that the run is over.
-const STEP: Duration = Duration::from_millis(50);
+const MAX_SLEEP_STEP: Duration = Duration::from_millis(50);
--- a/crates/history/src/runner.rs
+++ b/crates/history/src/runner.rs
@@ -12,18 +12,17 @@
     callers::Caller,
     checker::{Bounds, Findings, check},
     cluster::Cluster,
-    layout, node_faults,
+    environment_faults, layout, node_faults,
     operators::{self, Operator},
     record::History,
-    recorder::Run,
-    world_faults,
+    run_context::RunContext,
 };
 
 /// How long the nodes may take until all of them serve.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long reading the records of a run may take.
-const READ_LIMIT: Duration = Duration::from_secs(60);
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long the nodes are left alone before the records are read, in milliseconds.
 const SETTLE_MS: u64 = 2_500;
@@ -71,9 +70,9 @@
 /// Makes a run; this must be called inside a runtime.
 pub async fn run(options: &RunOptions) -> io::Result<Verdict> {
     let cluster = Cluster::start(options.nodes, options.seed, &options.folder)?;
-    let run = Rc::new(Run::new(cluster, options.seed));
-    let founder = Operator::new(&run, 0);
-    start(&run, &founder).await?;
+    let run = Rc::new(RunContext::new(cluster, options.seed));
+    let first_operator = Operator::new(&run, 0);
+    start(&run, &first_operator).await?;
 
     let tasks = tasks(&run, options);
     let clock = async {
@@ -82,18 +81,21 @@
     };
     futures_util::future::join(join_all(tasks), clock).await;
 
-    finish(&run, &founder).await
+    finish(&run, &first_operator).await
 }
 
 /// Puts the first document in force and waits until every node serves.
-async fn start(run: &Rc<Run>, founder: &Operator) -> io::Result<()> {
+async fn start(run: &Rc<RunContext>, first_operator: &Operator) -> io::Result<()> {
     let shards = (0..layout::SEARCH_SHARDS).map(|number| ShardName::from(format!("s{number}")));
     let shards: Vec<ShardName> = shards.collect();
     run.history.borrow_mut().declared.extend(shards.iter().cloned());
     run.history.borrow_mut().layouts.insert(IndexVersion(1), shards);
-    run.cluster.list_vms(None).await?;
-    founder.found(&layout::document(&run.cluster.fleet)).await.map_err(io::Error::other)?;
-    let until = Instant::now() + START_LIMIT;
+    run.cluster.set_vm_list(None).await?;
+    first_operator
+        .publish_initial(&layout::document(&run.cluster.fleet))
+        .await
+        .map_err(io::Error::other)?;
+    let until = Instant::now() + START_TIMEOUT;
     for node in &run.cluster.nodes {
         let client = Client::new(node.entry, Duration::from_secs(1));
         while !client.get("/readyz").await.is_ok_and(|answer| answer.status == 200) {
@@ -106,52 +108,52 @@
     Ok(())
 }
 
-fn tasks(run: &Rc<Run>, options: &RunOptions) -> Vec<LocalBoxFuture<'static, ()>> {
+fn tasks(run: &Rc<RunContext>, options: &RunOptions) -> Vec<LocalBoxFuture<'static, ()>> {
     let mut tasks: Vec<LocalBoxFuture<'static, ()>> = Vec::new();
     for number in 0..options.callers {
-        tasks.push(Box::pin(Caller::new(run, number).work()));
+        tasks.push(Box::pin(Caller::new(run, number).run_until_over()));
     }
-    tasks.push(Box::pin(operators::watch(run.clone())));
+    tasks.push(Box::pin(operators::poll_versions(run.clone())));
     tasks.push(Box::pin(Operator::new(run, 1).change_weights()));
     tasks.push(Box::pin(Operator::new(run, 2).change_weights()));
     tasks.push(Box::pin(Operator::new(run, 3).drain_targets()));
     tasks.push(Box::pin(Operator::new(run, 4).change_targets()));
-    tasks.push(Box::pin(Operator::new(run, 5).roll_back_often()));
-    tasks.push(Box::pin(world_faults::publish_index(run.clone())));
+    tasks.push(Box::pin(Operator::new(run, 5).roll_back_periodically()));
+    tasks.push(Box::pin(environment_faults::publish_index(run.clone())));
     if options.faults {
-        tasks.push(Box::pin(node_faults::disturb(run.clone())));
-        tasks.push(Box::pin(node_faults::disturb(run.clone())));
-        tasks.push(Box::pin(world_faults::disturb_targets(run.clone())));
-        tasks.push(Box::pin(world_faults::disturb_targets(run.clone())));
-        tasks.push(Box::pin(world_faults::disturb_platform(run.clone())));
+        tasks.push(Box::pin(node_faults::inject_faults(run.clone())));
+        tasks.push(Box::pin(node_faults::inject_faults(run.clone())));
+        tasks.push(Box::pin(environment_faults::inject_target_faults(run.clone())));
+        tasks.push(Box::pin(environment_faults::inject_target_faults(run.clone())));
+        tasks.push(Box::pin(environment_faults::inject_platform_faults(run.clone())));
     }
     tasks
 }
 
 /// Mends what is broken, collects the records, and judges them.
-async fn finish(run: &Rc<Run>, founder: &Operator) -> io::Result<Verdict> {
-    let whole = LinkChange {
+async fn finish(run: &Rc<RunContext>, first_operator: &Operator) -> io::Result<Verdict> {
+    let restore_links = LinkChange {
         cut_up: Some(false),
         cut_down: Some(false),
         delay_ms: Some(0),
         ..LinkChange::default()
     };
-    run.cluster.change_links(&whole).await?;
-    let mend = StoreFaultChange {
+    run.cluster.change_links(&restore_links).await?;
+    let clear_faults = StoreFaultChange {
         outage: Some(false),
         hang: Some(false),
         lose_replies: Some(0),
         delay_ms: Some(2),
         ..StoreFaultChange::default()
     };
-    run.cluster.change_platform(&mend).await?;
+    run.cluster.change_platform(&clear_faults).await?;
     monoio::time::sleep(Duration::from_millis(SETTLE_MS)).await;
 
-    let control = Client::new(run.cluster.fleet.control, READ_LIMIT);
+    let control = Client::new(run.cluster.fleet.control, READ_TIMEOUT);
     let log: RunLog = control.get("/standin/log").await?.json()?;
-    let platform = Client::new(run.cluster.platform, READ_LIMIT);
+    let platform = Client::new(run.cluster.platform, READ_TIMEOUT);
     let calls: Calls = platform.get("/standin/calls").await?.json()?;
-    let last = founder.stored().await.map_err(io::Error::other)?;
+    let last = first_operator.stored_version().await.map_err(io::Error::other)?;
 
     let mut history = run.history.take();
     history.last = last;
--- a/crates/history/src/snapshot.rs
+++ b/crates/history/src/snapshot.rs
@@ -24,24 +24,26 @@
             findings.add(Promise::Snapshot, detail);
             continue;
         };
-        for detail in strangers(answer, layout) {
+        for detail in foreign_hits(answer, layout) {
             findings.add(Promise::Snapshot, format!("{:x}: {detail}", attempt.nonce));
         }
     }
 }
 
 /// The hits that are not of the answer's snapshot.
-fn strangers(answer: &Answer, layout: &[ShardName]) -> Vec<String> {
+fn foreign_hits(answer: &Answer, layout: &[ShardName]) -> Vec<String> {
     let version = answer.coverage.version;
-    let is_stranger = |hit: &&Hit| match shard_and_number(hit) {
-        Some((shard, number)) => !layout.contains(&shard) || !is_of(hit, &shard, number, version),
+    let is_foreign = |hit: &&Hit| match shard_and_number(hit) {
+        Some((shard, number)) => {
+            !layout.contains(&shard) || !belongs_to(hit, &shard, number, version)
+        }
         None => true,
     };
-    let strangers = answer.hits.iter().filter(is_stranger);
-    strangers.map(|hit| format!("hit {} is not of version {version}", hit.key)).collect()
+    let foreign_hits = answer.hits.iter().filter(is_foreign);
+    foreign_hits.map(|hit| format!("hit {} is not of version {version}", hit.key)).collect()
 }
 
-fn is_of(hit: &Hit, shard: &ShardName, number: u32, version: IndexVersion) -> bool {
+fn belongs_to(hit: &Hit, shard: &ShardName, number: u32, version: IndexVersion) -> bool {
     let expected = data::hit(shard, version, number, &serde_json::Value::Null);
     let labelled = hit.fields["version"].as_u64() == Some(version.0);
     labelled && hit.score == expected.score && hit.owner == expected.owner
--- a/crates/history/src/target_changes.rs
+++ b/crates/history/src/target_changes.rs
@@ -14,10 +14,10 @@
 use crate::{layout, operators::Operator};
 
 /// How long a change stays: past the time after which no new work may come.
-const STAY_MS: u64 = 8_000;
+const EXCLUSION_MS: u64 = 8_000;
 
 /// The label by which the selector of searches leaves targets out.
-const HIDDEN: &str = "hidden";
+const HIDDEN_LABEL: &str = "hidden";
 
 impl Operator {
     /// Takes one target out after the other, and takes it in again.
@@ -35,11 +35,11 @@
     }
 
     /// Rolls back now and then, whatever others have just changed.
-    pub async fn roll_back_often(self) {
+    pub async fn roll_back_periodically(self) {
         while !self.run.over.get() {
             self.run.sleep_ms(4_000 + self.random.below(4_000) as u64).await;
             if self.roll_back().await.is_ok() {
-                self.run.record("rolled back", "");
+                self.run.record_fault("rolled back", "");
             }
         }
     }
@@ -51,8 +51,8 @@
             Ok(())
         };
         if self.amend(take, "remove").await {
-            self.run.record("target removed", name);
-            self.run.sleep_ms(STAY_MS).await;
+            self.run.record_fault("target removed", name);
+            self.run.sleep_ms(EXCLUSION_MS).await;
         }
         let Some(spec) = removed.take() else {
             return;
@@ -61,7 +61,7 @@
             document.targets.insert(name.clone(), spec.clone());
             Ok(())
         };
-        self.insist(add, "add").await;
+        self.amend_until_accepted(add, "add").await;
     }
 
     async fn relabel(&self, name: &TargetName) {
@@ -75,44 +75,55 @@
             }
         };
         if self.amend(set("spare"), "label").await {
-            self.run.record("target relabelled", name);
-            self.run.sleep_ms(STAY_MS).await;
+            self.run.record_fault("target relabelled", name);
+            self.run.sleep_ms(EXCLUSION_MS).await;
         }
-        self.insist(set("search"), "label").await;
+        self.amend_until_accepted(set("search"), "label").await;
     }
 
     /// Labels a target, then changes the selector so that it is left out.
     async fn hide(&self, name: &TargetName) {
         let mark = |document: &mut Document| {
             if let Some(target) = document.targets.get_mut(name) {
-                target.labels.insert(HIDDEN.to_owned(), "yes".to_owned());
+                target.labels.insert(HIDDEN_LABEL.to_owned(), "yes".to_owned());
             }
             Ok(())
         };
         self.amend(mark, "label").await;
-        if self.amend(|document| select(document, "role = search, !hidden"), "select").await {
-            self.run.record("selector changed", name);
-            self.run.sleep_ms(STAY_MS).await;
+        if self
+            .amend(|document| set_selector_targets(document, "role = search, !hidden"), "select")
+            .await
+        {
+            self.run.record_fault("selector changed", name);
+            self.run.sleep_ms(EXCLUSION_MS).await;
         }
-        self.insist(|document| select(document, "role = search"), "select").await;
+        self.amend_until_accepted(
+            |document| set_selector_targets(document, "role = search"),
+            "select",
+        )
+        .await;
         let unmark = |document: &mut Document| {
             if let Some(target) = document.targets.get_mut(name) {
-                target.labels.remove(HIDDEN);
+                target.labels.remove(HIDDEN_LABEL);
             }
             Ok(())
         };
-        self.insist(unmark, "label").await;
+        self.amend_until_accepted(unmark, "label").await;
     }
 
     /// Changes what is in force until that is accepted or the run is over.
-    async fn insist(&self, change: impl Fn(&mut Document) -> Result<()>, note: &'static str) {
+    async fn amend_until_accepted(
+        &self,
+        change: impl Fn(&mut Document) -> Result<()>,
+        note: &'static str,
+    ) {
         while !self.amend(&change, note).await && !self.run.over.get() {
             self.run.sleep_ms(200).await;
         }
     }
 }
 
-fn select(document: &mut Document, expression: &str) -> Result<()> {
+fn set_selector_targets(document: &mut Document, expression: &str) -> Result<()> {
     let name = SelectorName::from(layout::SEARCH_SELECTOR);
     let unknown = || Error::UnknownSelector { name: name.to_string() };
     let spec = document.rules.selectors.get_mut(&name).ok_or_else(unknown)?;
--- a/crates/history/tests/answers_checker.rs
+++ b/crates/history/tests/answers_checker.rs
@@ -17,11 +17,11 @@
 use standins::{data, records::RunEnd};
 use yare::parameterized;
 
-use fixture::{HOLD, SEARCH, SECOND, clean, promises, shards, with_answer};
+use fixture::{HOLD, SEARCH, SECOND, change_answer, clean_history, promises, shards};
 
 #[test]
 fn a_clean_history_passes() {
-    let findings = check(&clean(), &Bounds::default());
+    let findings = check(&clean_history(), &Bounds::default());
 
     assert!(findings.violations.is_empty(), "{:?}", findings.violations);
     assert_eq!(findings.counts().len(), Promise::ALL.len());
@@ -30,40 +30,40 @@
 fn hit_of_another_version(history: &mut History) {
     history.layouts.insert(IndexVersion(2), shards());
     let other = data::hits(&shards()[0], IndexVersion(2), r#"{"nonce":1}"#, 1).remove(0);
-    with_answer(history, |answer| answer.hits[0] = other);
+    change_answer(history, |answer| answer.hits[0] = other);
 }
 
-fn hit_of_another_version_with_a_lying_label(history: &mut History) {
+fn hit_of_another_version_with_a_false_label(history: &mut History) {
     let mut other = data::hits(&shards()[0], IndexVersion(2), r#"{"nonce":1}"#, 1).remove(0);
     other.fields["version"] = json!(1);
-    with_answer(history, |answer| answer.hits[0] = other);
+    change_answer(history, |answer| answer.hits[0] = other);
 }
 
-fn unknown_version(history: &mut History) {
-    with_answer(history, |answer| answer.coverage.version = IndexVersion(9));
+fn unpublished_version(history: &mut History) {
+    change_answer(history, |answer| answer.coverage.version = IndexVersion(9));
 }
 
 fn shard_of_another_layout(history: &mut History) {
     let stranger = data::hits(&ShardName::from("r7"), IndexVersion(1), r#"{"nonce":1}"#, 1);
-    with_answer(history, |answer| answer.hits[0] = stranger[0].clone());
+    change_answer(history, |answer| answer.hits[0] = stranger[0].clone());
 }
 
 #[parameterized(
     other_version = { hit_of_another_version },
-    lying_label = { hit_of_another_version_with_a_lying_label },
-    never_published = { unknown_version },
+    false_label = { hit_of_another_version_with_a_false_label },
+    never_published = { unpublished_version },
     other_layout = { shard_of_another_layout },
 )]
-fn a_mixed_snapshot_is_caught(plant: fn(&mut History)) {
-    let mut history = clean();
+fn a_mixed_snapshot_is_caught(corrupt: fn(&mut History)) {
+    let mut history = clean_history();
 
-    plant(&mut history);
+    corrupt(&mut history);
 
     assert!(promises(&history).contains(&Promise::Snapshot));
 }
 
 fn empty_success(history: &mut History) {
-    with_answer(history, |answer| {
+    change_answer(history, |answer| {
         answer.hits.clear();
         answer.coverage.covered = 3;
         answer.coverage.missing.clear();
@@ -71,7 +71,7 @@
 }
 
 fn success_that_covers_nothing(history: &mut History) {
-    with_answer(history, |answer| {
+    change_answer(history, |answer| {
         answer.hits.clear();
         answer.coverage.covered = 0;
         let miss = |shard| Missing { shard, code: 4005, reason: String::new() };
@@ -80,35 +80,35 @@
 }
 
 fn fewer_asked(history: &mut History) {
-    with_answer(history, |answer| {
+    change_answer(history, |answer| {
         answer.coverage.asked = 2;
         answer.coverage.missing.clear();
     });
 }
 
-fn sum_is_wrong(history: &mut History) {
-    with_answer(history, |answer| answer.coverage.covered = 3);
+fn counts_do_not_add_up(history: &mut History) {
+    change_answer(history, |answer| answer.coverage.covered = 3);
 }
 
 fn lost_hit(history: &mut History) {
-    with_answer(history, |answer| {
+    change_answer(history, |answer| {
         answer.hits.remove(1);
     });
 }
 
-fn stranger_is_missing(history: &mut History) {
-    with_answer(history, |answer| answer.coverage.missing[0].shard = ShardName::from("s7"));
+fn missing_shard_is_undeclared(history: &mut History) {
+    change_answer(history, |answer| answer.coverage.missing[0].shard = ShardName::from("s7"));
 }
 
-fn unseen_shard_hides_a_lost_one(history: &mut History) {
-    with_answer(history, |answer| {
+fn unseen_shard_hides_lost_hits(history: &mut History) {
+    change_answer(history, |answer| {
         answer.coverage.missing[0].shard = ShardName::from("rooms/unseen-0");
         answer.hits.retain(|hit| hit.key.starts_with("s0"));
     });
 }
 
-fn doubled_hit(history: &mut History) {
-    with_answer(history, |answer| answer.hits[1] = answer.hits[0].clone());
+fn duplicate_hit(history: &mut History) {
+    change_answer(history, |answer| answer.hits[1] = answer.hits[0].clone());
 }
 
 fn covered_shard_never_ran(history: &mut History) {
@@ -127,28 +127,28 @@
     empty = { empty_success },
     nothing = { success_that_covers_nothing },
     fewer = { fewer_asked },
-    sum = { sum_is_wrong },
+    sum = { counts_do_not_add_up },
     lost = { lost_hit },
-    doubled = { doubled_hit },
-    stranger = { stranger_is_missing },
-    unseen = { unseen_shard_hides_a_lost_one },
+    duplicate = { duplicate_hit },
+    undeclared = { missing_shard_is_undeclared },
+    unseen = { unseen_shard_hides_lost_hits },
     never_ran = { covered_shard_never_ran },
     other_version = { covered_shard_ran_another_version },
     cancelled = { covered_shard_was_cancelled },
 )]
-fn an_untrue_coverage_is_caught(plant: fn(&mut History)) {
-    let mut history = clean();
+fn an_incorrect_coverage_is_caught(corrupt: fn(&mut History)) {
+    let mut history = clean_history();
 
-    plant(&mut history);
+    corrupt(&mut history);
 
     assert!(promises(&history).contains(&Promise::Coverage));
 }
 
 #[test]
-fn a_missing_shard_whose_name_was_never_seen_is_no_fault() {
-    let mut history = clean();
+fn a_missing_shard_with_an_unseen_name_passes() {
+    let mut history = clean_history();
 
-    with_answer(&mut history, |answer| {
+    change_answer(&mut history, |answer| {
         answer.coverage.missing[0].shard = ShardName::from("rooms/unseen-0");
     });
 
@@ -156,8 +156,8 @@
 }
 
 /// A node takes `s3`, declared but not of the snapshot, for missing again and again.
-fn plant_caution(history: &mut History, times: &[u64]) {
-    with_answer(history, |answer| {
+fn count_extra_shard(history: &mut History, times: &[u64]) {
+    change_answer(history, |answer| {
         answer.coverage.asked += 1;
         let shard = ShardName::from("s3");
         answer.coverage.missing.push(Missing { shard, code: 2006, reason: String::new() });
@@ -175,23 +175,23 @@
     for_long = { &[1, 2, 4, 6], true },
     now_and_then = { &[4, 8, 12], false },
 )]
-fn a_shard_counted_out_of_caution_must_not_last(times: &[u64], caught: bool) {
-    let mut history = clean();
+fn a_shard_outside_the_snapshot_may_be_counted_only_briefly(times: &[u64], caught: bool) {
+    let mut history = clean_history();
 
-    plant_caution(&mut history, times);
+    count_extra_shard(&mut history, times);
 
     assert_eq!(promises(&history).contains(&Promise::Coverage), caught);
 }
 
-fn crossed_answer(history: &mut History) {
-    with_answer(history, |answer| *answer = fixture::answer(77));
+fn answer_of_another_request(history: &mut History) {
+    change_answer(history, |answer| *answer = fixture::answer(77));
 }
 
-fn torn_answer(history: &mut History) {
+fn truncated_answer(history: &mut History) {
     history.attempts[SEARCH].outcome = Outcome::Unreadable("EOF".to_owned());
 }
 
-fn crossed_result(history: &mut History) {
+fn result_of_another_request(history: &mut History) {
     let other = json!({ "key": "room", "nonce": 77 });
     history.attempts[HOLD].outcome = Outcome::Done(other);
 }
@@ -201,20 +201,20 @@
 }
 
 fn withheld_private_field(history: &mut History) {
-    with_answer(history, |answer| answer.hits.iter_mut().for_each(|hit| hit.private = None));
+    change_answer(history, |answer| answer.hits.iter_mut().for_each(|hit| hit.private = None));
 }
 
 #[parameterized(
-    crossed_hits = { crossed_answer },
-    torn_reply = { torn_answer },
-    crossed_outcome = { crossed_result },
+    hits_of_another = { answer_of_another_request },
+    truncated_reply = { truncated_answer },
+    result_of_another = { result_of_another_request },
     leaked = { leaked_private_field },
     withheld = { withheld_private_field },
 )]
-fn an_answer_that_is_not_the_callers_own_is_caught(plant: fn(&mut History)) {
-    let mut history = clean();
+fn an_answer_that_is_not_the_callers_own_is_caught(corrupt: fn(&mut History)) {
+    let mut history = clean_history();
 
-    plant(&mut history);
+    corrupt(&mut history);
 
     assert!(promises(&history).contains(&Promise::Answers));
 }
--- a/crates/history/tests/promises_checker.rs
+++ b/crates/history/tests/promises_checker.rs
@@ -7,8 +7,8 @@
 
 use history::{
     checker::{Bounds, Promise},
-    configuration::spread_times,
-    record::{Disturbance, FaultMade, History, Outcome, Reading, Request},
+    configuration::propagation_times,
+    record::{Disturbance, History, InjectedFault, Outcome, Reading, Request},
 };
 use kumquatnotch_core::ids::{ConfigVersion, NodeName, TargetName};
 use serde_json::json;
@@ -16,15 +16,16 @@
 use yare::parameterized;
 
 use fixture::{
-    LIMIT, REFUSED, SECOND, accepted, attempt, clean, exclusive, life, promises, run, with_answer,
+    LIMIT, REFUSED, SECOND, accepted, attempt, change_answer, clean_history, exclusive, instance,
+    promises, run,
 };
 
 #[parameterized(
     before = { 20 * SECOND + 5_000 },
     after = { 21 * SECOND },
 )]
-fn a_false_not_run_is_caught(start_us: u64) {
-    let mut history = clean();
+fn a_request_refused_as_not_run_that_ran_is_caught(start_us: u64) {
+    let mut history = clean_history();
 
     history.runs.push(run(3, "h0", None, start_us));
 
@@ -33,7 +34,7 @@
 
 #[test]
 fn a_refused_request_may_run_when_it_is_sent_again() {
-    let mut history = clean();
+    let mut history = clean_history();
     let done = json!({ "key": "room", "nonce": 3 });
     let mut again = attempt(3, exclusive(), Outcome::Done(done));
     (again.sent_us, again.ended_us) = (22 * SECOND, 23 * SECOND);
@@ -46,7 +47,7 @@
 
 #[test]
 fn a_search_that_ran_before_may_be_refused_when_it_is_sent_again() {
-    let mut history = clean();
+    let mut history = clean_history();
     let search = Request::Search { limit: LIMIT };
     let mut first = attempt(3, search.clone(), Outcome::Broken);
     (first.sent_us, first.ended_us) = (18 * SECOND, 19 * SECOND);
@@ -62,7 +63,7 @@
 fn a_refusal_after_the_request_ran_is_caught_though_it_was_sent_again() {
     // The first try runs and its reply is lost; the second is refused as "not
     // run". The caller books elsewhere and holds two rooms.
-    let mut history = clean();
+    let mut history = clean_history();
     let mut first = attempt(3, exclusive(), Outcome::Broken);
     (first.sent_us, first.ended_us) = (18 * SECOND, 19 * SECOND);
     history.attempts.push(first);
@@ -90,10 +91,10 @@
     never = { done_but_never_ran },
     outcomes = { two_outcomes },
 )]
-fn a_repeated_exclusive_request_is_caught(plant: fn(&mut History)) {
-    let mut history = clean();
+fn a_repeated_exclusive_request_is_caught(corrupt: fn(&mut History)) {
+    let mut history = clean_history();
 
-    plant(&mut history);
+    corrupt(&mut history);
 
     assert_eq!(promises(&history), [Promise::Exclusives]);
 }
@@ -105,7 +106,7 @@
     taken_back = { 41, false, false },
 )]
 fn late_work_of_a_leaving_target_is_caught(second: u64, refused: bool, caught: bool) {
-    let mut history = clean();
+    let mut history = clean_history();
     let mut late = run(99, "s9", Some(1), second * SECOND);
     late.target = TargetName::from("s9-a");
 
@@ -130,7 +131,7 @@
     for_good = { 40, &[], true },
 )]
 fn late_work_of_a_target_taken_out_is_caught(second: u64, later: &[(u64, u64)], caught: bool) {
-    let mut history = clean();
+    let mut history = clean_history();
     let all = Some(["s0-a", "s1-a", "s9-b"].as_slice());
     history.accepted =
         vec![accepted(1, 1, all), accepted(2, 10, Some(["s0-a", "s1-a"].as_slice()))];
@@ -150,13 +151,16 @@
     few = { &[1, 2, 3, 4], None, false },
     many = { &[1, 2, 3, 4, 5], None, true },
     after_expiry = { &[1, 2, 3, 4, 602], None, false },
-    beside_a_target = { &[1, 2, 3, 4, 5], Some("target crashed"), true },
-    beside_a_frozen_node = { &[1, 2, 3, 4, 5], Some("node paused"), false },
+    with_a_target_fault = { &[1, 2, 3, 4, 5], Some("target crashed"), true },
+    with_a_frozen_node = { &[1, 2, 3, 4, 5], Some("node paused"), false },
 )]
 fn too_many_crashes_by_one_request_are_caught(seconds: &[u64], fault: Option<&str>, caught: bool) {
-    let mut history = clean();
-    let made =
-        |fault: &str| FaultMade { at_us: 3 * SECOND, fault: fault.to_owned(), whom: String::new() };
+    let mut history = clean_history();
+    let made = |fault: &str| InjectedFault {
+        at_us: 3 * SECOND,
+        fault: fault.to_owned(),
+        whom: String::new(),
+    };
     history.faults.extend(fault.map(made));
     for second in seconds {
         let mut lost = run(99, "s0", Some(1), second * SECOND);
@@ -174,8 +178,8 @@
 }
 
 #[test]
-fn an_outage_puts_off_the_order_to_leave() {
-    let mut history = clean();
+fn an_outage_extends_the_deadline_to_leave() {
+    let mut history = clean_history();
     let mut late = run(99, "s9", Some(1), 16 * SECOND);
     late.target = TargetName::from("s9-a");
     history.runs.push(late);
@@ -193,9 +197,9 @@
     not_connected = { 31, Outcome::NotConnected, false },
 )]
 fn a_request_cut_by_a_shutdown_is_caught(sent: u64, outcome: Outcome, caught: bool) {
-    let mut history = clean();
+    let mut history = clean_history();
     let mut cut = attempt(4, Request::Search { limit: LIMIT }, outcome);
-    cut.life = life("n1");
+    cut.life = instance("n1");
     (cut.sent_us, cut.ended_us) = (sent * SECOND, sent.max(31) * SECOND + 10);
 
     history.attempts.push(cut);
@@ -208,7 +212,7 @@
     failed = { Some(32 * SECOND), false },
 )]
 fn a_shutdown_that_does_not_end_well_is_caught(exited_us: Option<u64>, success: bool) {
-    let mut history = clean();
+    let mut history = clean_history();
 
     history.shutdowns[0].exited_us = exited_us;
     history.shutdowns[0].success = success;
@@ -218,19 +222,19 @@
 
 fn reading(node: &str, second: u64, version: u64) -> Reading {
     Reading {
-        life: life(node),
+        life: instance(node),
         sent_us: second * SECOND,
         ended_us: second * SECOND + 1_000,
         version: ConfigVersion(version),
     }
 }
 
-fn reverted(history: &mut History) {
+fn node_goes_back(history: &mut History) {
     history.readings.push(reading("n1", 12, 2));
     history.readings.push(reading("n1", 13, 1));
 }
 
-fn late(history: &mut History) {
+fn node_is_behind(history: &mut History) {
     history.readings.push(reading("n2", 16, 1));
 }
 
@@ -241,7 +245,7 @@
 }
 
 fn answer_with_an_old_version(history: &mut History) {
-    with_answer(history, |answer| answer.config = ConfigVersion(1));
+    change_answer(history, |answer| answer.config = ConfigVersion(1));
 }
 
 fn accepted_twice(history: &mut History) {
@@ -253,17 +257,17 @@
 }
 
 #[parameterized(
-    went_back = { reverted },
-    behind = { late },
+    went_back = { node_goes_back },
+    behind = { node_is_behind },
     fresh = { fresh_node_with_an_old_version },
     answer = { answer_with_an_old_version },
     two_writers = { accepted_twice },
     lost = { accepted_and_lost },
 )]
-fn a_configuration_that_is_not_in_force_is_caught(plant: fn(&mut History)) {
-    let mut history = clean();
+fn a_configuration_that_is_not_in_force_is_caught(corrupt: fn(&mut History)) {
+    let mut history = clean_history();
 
-    plant(&mut history);
+    corrupt(&mut history);
 
     let promises = promises(&history);
     assert!(!promises.is_empty());
@@ -275,9 +279,9 @@
     own = { Some("n2"), true },
     of_another = { Some("n3"), false },
 )]
-fn a_disturbance_puts_off_a_configuration(node: Option<&str>, excused: bool) {
-    let mut history = clean();
-    late(&mut history);
+fn a_disturbance_extends_the_deadline_of_a_configuration(node: Option<&str>, excused: bool) {
+    let mut history = clean_history();
+    node_is_behind(&mut history);
 
     history.disturbances.push(outage(node, 11, 14));
 
@@ -285,11 +289,11 @@
 }
 
 #[test]
-fn the_spread_of_an_undisturbed_change_is_measured() {
-    let mut history = clean();
+fn the_propagation_time_of_an_undisturbed_change_is_reported() {
+    let mut history = clean_history();
     history.disturbances.push(outage(None, 1, 2));
 
-    let times = spread_times(&history, &Bounds::default());
+    let times = propagation_times(&history, &Bounds::default());
 
     assert_eq!(times, [SECOND]);
 }
