--- a/crates/history/src/answers.rs
+++ b/crates/history/src/answers.rs
@@ -1,7 +1,7 @@
-//! A caller receives the whole answer to its own request.
+//! Checks that a caller receives the complete answer to its own request.
 //!
-//! Each query carries a nonce that targets put into hits; private fields must
-//! be there for their owner and for nobody else.
+//! Each query carries a nonce, which targets copy into their hits. Private fields
+//! must be present for their owner and absent for every other tenant.
 
 use kumquatnotch_core::{answer::Answer, query::Hit};
 use standins::data;
@@ -12,7 +12,8 @@
     snapshot::shard_and_number,
 };
 
-/// Looks for answers that are torn, crossed, or show what is a rival's.
+/// Looks for answers that are unreadable, belong to another request, or expose private fields
+/// of another tenant.
 pub fn check(history: &History, findings: &mut Findings) {
     for attempt in &history.attempts {
         if let Some(fault) = fault(attempt) {
@@ -23,17 +24,17 @@
 
 fn fault(attempt: &Attempt) -> Option<String> {
     match (&attempt.request, &attempt.outcome) {
-        (_, Outcome::Unreadable(detail)) => Some(format!("an unreadable reply: {detail}")),
+        (_, Outcome::Unreadable(detail)) => Some(format!("unreadable reply: {detail}")),
         (Request::Search { .. }, Outcome::Answer(answer)) => {
             answer.hits.iter().find_map(|hit| hit_fault(attempt, answer, hit))
         }
         (Request::Exclusive { key, .. }, Outcome::Done(result)) => {
             let own = result["nonce"].as_u64() == Some(attempt.nonce) && result["key"] == *key;
-            (!own).then(|| format!("the result of another request: {result}"))
+            (!own).then(|| format!("result of another request: {result}"))
         }
         (Request::Search { .. }, Outcome::Done(_))
         | (Request::Exclusive { .. }, Outcome::Answer(_)) => {
-            Some("the answer to another kind of request".to_owned())
+            Some("answer to another kind of request".to_owned())
         }
         _ => None,
     }
@@ -41,18 +42,20 @@
 
 fn hit_fault(attempt: &Attempt, answer: &Answer, hit: &Hit) -> Option<String> {
     if hit.fields["nonce"].as_u64() != Some(attempt.nonce) {
-        return Some(format!("hit {} is of request {}", hit.key, hit.fields["nonce"]));
+        return Some(format!("hit {} belongs to request {}", hit.key, hit.fields["nonce"]));
     }
     let is_owner = hit.owner.as_ref() == Some(&attempt.tenant);
     match (&hit.private, is_owner) {
-        (Some(_), false) => Some(format!("hit {} shows what is a rival's", hit.key)),
-        (None, true) => Some(format!("hit {} lacks what is the caller's own", hit.key)),
+        (Some(_), false) => {
+            Some(format!("hit {} exposes private fields of another tenant", hit.key))
+        }
+        (None, true) => Some(format!("hit {} lacks the caller's own private fields", hit.key)),
         (None, false) => None,
         (Some(private), true) => {
             let (shard, number) = shard_and_number(hit)?;
             let own = data::hit(&shard, answer.coverage.version, number, &hit.fields["nonce"]);
             (own.private.as_ref() != Some(private))
-                .then(|| format!("hit {} shows another's private fields", hit.key))
+                .then(|| format!("hit {} has the private fields of another hit", hit.key))
         }
     }
 }
--- a/crates/history/src/callers.rs
+++ b/crates/history/src/callers.rs
@@ -1,5 +1,5 @@
-//! Concurrent callers. Each asks which address to use, keeps that for as long
-//! as it was told, connects there, and records what it asked and got.
+//! Concurrent callers. Each caller requests advice on which address to use, follows it
+//! for the period of its validity, and records its requests and their outcomes.
 
 use std::{
     collections::BTreeMap,
@@ -27,36 +27,36 @@
     run_context::RunContext,
 };
 
-/// How long a caller waits beyond the deadline of its request.
+/// Time for which a caller waits for a response: the deadline of the request and a margin.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 1_500);
 
-/// How long a caller waits for advice.
+/// Timeout of a request for advice.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often a request is sent at most, and the pause between.
+/// Maximum number of attempts for a request, and the delay between them.
 const MAX_ATTEMPTS: usize = 6;
 const RETRY_DELAY_MS: u64 = 150;
 
-/// The shares of requests that are not plain searches.
+/// Shares of requests that are not plain searches.
 const EXCLUSIVE_SHARE: f64 = 0.2;
 const POISON_SHARE: f64 = 0.002;
 const DUPLICATE_SHARE: f64 = 0.1;
 
-/// How many searches a burst has.
+/// Number of searches in a burst.
 const BURST_SIZE: usize = 12;
 
-/// The longest time a caller thinks between requests, in milliseconds.
+/// Upper limit of the random think time between two requests, in milliseconds.
 const MAX_THINK_TIME_MS: usize = 40;
 
-/// Numbers of errors after which the same ticket is sent again.
+/// Error codes after which the request is sent again under the same ticket.
 const STILL_RUNNING: u16 = 3002;
 const ISSUER_UNREACHABLE: u16 = 3003;
 
-/// Numbers of refusals after which another address is used.
+/// Codes of refusals after which the next advised address is used.
 const LEAVING: u16 = 2003;
 const NOT_READY: u16 = 2004;
 
-/// One caller.
+/// A simulated caller of one tenant.
 pub struct Caller {
     run: Rc<RunContext>,
     random: Random,
@@ -68,7 +68,7 @@
     clients: BTreeMap<SocketAddr, Rc<Client>>,
 }
 
-/// A request that is ready to be sent, again and again if need be.
+/// A request ready to be sent, once or repeatedly.
 #[derive(Clone)]
 struct PreparedRequest {
     nonce: u64,
@@ -88,7 +88,7 @@
 }
 
 impl Caller {
-    /// The caller of that number.
+    /// Creates caller `number`, which determines its tenant and data centre.
     pub fn new(run: &Rc<RunContext>, number: usize) -> Caller {
         let tenant = OWNERS[number % OWNERS.len()];
         Caller {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Asks until the run is over.
+    /// Sends requests until the run is over.
     pub async fn run_until_over(mut self) {
         while !self.run.over.get() {
             let share = self.random.fraction();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Sends many searches at once to one node, each on a connection of its own.
+    /// Sends many concurrent searches to one node, each on its own connection.
     pub async fn burst(self, entry: SocketAddr) {
         let clients = (0..BURST_SIZE).map(|_| Client::new(entry, RESPONSE_TIMEOUT));
         let clients: Vec<(Client, PreparedRequest)> =
@@ -140,7 +140,8 @@
         PreparedRequest { nonce, path: "/v1/search", body, request: Request::Search { limit } }
     }
 
-    /// A request that crashes the targets, which its caller sends again.
+    /// Sends a request that crashes every target running it, and repeats it like a caller
+    /// that retries.
     async fn send_poison(&mut self) {
         self.run.record_fault("poison request", "");
         let poison = self.prepare_search(CRASH_MARKER);
@@ -150,7 +151,8 @@
         }
     }
 
-    /// A non-idempotent request, sent again under its ticket until its outcome is known.
+    /// Sends a non-idempotent request, and repeats it under the same ticket until its outcome
+    /// is known or the attempts are used up.
     async fn send_exclusive(&mut self) {
         let Some(ticket) = self.request_ticket().await else {
             return;
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Sends the same to two nodes at once, as an impatient caller does.
+    /// Sends the same request to two nodes concurrently, like a caller that retries before its
+    /// timeout.
     async fn send_twice(&mut self, prepared: &PreparedRequest) {
         self.run.record_fault("twin request", "");
         let Some(first) = self.client().await else {
@@ -214,7 +217,7 @@
         let outcome = self.send_via(&client, prepared).await;
         match &outcome {
             Outcome::NotConnected | Outcome::Broken | Outcome::TimedOut => self.advice.clear(),
-            // The node that was named doesn't serve; the next one named may.
+            // The advised node does not serve requests; the next advised node may.
             Outcome::Failed(failure) if matches!(failure.code, LEAVING | NOT_READY) => {
                 self.advice.remove(0);
             }
@@ -251,7 +254,8 @@
         outcome
     }
 
-    /// The client of the address that this caller was told to use.
+    /// Returns the client of the advised address; requests new advice if there is none or it has
+    /// expired.
     async fn client(&mut self) -> Option<Rc<Client>> {
         if self.advice.is_empty() || Instant::now() >= self.valid_until {
             self.refresh_advice().await;
@@ -265,7 +269,7 @@
         self.clients.entry(address).or_insert_with(new).clone()
     }
 
-    /// Asks the nodes in random order which address to use.
+    /// Requests advice from the nodes in random order until one of them gives an address.
     async fn refresh_advice(&mut self) {
         self.advice.clear();
         let mut entries: Vec<SocketAddr> =
@@ -287,7 +291,7 @@
     }
 }
 
-/// Whether nothing is gained by sending the same ticket again.
+/// Whether the outcome is final, so that a retry under the same ticket would not change it.
 fn is_settled(outcome: &Outcome) -> bool {
     match outcome {
         Outcome::Answer(_) | Outcome::Done(_) | Outcome::Unreadable(_) => true,
--- a/crates/history/src/checker.rs
+++ b/crates/history/src/checker.rs
@@ -1,4 +1,4 @@
-//! Judges a recorded run by the eight promises of the brief, and one bound.
+//! Checks a recorded run against the eight required promises and one internal bound.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -9,32 +9,32 @@
     shutdown, snapshot,
 };
 
-/// The promises, in the order of the brief, and a bound of the tier.
+/// The promises, in the order of the requirements, and one internal bound of the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Promise {
     /// Every answer comes from one snapshot.
     Snapshot,
-    /// Each answer states truly what it covers.
+    /// Each answer reports its coverage correctly.
     Coverage,
-    /// A caller gets the whole answer to its own request.
+    /// A caller receives the complete answer to its own request.
     Answers,
-    /// A refusal that says "not run" is true.
+    /// A request that was refused as "not run" did not run.
     Refusals,
     /// A non-idempotent request runs at most once.
     Exclusives,
-    /// A leaving target gets no new work after a few seconds.
+    /// A leaving target receives no new work after a few seconds.
     Leaving,
-    /// A graceful shutdown cuts no request in flight.
+    /// A graceful shutdown interrupts no request in flight.
     Shutdown,
     /// An accepted configuration is in force everywhere within seconds and stays.
     Configuration,
-    /// A request that crashes targets is contained after few of them.
+    /// A request that crashes targets is contained after a small number of crashes.
     Containment,
 }
 
 impl Promise {
-    /// Every promise.
+    /// All promises, in the order of declaration.
     pub const ALL: [Promise; 9] = [
         Promise::Snapshot,
         Promise::Coverage,
@@ -48,12 +48,12 @@
     ];
 }
 
-/// A breach of a promise.
+/// A violation of a promise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The promise.
+    /// The violated promise.
     pub promise: Promise,
-    /// What was seen.
+    /// Description of what was observed.
     pub detail: String,
 }
 
@@ -63,19 +63,19 @@
     }
 }
 
-/// The times that the brief leaves open ("a few seconds", "within seconds").
+/// Concrete limits where the requirements say "a few seconds" or "within seconds".
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// After which a leaving target gets no new work, in microseconds.
+    /// Time after which a leaving target must receive no new work, in microseconds.
     pub leaving_us: u64,
-    /// After which an accepted configuration is in force everywhere, in microseconds.
+    /// Time after which an accepted configuration must be in force everywhere, in microseconds.
     pub config_us: u64,
-    /// For how long a node may take a declared shard of which it has heard nothing
-    /// for one of the snapshot, in microseconds.
+    /// Longest time for which a node may count as missing a declared shard that it has no
+    /// report of and that is not part of the snapshot, in microseconds.
     pub extra_shard_us: u64,
-    /// How many targets a request may crash while it is contained.
+    /// Maximum number of targets that a request may crash while it is contained.
     pub crashes: usize,
-    /// How long it is contained, in microseconds.
+    /// Duration of the containment, in microseconds.
     pub contained_us: u64,
 }
 
@@ -91,20 +91,20 @@
     }
 }
 
-/// The violations found so far.
+/// Violations found so far.
 #[derive(Debug, Default)]
 pub struct Findings {
-    /// All of them.
+    /// All violations, in the order in which they were found.
     pub violations: Vec<Violation>,
 }
 
 impl Findings {
-    /// Adds one.
+    /// Adds a violation.
     pub fn add(&mut self, promise: Promise, detail: impl Into<String>) {
         self.violations.push(Violation { promise, detail: detail.into() });
     }
 
-    /// How many there are of each promise.
+    /// Returns the number of violations of each promise, including zeros.
     pub fn counts(&self) -> BTreeMap<Promise, usize> {
         let mut counts: BTreeMap<Promise, usize> =
             Promise::ALL.into_iter().map(|promise| (promise, 0)).collect();
@@ -115,7 +115,7 @@
     }
 }
 
-/// Checks every promise.
+/// Checks `history` against every promise.
 pub fn check(history: &History, bounds: &Bounds) -> Findings {
     let mut findings = Findings::default();
     snapshot::check(history, &mut findings);
--- a/crates/history/src/cluster.rs
+++ b/crates/history/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: nodes, targets, the platform, and the links between.
+//! The processes of a run: nodes, targets, the platform, and the relay for their links.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,37 +31,37 @@
     record::NodeInstance,
 };
 
-/// How long callers may keep the addresses they were given.
+/// Time for which callers may use advised addresses.
 pub const ADVICE_VALIDITY: Duration = Duration::from_secs(2);
 
-/// How long a stand-in may take for a change of faults.
+/// Timeout for a change of faults at a stand-in.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Links for each node: from its peers, and to the platform.
+/// Number of links of each node: one from its peers, one to the platform.
 const LINKS_PER_NODE: usize = 2;
 
 /// A node of a run.
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     pub name: NodeName,
-    /// Where callers reach it.
+    /// Address for callers.
     pub entry: SocketAddr,
-    /// The link by which peers reach it.
+    /// Index of the link from its peers.
     pub peer_link: usize,
-    /// The link by which it reaches the platform.
+    /// Index of the link to the platform.
     pub platform_link: usize,
-    /// The number of its start.
+    /// Number of restarts so far.
     pub start: Cell<u32>,
-    /// Whether a fault has it in its hands.
+    /// Whether a fault is in progress on this node; prevents overlapping faults.
     pub has_fault: Cell<bool>,
-    /// Its process; `None` while it is down.
+    /// The process; `None` while the node is down.
     pub process: RefCell<Option<Process>>,
     settings: PathBuf,
     peer: SocketAddr,
 }
 
 impl Node {
-    /// The life it is in.
+    /// Identifies the current process of the node.
     pub fn instance(&self) -> NodeInstance {
         NodeInstance { node: self.name.clone(), start: self.start.get() }
     }
@@ -69,11 +69,11 @@
 
 /// The processes of a run.
 pub struct Cluster {
-    /// The nodes.
+    /// All nodes, running or not.
     pub nodes: Vec<Node>,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Where the targets listen.
+    /// Addresses of the targets and of their control interface.
     pub fleet: FleetPorts,
     folder: PathBuf,
     relay: RelayPorts,
@@ -86,7 +86,7 @@
 }
 
 impl Cluster {
-    /// Starts the stand-ins and `count` nodes; their files go into `folder`.
+    /// Starts the stand-ins and `count` nodes, with settings and logs in `folder`.
     pub fn start(count: usize, seed: u64, folder: &Path) -> io::Result<Cluster> {
         fs::create_dir_all(folder)?;
         let log = folder.join("standins.log");
@@ -132,7 +132,7 @@
         Ok(cluster)
     }
 
-    /// The node that callers reach at `entry`.
+    /// Returns the node that listens for callers at `entry`.
     pub fn node_at(&self, entry: SocketAddr) -> Option<&Node> {
         self.nodes.iter().find(|node| node.entry == entry)
     }
@@ -147,14 +147,14 @@
         Ok(())
     }
 
-    /// Starts a node that was down, in another life.
+    /// Starts a node that was down, as a new instance.
     pub fn relaunch(&self, number: usize) -> io::Result<()> {
         let start = &self.nodes[number].start;
         start.set(start.get() + 1);
         self.launch(number)
     }
 
-    /// Tells the platform which VMs there are.
+    /// Sets the list of VMs at the platform; marks the VM of node `leaving` as leaving.
     pub async fn set_vm_list(&self, leaving: Option<usize>) -> io::Result<()> {
         let vm = |(number, node): (usize, &Node)| Vm {
             peer: self.relay.links[node.peer_link],
@@ -165,17 +165,17 @@
         control(self.platform, "/standin/vms", &vms).await
     }
 
-    /// Changes faults of the platform.
+    /// Changes the injected faults of the platform.
     pub async fn change_platform(&self, change: &StoreFaultChange) -> io::Result<()> {
         control(self.platform, "/standin/faults", change).await
     }
 
-    /// Changes faults of targets.
+    /// Changes the injected faults of targets.
     pub async fn change_targets(&self, change: &FaultChange) -> io::Result<()> {
         control(self.fleet.control, "/standin/faults", change).await
     }
 
-    /// Changes links.
+    /// Changes the injected faults of links.
     pub async fn change_links(&self, change: &LinkChange) -> io::Result<()> {
         control(self.relay.control, "/standin/faults", change).await
     }
@@ -211,6 +211,8 @@
     let answer = Client::new(address, CONTROL_TIMEOUT).post(path, body).await?;
     match answer.status {
         204 => Ok(()),
-        status => Err(io::Error::other(format!("{path} gave {status}"))),
+        status => {
+            Err(io::Error::other(format!("{path} answered with status {status}, expected 204")))
+        }
     }
 }
--- a/crates/history/src/configuration.rs
+++ b/crates/history/src/configuration.rs
@@ -1,9 +1,9 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Checks that an accepted configuration is in force everywhere within seconds and never reverts.
 //!
-//! Readings are what nodes say of themselves and the versions that answers name.
-//! Outages of the platform, and the stops of the node itself, put the time off:
-//! news can't spread then. A node that starts has no such excuse: it must not
-//! serve before it knows what is in force.
+//! Readings are the versions that nodes report for themselves and those stated in
+//! answers. Outages of the platform, and pauses of the node itself, extend the
+//! deadline, as updates cannot propagate then. A start of the node does not: a node
+//! must not serve before it knows the version in force.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     record::{Accepted, History, NodeInstance, Reading},
 };
 
-/// Looks for nodes that are behind or go back, and for accepted changes lost.
+/// Looks for nodes that are behind or go back, and for accepted changes that were lost.
 pub fn check(history: &History, bounds: &Bounds, findings: &mut Findings) {
     let readings = readings(history);
     check_accepted(history, findings);
@@ -22,7 +22,7 @@
     check_propagation(history, &readings, bounds, findings);
 }
 
-/// The readings of each life, in the order in which they began.
+/// Returns the readings of all node instances, ordered by their begin.
 fn readings(history: &History) -> Vec<Reading> {
     let from_answers = history.answers().map(|(attempt, _, answer)| Reading {
         life: attempt.life.clone(),
@@ -40,16 +40,17 @@
         history.accepted.iter().map(|accepted| accepted.version).collect();
     versions.sort();
     for pair in versions.windows(2).filter(|pair| pair[0] == pair[1]) {
-        let detail = format!("version {} was accepted from two operators", pair[0]);
+        let detail = format!("version {} was accepted for two writes", pair[0]);
         findings.add(Promise::Configuration, detail);
     }
     if let Some(newest) = versions.last().filter(|newest| **newest > history.last) {
-        let detail = format!("version {newest} was accepted, but {} is stored", history.last);
+        let detail =
+            format!("version {newest} was accepted, but the stored version is {}", history.last);
         findings.add(Promise::Configuration, detail);
     }
 }
 
-/// A reading that began after another of the same life was there must not be older.
+/// A reading must not be older than one of the same instance that ended before it began.
 fn check_order(readings: &[Reading], findings: &mut Findings) {
     let mut by_instance: BTreeMap<&NodeInstance, Vec<&Reading>> = BTreeMap::new();
     for reading in readings {
@@ -73,6 +74,7 @@
     }
 }
 
+/// Looks for readings that are older than a version whose deadline had passed.
 fn check_propagation(
     history: &History,
     readings: &[Reading],
@@ -95,6 +97,8 @@
     }
 }
 
+/// Returns the time by which the node of `reading` must have the accepted version. Disturbances of
+/// the platform or of this node extend it.
 fn deadline(accepted: &Accepted, reading: &Reading, history: &History, bounds: &Bounds) -> u64 {
     let mut deadline = accepted.at_us + bounds.config_us;
     for disturbance in &history.disturbances {
@@ -106,10 +110,10 @@
     deadline
 }
 
-/// How long each accepted version took to be read on every node, in microseconds;
-/// only of those that no disturbance put off.
+/// Returns the time from the acceptance of each version until every node reports it, in
+/// microseconds. Versions whose propagation overlapped with a disturbance are left out.
 ///
-/// Readings are taken at intervals, so this is too long by up to one of them.
+/// Readings are taken at intervals, so each time is too long by up to one interval.
 pub fn propagation_times(history: &History, bounds: &Bounds) -> Vec<u64> {
     let readings = readings(history);
     let is_undisturbed = |accepted: &&Accepted| {
--- a/crates/history/src/containment.rs
+++ b/crates/history/src/containment.rs
@@ -1,10 +1,11 @@
-//! A request that crashes each target which runs it crashes few of them.
+//! Checks that a request that crashes every target running it crashes only a few of them.
 //!
-//! This is none of the brief's promises but a bound of the tier. It counts from a
-//! first crash for as long as the mark lasts that keeps the request away.
+//! This is not one of the required promises but an internal bound of the tier. It
+//! covers the time from the first crash until the mark that blocks the request expires.
 //!
-//! Nodes that are killed, stopped or cut off at that time are an excuse: the one
-//! that knows may be frozen before its mark has spread. The report counts these too.
+//! Crashes are not counted as a violation if nodes were killed, stopped or cut off
+//! at that time, as the node that holds the mark may be frozen before the mark has
+//! spread. The report includes these crashes.
 
 use std::collections::BTreeMap;
 
@@ -16,21 +17,21 @@
     record::History,
 };
 
-/// How long faults of nodes last.
+/// Duration of the effect of a node fault.
 const FAULT_DURATION_US: u64 = 3_000_000;
 
-/// Looks for requests that crashed too many targets while they were contained.
+/// Looks for requests that crashed more targets than allowed during their containment.
 pub fn check(history: &History, bounds: &Bounds, findings: &mut Findings) {
     for (nonce, times) in crashes(history) {
         let most = max_in_window(&times, bounds.contained_us);
         if most > bounds.crashes && !is_disturbed(history, &times) {
-            let detail = format!("{nonce:x} crashed {most} targets while it was contained");
+            let detail = format!("{nonce:x} crashed {most} targets within its containment");
             findings.add(Promise::Containment, detail);
         }
     }
 }
 
-/// Whether nodes or the links between them had a fault shortly before or meanwhile.
+/// Whether a fault of nodes or of their links occurred during the crashes or shortly before.
 fn is_disturbed(history: &History, times: &[u64]) -> bool {
     let (Some(first), Some(last)) = (times.first(), times.last()) else {
         return false;
@@ -40,7 +41,7 @@
     history.faults.iter().any(|made| of_nodes(&made.fault) && span.contains(&made.at_us))
 }
 
-/// When each request with the marker crashed targets, in order.
+/// Returns the sorted crash times of each request that contains the marker, by nonce.
 pub fn crashes(history: &History) -> BTreeMap<u64, Vec<u64>> {
     let mut crashes: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
     let lost = history.runs.iter().filter(|run| run.end == RunEnd::Lost);
@@ -52,7 +53,7 @@
     crashes
 }
 
-/// The most of `times`, which are sorted, that lie within a `span`.
+/// Returns the largest number of `times` (sorted) within any window of length `span`.
 pub fn max_in_window(times: &[u64], span: u64) -> usize {
     let within =
         |first: &u64| times.iter().filter(|at| (*first..first + span).contains(at)).count();
--- a/crates/history/src/coverage.rs
+++ b/crates/history/src/coverage.rs
@@ -1,19 +1,19 @@
-//! Each answer states truly which shards it covers.
+//! Checks that each answer reports its coverage correctly.
 //!
-//! Asked, covered and missing must add up to the layout of the snapshot; every
-//! covered shard must have run this very request to its end; and the hits must
-//! be the best of all covered shards, no less. A lost query that comes back as
-//! an empty success fails all three.
+//! Asked, covered and missing shards must add up to the layout of the snapshot;
+//! every covered shard must have completed this very request; and the hits must be
+//! the best of all covered shards. A lost query that is returned as an empty
+//! success fails all three checks.
 //!
-//! A tier that knows how many shards there are, but has seen no report of some,
-//! can't name those. It may give them made-up names ([`UNSEEN`]); then any of
-//! the shards that ran the request may be the covered ones.
+//! A tier that knows the number of shards, but has no report of some, cannot name
+//! these. It may list them under placeholder names ([`UNSEEN`]); any of the shards
+//! that ran the request may then be the covered ones.
 //!
-//! A node that has just started can't tell whether a declared shard whose
-//! targets are all down belongs to the snapshot: after a repartitioning it may
-//! not. To count it as missing is then the truthful choice, as leaving it out
-//! could make a thin answer look whole. But it must not last: targets that are
-//! up tell soon, and other nodes know.
+//! A node that has just started cannot know whether a declared shard whose targets
+//! are all down belongs to the snapshot; after a repartitioning it may not. The node
+//! then counts the shard as missing, since leaving it out could make a partial answer
+//! look complete. This is allowed only for a short time, as running targets report
+//! soon and other nodes know the layout.
 
 use std::collections::BTreeMap;
 
@@ -28,13 +28,14 @@
     record::{History, NodeInstance},
 };
 
-/// What the name of a missing shard holds if the tier has never seen its name.
+/// Substring of the placeholder name of a missing shard whose real name the tier has not seen.
 const UNSEEN: &str = "/unseen-";
 
-/// Answers this far apart, in microseconds, are not of one spell of caution.
+/// Largest gap between two answers that count as one period of counting the same extra shard, in
+/// microseconds.
 const EXTRA_SHARD_GAP_US: u64 = 2_000_000;
 
-/// Looks for answers that cover less than they say.
+/// Looks for answers whose coverage is wrong.
 pub fn check(history: &History, bounds: &Bounds, findings: &mut Findings) {
     let runs = history.runs_by_nonce();
     for (attempt, limit, answer) in history.answers() {
@@ -56,7 +57,7 @@
     check_extra_shards(history, bounds, findings);
 }
 
-/// Looks for shards that a node took for ones of the snapshot for too long.
+/// Looks for shards outside the snapshot that a node counted as missing for too long.
 fn check_extra_shards(history: &History, bounds: &Bounds, findings: &mut Findings) {
     let mut seen: BTreeMap<(&NodeInstance, &ShardName), Vec<u64>> = BTreeMap::new();
     for (attempt, _, answer) in history.answers() {
@@ -71,20 +72,21 @@
         if span > bounds.extra_shard_us {
             let span = span / 1_000;
             let node = &life.node;
-            let detail = format!("{node} counted {shard}, not of the snapshot, for {span} ms");
+            let detail = format!("{node} counted {shard}, outside the snapshot, for {span} ms");
             findings.add(Promise::Coverage, detail);
         }
     }
 }
 
-/// The longest time over which there are `times` without a gap, which are sorted.
+/// Returns the longest period of `times` (sorted) without a gap of more than
+/// [`EXTRA_SHARD_GAP_US`].
 fn longest_span(times: &[u64]) -> u64 {
     let near = |a: &u64, b: &u64| b - a <= EXTRA_SHARD_GAP_US;
     let spans = times.chunk_by(near).filter_map(|chunk| Some(chunk.last()? - chunk.first()?));
     spans.max().unwrap_or_default()
 }
 
-/// The missing shards that have a name, but not one of the snapshot.
+/// Returns the missing shards with a real name that is not part of the snapshot.
 fn extra_shards<'a>(answer: &'a Answer, layout: &[ShardName]) -> Vec<&'a ShardName> {
     let missing = answer.coverage.missing.iter().map(|miss| &miss.shard);
     missing.filter(|shard| !layout.contains(shard) && !shard.contains(UNSEEN)).collect()
@@ -95,10 +97,10 @@
     let missing: HashSet<&ShardName> = coverage.missing.iter().map(|miss| &miss.shard).collect();
     let extra_shards = extra_shards(answer, layout);
     if let Some(shard) = extra_shards.iter().find(|shard| !history.declared.contains(**shard)) {
-        return Some(format!("shard {shard} is missing, but is no shard at all"));
+        return Some(format!("shard {shard} is listed as missing but is not declared"));
     }
     if missing.len() != coverage.missing.len() {
-        return Some("a shard is missing twice".to_owned());
+        return Some("a shard is listed as missing twice".to_owned());
     }
     if coverage.asked as usize != layout.len() + extra_shards.len() {
         return Some(format!("asked {} of {} shards", coverage.asked, layout.len()));
@@ -111,10 +113,10 @@
 }
 
 fn empty_fault(answer: &Answer) -> Option<String> {
-    (answer.coverage.covered == 0).then(|| "a success that covers nothing".to_owned())
+    (answer.coverage.covered == 0).then(|| "success without any covered shard".to_owned())
 }
 
-/// The shards that ran the request to its end and are not said to be missing.
+/// Returns the shards that completed the request and are not listed as missing.
 fn completed_shards<'a>(
     answer: &Answer,
     layout: &'a [ShardName],
@@ -133,14 +135,16 @@
 fn run_fault(answer: &Answer, completed: &[&ShardName]) -> Option<String> {
     let covered = answer.coverage.covered as usize;
     (completed.len() < covered)
-        .then(|| format!("{covered} covered, but {} ran to their end", completed.len()))
+        .then(|| format!("{covered} covered, but only {} completed the request", completed.len()))
 }
 
 fn hits_fault(answer: &Answer, completed: &[&ShardName], limit: u32) -> Option<String> {
     let mut combinations = combinations(completed, answer.coverage.covered as usize).into_iter();
     match combinations.any(|shards| has_best_hits(answer, &shards, limit)) {
         true => None,
-        false => Some(format!("{} hits, not the best of what is covered", answer.hits.len())),
+        false => {
+            Some(format!("the {} hits are not the best of the covered shards", answer.hits.len()))
+        }
     }
 }
 
@@ -150,13 +154,13 @@
     let mut expected: Vec<Hit> = hits.collect();
     expected.sort_by(|a, b| b.score.total_cmp(&a.score));
     expected.truncate(limit as usize);
-    // Hits of equal score may stand in any order.
+    // Hits of equal score may be in any order.
     let scores = |hits: &[Hit]| hits.iter().map(|hit| hit.score).collect::<Vec<f64>>();
     let keys: HashSet<&str> = answer.hits.iter().map(|hit| hit.key.as_str()).collect();
     scores(&answer.hits) == scores(&expected) && keys.len() == expected.len()
 }
 
-/// Every way to choose `count` of `shards`.
+/// Returns all combinations of `count` shards.
 fn combinations<'a>(shards: &[&'a ShardName], count: usize) -> Vec<Vec<&'a ShardName>> {
     if count == 0 {
         return vec![Vec::new()];
--- a/crates/history/src/environment_faults.rs
+++ b/crates/history/src/environment_faults.rs
@@ -19,14 +19,14 @@
     run_context::RunContext,
 };
 
-/// How long a target that drains by itself does so: past the time after which
-/// no new work may come.
+/// Duration of a drain that a target starts by itself; longer than the limit after which the
+/// target must receive no new work, so that late work is observed.
 const DRAIN_MS: u64 = 8_000;
 
-/// How long an earlier version of the index is kept, in milliseconds.
+/// Time for which targets keep the previous version of the index, in milliseconds.
 const KEEP_MS: u64 = 2_000;
 
-/// Makes one fault of a target after the other until the run is over.
+/// Injects faults of targets, one at a time, until the run is over.
 pub async fn inject_target_faults(run: Rc<RunContext>) {
     let random = run.generator();
     let marker = Some(CRASH_MARKER.to_owned());
@@ -86,7 +86,7 @@
     run.history.borrow_mut().drains.push(drain);
 }
 
-/// Makes one fault of the platform after the other until the run is over.
+/// Injects faults of the platform, one at a time, until the run is over.
 pub async fn inject_platform_faults(run: Rc<RunContext>) {
     let random = run.generator();
     while !run.over.get() {
@@ -133,7 +133,7 @@
     run.record_disturbance(None, from_us);
 }
 
-/// Publishes new versions of the index, the third one with another layout.
+/// Publishes new versions of the index; every odd version has the repartitioned layout.
 pub async fn publish_index(run: Rc<RunContext>) {
     let random = run.generator();
     let mut version = 1;
@@ -151,7 +151,7 @@
         let shards: Vec<ShardName> = (0..count).map(|number| held(number).shard).collect();
         run.history.borrow_mut().layouts.insert(IndexVersion(version), shards);
         for target in 0..SEARCH_SHARDS * REPLICAS.len() {
-            // In the first layout each shard stays with the targets named for it.
+            // In the initial layout, each shard is on the targets named after it.
             let shard =
                 if is_new { target % REPARTITIONED_SHARDS } else { target / REPLICAS.len() };
             let publish = Some(held(shard));
@@ -182,15 +182,15 @@
     }
 }
 
-/// A stand-in that does not take a change is reported; the run goes on.
+/// Changes faults of targets; an error is only printed, and the run continues.
 async fn change(run: &RunContext, change: FaultChange) {
     if let Err(error) = run.cluster.change_targets(&change).await {
-        eprintln!("history: a fault could not be made: {error}");
+        eprintln!("history: cannot change faults of targets: {error}");
     }
 }
 
 async fn change_platform(run: &RunContext, change: StoreFaultChange) {
     if let Err(error) = run.cluster.change_platform(&change).await {
-        eprintln!("history: a fault could not be made: {error}");
+        eprintln!("history: cannot change faults of the platform: {error}");
     }
 }
--- a/crates/history/src/exclusives.rs
+++ b/crates/history/src/exclusives.rs
@@ -1,4 +1,4 @@
-//! A non-idempotent request runs at most once, and its outcome is told truly.
+//! Checks that a non-idempotent request runs at most once and that its reported outcome is true.
 
 use serde_json::Value;
 
@@ -7,7 +7,8 @@
     record::{Attempt, History, Outcome, Request},
 };
 
-/// Looks for requests that ran twice, or whose outcome changed.
+/// Looks for non-idempotent requests that ran more than once, ran as a search, were reported as
+/// done without a run, or were reported with different outcomes.
 pub fn check(history: &History, findings: &mut Findings) {
     let runs = history.runs_by_nonce();
     let attempts_by_nonce = history.attempts_by_nonce();
@@ -25,10 +26,14 @@
         }
         let results = results(&attempts);
         if !results.is_empty() && runs.is_empty() {
-            findings.add(Promise::Exclusives, format!("{nonce:x} is done, but never ran"));
+            findings
+                .add(Promise::Exclusives, format!("{nonce:x} was reported as done but never ran"));
         }
         if results.windows(2).any(|pair| pair[0] != pair[1]) {
-            findings.add(Promise::Exclusives, format!("{nonce:x} has two outcomes"));
+            findings.add(
+                Promise::Exclusives,
+                format!("{nonce:x} was reported with two different outcomes"),
+            );
         }
     }
 }
--- a/crates/history/src/layout.rs
+++ b/crates/history/src/layout.rs
@@ -1,4 +1,4 @@
-//! The targets, shards and document of a run.
+//! Targets, shards and the configuration document of a run.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -15,28 +15,28 @@
     targets::FleetPorts,
 };
 
-/// How many shards the search collection has at first.
+/// Number of shards of the search collection before repartitioning.
 pub const SEARCH_SHARDS: usize = 6;
 
-/// How many it has after it was repartitioned.
+/// Number of shards of the search collection after repartitioning.
 pub const REPARTITIONED_SHARDS: usize = 4;
 
-/// How many shards take non-idempotent requests.
+/// Number of shards that take non-idempotent requests.
 pub const HOLD_SHARDS: usize = 2;
 
-/// The replicas of each shard.
+/// Replica suffixes of each shard.
 pub const REPLICAS: [&str; 2] = ["a", "b"];
 
-/// The selector of searches.
+/// Selector of searches.
 pub const SEARCH_SELECTOR: &str = "desk";
 
-/// The selector of non-idempotent requests.
+/// Selector of non-idempotent requests.
 pub const HOLD_SELECTOR: &str = "hold";
 
-/// The deadline of both selectors, in milliseconds.
+/// Deadline of both selectors, in milliseconds.
 pub const DEADLINE_MS: u64 = 1_000;
 
-/// A request that holds this crashes every target that runs it.
+/// Text that, contained in a request, crashes every target that runs the request.
 pub const CRASH_MARKER: &str = "poison";
 
 const SEARCH_COLLECTION: &str = "rooms";
@@ -45,22 +45,22 @@
 /// Data centres with their regions.
 pub const CENTRES: [(&str, &str); 3] = [("amman", "north"), ("irbid", "north"), ("aqaba", "south")];
 
-/// The name of a target.
+/// Returns the name of a target: kind, shard number and replica suffix.
 pub fn target_name(kind: &str, shard: usize, replica: &str) -> TargetName {
     TargetName::from(format!("{kind}{shard}{replica}"))
 }
 
-/// The key that callers of a tenant present.
+/// Returns the API key of a tenant.
 pub fn tenant_key(tenant: &str) -> String {
     format!("key-of-{tenant}")
 }
 
-/// A shard of the search collection before it was repartitioned.
+/// Describes a shard of the search collection before repartitioning.
 pub fn initial_shard(version: u64, number: usize) -> HeldVersion {
     held_version(version, format!("s{number}"), SEARCH_COLLECTION, SEARCH_SHARDS)
 }
 
-/// A shard of the search collection after it was repartitioned.
+/// Describes a shard of the search collection after repartitioning.
 pub fn repartitioned_shard(version: u64, number: usize) -> HeldVersion {
     held_version(version, format!("r{number}"), SEARCH_COLLECTION, REPARTITIONED_SHARDS)
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// The targets.
+/// Returns the plan of the stand-in targets: two replicas of each shard.
 pub fn plan(seed: u64) -> Plan {
     let search = (0..SEARCH_SHARDS).flat_map(|shard| {
         REPLICAS.map(|replica| TargetPlan {
@@ -96,7 +96,7 @@
     Plan { seed, control: 0, target: search.chain(holds).collect() }
 }
 
-/// The document that puts the targets of `ports` into service.
+/// Returns the document that puts the targets of `ports` into service.
 pub fn document(ports: &FleetPorts) -> Document {
     let targets = ports.targets.iter().enumerate().map(|(number, target)| {
         let centre = CENTRES[number % CENTRES.len()].0;
@@ -120,14 +120,14 @@
 fn target_spec(name: &TargetName, address: SocketAddr, centre: &str) -> TargetSpec {
     let role = if name.starts_with('h') { "hold" } else { "search" };
     let labels: Labels = BTreeMap::from([("role".to_owned(), role.to_owned())]);
-    // The last letter is the replica.
+    // The last character of the name is the replica suffix.
     let shard = ShardName::from(&name[..name.len() - 1]);
     TargetSpec { address, centre: DataCentre::from(centre), shard, labels, drain: false }
 }
 
 fn selector(role: &str, exclusive: bool) -> SelectorSpec {
     SelectorSpec {
-        targets: Expression::parse(&format!("role = {role}")).expect("the expression is right"),
+        targets: Expression::parse(&format!("role = {role}")).expect("the expression is valid"),
         class: Class::Desk,
         exclusive,
         tenants: Vec::new(),
--- a/crates/history/src/leaving.rs
+++ b/crates/history/src/leaving.rs
@@ -1,8 +1,8 @@
-//! A leaving target gets no new work after a few seconds.
+//! Checks that a leaving target receives no new work after a few seconds.
 //!
-//! Work that a draining target refuses counts as work that it got. A target that a
-//! configuration takes out, by a drain, a label, a selector or its removal, leaves
-//! too, until a configuration may be in force that takes it in again.
+//! Requests that a draining target refuses count as received work. A target that a
+//! configuration excludes, by a drain, a label, a selector or its removal, is leaving
+//! too, until a configuration that includes it again may be in force.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
     record::{Accepted, Drain, History},
 };
 
-/// Looks for late work of leaving targets.
+/// Looks for work that leaving targets received after the deadline.
 pub fn check(history: &History, bounds: &Bounds, findings: &mut Findings) {
     let runs = history.runs.iter().map(|run| (&run.target, run.arrived_us));
     let refused = history.drained.iter().map(|refusal| (&refusal.target, refusal.arrived_us));
@@ -24,17 +24,20 @@
         let late = late.map(|(_, at)| *at).filter(|at| *at > deadline && *at < drain.until_us);
         if let Some(last) = late.clone().max() {
             let span = (last - drain.from_us) / 1_000;
-            let detail =
-                format!("{} got {} requests, the last {span} ms on", drain.target, late.count());
+            let detail = format!(
+                "{} received {} late requests, the last {span} ms after it began to leave",
+                drain.target,
+                late.count()
+            );
             findings.add(Promise::Leaving, detail);
         }
     }
 }
 
-/// The times in which the configurations in force left a target out.
+/// Returns the periods in which the configurations in force excluded a target.
 ///
-/// A version that nobody told of, as the reply to its write was lost, may have
-/// taken any target in.
+/// A version that is not in the history, because the reply to its write was lost, may
+/// have included any target.
 fn exclusion_periods(history: &History) -> Vec<Drain> {
     let mut accepted: Vec<&Accepted> = history.accepted.iter().collect();
     accepted.sort_by_key(|accepted| accepted.version);
@@ -61,7 +64,7 @@
             }
             last = Some(now);
         }
-        // Later changes may have been accepted of which nobody knows.
+        // Later versions may have been accepted without being recorded.
         let is_last = last.is_some_and(|last| last.version == history.last);
         let end = if is_last { u64::MAX } else { last.map_or(0, |last| last.at_us) };
         drains.extend(open.map(|drain| Drain { until_us: end, ..drain }));
@@ -69,8 +72,8 @@
     drains
 }
 
-/// When the last new work may come; an outage of the platform that begins
-/// before then puts it off, as the order can't spread.
+/// Returns the time until which the target may receive new work. An outage of the platform that
+/// begins before then extends it, as the change cannot propagate.
 fn deadline(drain: &Drain, history: &History, bounds: &Bounds) -> u64 {
     let mut deadline = drain.from_us + bounds.leaving_us;
     for outage in history.disturbances.iter().filter(|disturbance| disturbance.node.is_none()) {
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,10 +1,10 @@
-//! History checking: concurrent runs against real daemons, judged afterwards.
+//! History checking: records concurrent runs against real daemons and checks them afterwards.
 //!
 //! A run starts the daemons and the stand-ins as processes, drives callers and
-//! operators from one seed, and makes real faults. Every event goes into a
-//! [`record::History`]. When the run is over, [`checker::check`], which knows
-//! nothing of how the history came about, looks for breaches of the eight
-//! promises of the brief, one module for each.
+//! operators from one seed, and injects real faults. Every event is recorded in a
+//! [`record::History`]. After the run, [`checker::check`] looks for violations of
+//! the eight required promises, one module for each. The checker depends on the
+//! history alone, not on how the run produced it.
 
 #![forbid(unsafe_code)]
 
--- a/crates/history/src/main.rs
+++ b/crates/history/src/main.rs
@@ -1,4 +1,4 @@
-//! Makes a run against real daemons and prints what was found.
+//! Runs callers, operators and faults against real daemons and prints the report of the checker.
 
 #![forbid(unsafe_code)]
 
@@ -13,28 +13,28 @@
     runner::{self, RunOptions},
 };
 
-/// Checks a history of concurrent callers, operators and faults.
+/// Checks the history of a run with concurrent callers, operators and faults.
 #[derive(FromArgs)]
 struct Options {
-    /// how long callers ask, in seconds
+    /// duration of the run, in seconds
     #[argh(option, default = "60")]
     seconds: u64,
-    /// from which all choices are drawn; from the time if left out
+    /// seed of all random choices; by default from the current time
     #[argh(option)]
     seed: Option<u64>,
-    /// how many nodes there are
+    /// number of nodes
     #[argh(option, default = "5")]
     nodes: usize,
-    /// how many callers there are
+    /// number of callers
     #[argh(option, default = "8")]
     callers: usize,
-    /// make no faults
+    /// inject no faults
     #[argh(switch)]
     calm: bool,
-    /// keep the logs of the daemons
+    /// keep the logs of the daemons also if no violation is found
     #[argh(switch)]
     keep: bool,
-    /// where the history goes as JSON
+    /// file that the history is written to, as JSON
     #[argh(option)]
     record: Option<std::path::PathBuf>,
 }
@@ -54,7 +54,7 @@
     if !verdict.findings.violations.is_empty() {
         return Ok(ExitCode::FAILURE);
     }
-    // The logs are kept where something was found, or where it was asked for.
+    // The logs are kept after a violation, or on request.
     if !options.keep {
         std::fs::remove_dir_all(&run.folder)?;
     }
--- a/crates/history/src/node_faults.rs
+++ b/crates/history/src/node_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of nodes: killed, stopped and woken, shut down, and cut off.
+//! Faults of nodes: kills, pauses, graceful shutdowns, and link failures.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,13 +9,13 @@
 
 use crate::{callers::Caller, record::Shutdown, run_context::RunContext};
 
-/// How long a graceful shutdown may take.
+/// Timeout of a graceful shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long before a shutdown a burst of requests is sent.
+/// Time between the start of a burst of requests and the signal to shut down.
 const BURST_LEAD: Duration = Duration::from_millis(8);
 
-/// Makes one fault after the other until the run is over.
+/// Injects faults of randomly chosen nodes, one at a time, until the run is over.
 pub async fn inject_faults(run: Rc<RunContext>) {
     let random = run.generator();
     while !run.over.get() {
@@ -56,8 +56,8 @@
 
 async fn shut_down(run: &Rc<RunContext>, number: usize) {
     run.record_fault("node shut down", &run.cluster.nodes[number].name);
-    // The platform says so first, as it does when it takes a VM away; a fault
-    // of the platform may hide that.
+    // The platform announces the shutdown first, as it does when it withdraws a VM.
+    // The announcement may be lost during a fault of the platform.
     let _ = run.cluster.set_vm_list(Some(number)).await;
     let node = &run.cluster.nodes[number];
     let life = node.instance();
@@ -67,7 +67,7 @@
         signal(run, number, Signal::TERM);
         asked_us
     };
-    // A shutdown at a quiet moment cuts nothing, so requests are put in flight.
+    // Without requests in flight, a shutdown would have nothing to interrupt.
     let burst = Caller::new(run, number).burst(node.entry);
     let ((), asked_us) = join(burst, terminate).await;
     let process = run.cluster.nodes[number].process.take();
@@ -83,7 +83,7 @@
     relaunch(run, number);
 }
 
-/// Cuts what comes from peers, what goes back to them, or the platform.
+/// Cuts the link from the peers or the link to the platform, in one direction or both.
 async fn cut_link(run: &RunContext, number: usize, random: &Random) {
     let node = &run.cluster.nodes[number];
     let (name, link) = match random.below(2) {
@@ -120,6 +120,6 @@
 
 fn relaunch(run: &RunContext, number: usize) {
     if let Err(error) = run.cluster.relaunch(number) {
-        eprintln!("history: a node could not be started: {error}");
+        eprintln!("history: cannot start node: {error}");
     }
 }
--- a/crates/history/src/operators.rs
+++ b/crates/history/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who race each other, and watchers of what is in force.
+//! Operators that change the configuration concurrently, and polling of the versions in force.
 
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -23,16 +23,17 @@
     run_context::RunContext,
 };
 
-/// How long a drain lasts: past the time after which no new work may come.
+/// Duration of a drain; longer than the limit after which the target must receive no new work,
+/// so that late work is observed.
 const DRAIN_MS: u64 = 8_000;
 
-/// How often each node is asked what is in force, in milliseconds.
+/// Interval at which each node is polled for the version in force, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 200;
 
-/// How long a node may take to tell.
+/// Timeout of a request when polling a node.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One operator.
+/// A simulated operator.
 pub struct Operator {
     pub(crate) run: Rc<RunContext>,
     pub(crate) random: Random,
@@ -52,7 +53,7 @@
 }
 
 impl Operator {
-    /// The operator of that number, who reaches the platform directly.
+    /// Creates operator `number`, which connects to the platform directly.
     pub fn new(run: &Rc<RunContext>, number: usize) -> Operator {
         let address = run.cluster.platform;
         let random = run.generator();
@@ -62,7 +63,7 @@
         Operator { run: run.clone(), random, store, name: format!("operator-{number}") }
     }
 
-    /// Puts the first document in force.
+    /// Publishes the first document.
     pub async fn publish_initial(&self, document: &Document) -> Result<()> {
         let base = self.store.current().await?;
         let sent_us = now_us();
@@ -71,7 +72,7 @@
         result.map(|_| ())
     }
 
-    /// Changes the weights of tenants, on what may be an old base, until the run is over.
+    /// Changes weights of tenants, on a base that may be outdated, until the run is over.
     pub async fn change_weights(self) {
         while !self.run.over.get() {
             let tenant = TenantName::from(OWNERS[self.random.below(OWNERS.len())]);
@@ -94,14 +95,15 @@
         }
     }
 
-    /// Drains one target after the other until the run is over.
+    /// Drains targets, one at a time, until the run is over.
     pub async fn drain_targets(self) {
         while !self.run.over.get() {
-            // Only first replicas: a shard keeps a target, whatever befalls others.
+            // Only first replicas are drained: each shard keeps a target, as target faults and
+            // other changes affect only second replicas.
             let shard = self.random.below(layout::SEARCH_SHARDS);
             let target = layout::target_name("s", shard, layout::REPLICAS[0]);
-            // How long it is out follows from the configurations: a rollback may
-            // take it in again.
+            // The checker derives the period of the drain from the accepted configurations,
+            // since a rollback may end the drain early.
             if self.drain(&target, true).await {
                 self.run.record_fault("drain by an operator", &target);
                 self.run.sleep_ms(DRAIN_MS).await;
@@ -111,7 +113,7 @@
         }
     }
 
-    /// The version in the platform's service.
+    /// Returns the version stored at the platform.
     pub async fn stored_version(&self) -> Result<ConfigVersion> {
         Ok(self.store.current().await?.document.version)
     }
@@ -121,7 +123,8 @@
         self.amend(change, "drain").await
     }
 
-    /// Changes what is in force, and records it; whether it was accepted.
+    /// Changes the configuration in force and records the new version; returns whether the
+    /// change was accepted.
     pub async fn amend(
         &self,
         change: impl Fn(&mut Document) -> Result<()>,
@@ -139,7 +142,7 @@
         result.is_ok()
     }
 
-    /// Puts the version before the one in force in force again.
+    /// Rolls back to the version before the one in force.
     pub async fn roll_back(&self) -> Result<()> {
         let base = self.store.current().await?;
         let past = base.head.iter().flat_map(|head| &head.history);
@@ -171,13 +174,13 @@
     }
 }
 
-/// The targets that may get work under `document`.
+/// Returns the targets that may receive work under `document`.
 fn eligible_targets(document: &Document) -> BTreeSet<TargetName> {
     let selected = document.rules.selectors.values().flat_map(|spec| document.select(spec));
     selected.filter(|(_, target)| !target.drain).map(|(name, _)| name.clone()).collect()
 }
 
-/// Reads what is in force on each node until the run is over.
+/// Polls the version in force on each node until the run is over.
 pub async fn poll_versions(run: Rc<RunContext>) {
     while !run.over.get() {
         join_all(run.cluster.nodes.iter().map(|node| poll_version(&run, node))).await;
--- a/crates/history/src/process.rs
+++ b/crates/history/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a run starts, and ends whatever happens to it.
+//! Child processes of a run, which are killed when the run ends for any reason.
 
 use std::{
     fs::File,
@@ -14,16 +14,16 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde::de::DeserializeOwned;
 
-/// How often an ending process is looked at.
+/// Interval at which [`Process::wait`] checks for the exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A process that is killed when this is dropped.
+/// A child process that is killed on drop.
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts the program `name`, which lies next to the one that runs now.
+    /// Starts the program `name` from the folder of the current executable or its parent.
     pub fn start(name: &str, args: &[String], log: &Path) -> io::Result<Process> {
         let path = program(name)?;
         let child = Command::new(path)
@@ -35,30 +35,30 @@
         Ok(Process { child })
     }
 
-    /// Reads the line in which a stand-in tells its ports.
+    /// Reads the line in which a stand-in prints its ports.
     pub fn ports<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         let Some(output) = self.child.stdout.take() else {
-            return Err(io::Error::other("the output was read before"));
+            return Err(io::Error::other("the output of the process has been read already"));
         };
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
         serde_json::from_str(&line).map_err(io::Error::other)
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let Some(pid) = Pid::from_raw(self.child.id() as i32) else {
-            return Err(io::Error::other("the process has no id"));
+            return Err(io::Error::other("the process id is not valid"));
         };
         Ok(kill_process(pid, signal)?)
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status, or `None` if the process still runs.
     pub fn try_wait(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.try_wait()
     }
 
-    /// Waits for its end; `None` after `limit`.
+    /// Waits for the exit; returns `None` if the process still runs after `limit`.
     pub async fn wait(&mut self, limit: Duration) -> io::Result<Option<ExitStatus>> {
         let until = Instant::now() + limit;
         while Instant::now() < until {
@@ -70,9 +70,9 @@
         Ok(None)
     }
 
-    /// Kills it.
+    /// Kills the process and reaps it.
     pub fn kill(&mut self) {
-        // Both fail only if it has ended already.
+        // Both calls fail only if the process has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -84,10 +84,10 @@
     }
 }
 
-/// The path of a program of the workspace.
+/// Returns the path of a program of the workspace.
 fn program(name: &str) -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
-    // Tests run from a folder below the one of the programs.
+    // Test executables are in a subfolder of the folder with the programs.
     let folders = own.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join(name)).find(|path| path.is_file());
     found.ok_or_else(|| {
@@ -95,18 +95,18 @@
     })
 }
 
-/// The ports that nodes may get: below those that the system gives to others.
+/// Range of the ports of nodes, below the ephemeral ports of the system.
 ///
-/// A port that the system chose, and that a node gave up while it was down, could
-/// be given to any connection in between; the node could then not start again.
+/// The system could assign an ephemeral port to any connection while its node is down;
+/// the node could then not start again.
 const NODE_PORTS: Range<u16> = 12_000..32_000;
 
-/// How often a port is drawn before the search is given up.
+/// Maximum number of random ports that [`free_ports`] tries.
 const MAX_PORT_ATTEMPTS: usize = 1_000;
 
-/// Ports of the loopback address that are free now.
+/// Returns `count` ports that are free on the loopback address.
 pub fn free_ports(count: usize) -> io::Result<Vec<u16>> {
-    // Runs side by side must not draw the same, so this has no seed.
+    // Not seeded, as concurrent runs with one seed must not choose the same ports.
     let random = Random::from_entropy();
     let mut listeners = Vec::new();
     for _ in 0..MAX_PORT_ATTEMPTS {
@@ -117,7 +117,7 @@
         listeners.extend(TcpListener::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, port))));
     }
     if listeners.len() < count {
-        return Err(io::Error::other("there are not enough free ports"));
+        return Err(io::Error::other("not enough free ports in the range of the nodes"));
     }
     listeners.iter().map(|listener| Ok(listener.local_addr()?.port())).collect()
 }
--- a/crates/history/src/record.rs
+++ b/crates/history/src/record.rs
@@ -1,4 +1,4 @@
-//! What is recorded of a run. All times are microseconds on one scale.
+//! Records of a run. All times are microseconds of the same clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,191 +14,191 @@
     records::{Refusal, RunRecord},
 };
 
-/// One life of a node, as the run started it.
+/// A node between a start and its exit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct NodeInstance {
-    /// The node.
+    /// Name of the node.
     pub node: NodeName,
-    /// The number of its start, from zero.
+    /// Number of earlier starts of the node in this run.
     pub start: u32,
 }
 
-/// One request of a caller, from sending it to its outcome.
+/// An attempt of a caller to send a request, with the outcome.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Drawn for the request; one that is sent again keeps it.
+    /// Random identifier of the request, equal for all its attempts.
     pub nonce: u64,
-    /// The tenant.
+    /// Tenant of the caller.
     pub tenant: TenantName,
-    /// The node it was sent to.
+    /// Node that the request was sent to.
     pub life: NodeInstance,
-    /// Whether its connection had carried a request before.
+    /// Whether the connection was kept alive from an earlier request.
     pub kept: bool,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent_us: u64,
-    /// When its outcome was known.
+    /// Time at which the outcome was known.
     pub ended_us: u64,
-    /// What was asked.
+    /// The request.
     pub request: Request,
-    /// What came of it.
+    /// The outcome as seen by the caller.
     pub outcome: Outcome,
 }
 
-/// What a caller asked.
+/// Request of a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     /// A search.
     Search {
-        /// How many hits it wanted.
+        /// Maximum number of hits.
         limit: u32,
     },
     /// A non-idempotent request.
     Exclusive {
-        /// Its ticket.
+        /// Ticket of the request.
         ticket: String,
-        /// Its key.
+        /// Key of the request.
         key: String,
     },
 }
 
-/// What came of a request.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
     /// A search was answered.
     Answer(Box<Answer>),
     /// A non-idempotent request ran.
     Done(Value),
-    /// It was refused or failed with a numbered error.
+    /// The request was refused or failed, with an error code.
     Failed(Failure),
-    /// A whole reply came that is no reply of the protocol.
+    /// A complete reply was received that does not follow the protocol.
     Unreadable(String),
     /// No connection could be opened.
     NotConnected,
-    /// The connection broke before a whole reply had come.
+    /// The connection broke before a complete reply was received.
     Broken,
-    /// The caller gave up.
+    /// No reply was received within the timeout of the caller.
     TimedOut,
 }
 
 /// The body of an error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Failure {
-    /// The number in docs/ERRORS.md.
+    /// Error code, as listed in docs/ERRORS.md.
     pub code: u16,
-    /// The words.
+    /// Error message.
     pub message: String,
-    /// Whether it says that nothing ran.
+    /// Whether the error states that the request did not run.
     pub not_run: bool,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
 }
 
-/// A target that had to get no new work for a time.
+/// A period in which a target must receive no new work.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Drain {
     /// The target.
     pub target: TargetName,
-    /// Since when: the change was accepted, or the target began to say so.
+    /// Begin: the change was accepted, or the target began to report that it drains.
     pub from_us: u64,
-    /// Until when: the moment before anyone took it back.
+    /// End: just before the change was first revoked.
     pub until_us: u64,
 }
 
 /// A graceful shutdown.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Shutdown {
-    /// The node.
+    /// Node that was shut down.
     pub life: NodeInstance,
-    /// When it was asked.
+    /// Time of the signal.
     pub asked_us: u64,
-    /// When it ended; `None` if it had to be killed.
+    /// Time of the exit; `None` if the node did not exit in time and was killed.
     pub exited_us: Option<u64>,
-    /// Whether it ended with success.
+    /// Whether the exit status was zero.
     pub success: bool,
 }
 
 /// A configuration that the platform accepted.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// When its operator began to change it.
+    /// Time at which the operator began the change.
     #[serde(default)]
     pub sent_us: u64,
-    /// When its operator was told.
+    /// Time at which the operator received the confirmation.
     pub at_us: u64,
-    /// The targets that may get work under it, if that is known.
+    /// Targets that may receive work under this version, if known.
     #[serde(default)]
     pub reach: Option<BTreeSet<TargetName>>,
 }
 
-/// A reading of the version in force on a node.
+/// A reading of the configuration version in force on a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reading {
-    /// The node.
+    /// Node that was read.
     pub life: NodeInstance,
-    /// When the reading began.
+    /// Time at which the reading was requested.
     pub sent_us: u64,
-    /// When it was there.
+    /// Time at which the reading was received.
     pub ended_us: u64,
-    /// The version.
+    /// Version in force.
     pub version: ConfigVersion,
 }
 
-/// A time in which the platform was out, or a node was stopped.
+/// A period in which the platform was unavailable or a node was paused.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Disturbance {
-    /// The node that was stopped; `None` for the platform.
+    /// The paused node; `None` for the platform.
     pub node: Option<NodeName>,
-    /// Since when.
+    /// Begin of the period.
     pub from_us: u64,
-    /// Until when.
+    /// End of the period.
     pub until_us: u64,
 }
 
-/// A fault that was made.
+/// A fault or change that the run injected.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InjectedFault {
-    /// When.
+    /// Time of the injection.
     pub at_us: u64,
-    /// Which.
+    /// Kind of fault.
     pub fault: String,
-    /// Whom it struck; empty if that says nothing.
+    /// Affected node, target or version; empty if not applicable.
     pub whom: String,
 }
 
-/// Everything recorded of a run.
+/// Complete record of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct History {
-    /// The requests of callers.
+    /// Attempts of the callers.
     pub attempts: Vec<Attempt>,
-    /// What the targets ran.
+    /// Requests that the targets ran.
     pub runs: Vec<RunRecord>,
-    /// What draining targets refused.
+    /// Requests that draining targets refused.
     pub drained: Vec<Refusal>,
-    /// The shards that make up each version of the index.
+    /// Shards of each version of the index.
     pub layouts: BTreeMap<IndexVersion, Vec<ShardName>>,
-    /// The shards that the document declares for the targets of searches.
+    /// Shards that the document declares for the search targets.
     pub declared: BTreeSet<ShardName>,
-    /// Targets that had to get no new work.
+    /// Periods in which targets must receive no new work.
     pub drains: Vec<Drain>,
     /// Graceful shutdowns.
     pub shutdowns: Vec<Shutdown>,
     /// Accepted configurations.
     pub accepted: Vec<Accepted>,
-    /// The version in the platform's service when the run was over.
+    /// Version stored at the platform after the run.
     pub last: ConfigVersion,
-    /// Readings of versions in force.
+    /// Readings of the versions in force.
     pub readings: Vec<Reading>,
-    /// Times in which news could not spread.
+    /// Periods in which updates could not propagate.
     pub disturbances: Vec<Disturbance>,
-    /// The faults, in order.
+    /// Injected faults, in order of time.
     pub faults: Vec<InjectedFault>,
 }
 
 impl History {
-    /// The answered searches.
+    /// Iterates over the answered searches, with their limits.
     pub fn answers(&self) -> impl Iterator<Item = (&Attempt, u32, &Answer)> {
         self.attempts.iter().filter_map(|attempt| match (&attempt.request, &attempt.outcome) {
             (Request::Search { limit }, Outcome::Answer(answer)) => {
@@ -208,7 +208,7 @@
         })
     }
 
-    /// The requests that failed with a numbered error.
+    /// Iterates over the attempts that failed with an error code.
     pub fn failures(&self) -> impl Iterator<Item = (&Attempt, &Failure)> {
         self.attempts.iter().filter_map(|attempt| match &attempt.outcome {
             Outcome::Failed(failure) => Some((attempt, failure)),
@@ -216,7 +216,7 @@
         })
     }
 
-    /// The runs of each request, by its nonce.
+    /// Groups the runs by the nonce of their request.
     pub fn runs_by_nonce(&self) -> HashMap<u64, Vec<&RunRecord>> {
         let mut runs: HashMap<u64, Vec<&RunRecord>> = HashMap::default();
         for run in &self.runs {
@@ -227,7 +227,7 @@
         runs
     }
 
-    /// The attempts of each request, by its nonce.
+    /// Groups the attempts by the nonce of their request.
     pub fn attempts_by_nonce(&self) -> BTreeMap<u64, Vec<&Attempt>> {
         let mut attempts_by_nonce: BTreeMap<u64, Vec<&Attempt>> = BTreeMap::new();
         for attempt in &self.attempts {
--- a/crates/history/src/refusals.rs
+++ b/crates/history/src/refusals.rs
@@ -1,8 +1,8 @@
-//! A refusal that says "not run" is true.
+//! Checks that a request that was refused as "not run" did not run.
 //!
-//! Of a non-idempotent request it speaks of the request, not of one try: no
-//! target may have run it before, and none may run it later unless its caller
-//! sends it again. Of a search it speaks of that try alone.
+//! For a non-idempotent request, "not run" covers every attempt: no target may have
+//! run the request before, and none may run it later unless its caller sends it
+//! again. For a search, "not run" covers only the refused attempt.
 
 use standins::records::RunRecord;
 
@@ -11,7 +11,7 @@
     record::{Attempt, History, Request},
 };
 
-/// Looks for refused requests that ran.
+/// Looks for requests that were refused as "not run" but ran.
 pub fn check(history: &History, findings: &mut Findings) {
     let runs = history.runs_by_nonce();
     let attempts_by_nonce = history.attempts_by_nonce();
@@ -20,7 +20,7 @@
         let runs = runs.get(&attempt.nonce).map(Vec::as_slice).unwrap_or_default();
         if let Some(run) = runs.iter().find(|run| contradicts(run, attempt, siblings)) {
             let detail = format!(
-                "{:x} was refused with {} as not run, but ran on {}, {} us after the refusal",
+                "{:x} was refused as not run (error {}) but ran on {}, {} us after the refusal",
                 attempt.nonce,
                 failure.code,
                 run.target,
@@ -31,6 +31,7 @@
     }
 }
 
+/// Whether `run` shows that the request of `refused` ran contrary to its refusal.
 fn contradicts(run: &RunRecord, refused: &Attempt, siblings: &[&Attempt]) -> bool {
     let is_search = matches!(refused.request, Request::Search { .. });
     if is_search && run.start_us < refused.sent_us {
--- a/crates/history/src/report.rs
+++ b/crates/history/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: requests, faults, figures, and violations by promise.
+//! The report of a run: requests, faults, statistics, and violations by promise.
 
 use std::{collections::BTreeMap, fmt::Write};
 
@@ -12,10 +12,10 @@
     runner::Verdict,
 };
 
-/// How many violations of each promise are printed in full.
+/// Maximum number of violations printed in full for each promise.
 const MAX_SHOWN: usize = 5;
 
-/// The report as text.
+/// Formats the report of a run.
 pub fn report(verdict: &Verdict) -> String {
     let mut text = String::new();
     // Writing to a string can't fail.
--- a/crates/history/src/run_context.rs
+++ b/crates/history/src/run_context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a run share: the cluster, the history and the end.
+//! State shared by the tasks of a run: the cluster, the history and the end of the run.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,19 +13,19 @@
     record::{Disturbance, History, InjectedFault},
 };
 
-/// What the tasks of a run share.
+/// State shared by the tasks of a run.
 pub struct RunContext {
-    /// The processes.
+    /// Processes of the run.
     pub cluster: Cluster,
-    /// What has happened so far.
+    /// History recorded so far.
     pub history: RefCell<History>,
-    /// Whether the tasks shall end.
+    /// Set when the tasks must end.
     pub over: Cell<bool>,
     random: Random,
 }
 
 impl RunContext {
-    /// A run on `cluster` after `seed`.
+    /// Creates the state of a run on `cluster`; all random choices derive from `seed`.
     pub fn new(cluster: Cluster, seed: u64) -> RunContext {
         RunContext {
             cluster,
@@ -35,19 +35,19 @@
         }
     }
 
-    /// A generator for one task.
+    /// Creates a random generator for one task.
     pub fn generator(&self) -> Random {
         Random::with_seed(self.random.number())
     }
 
-    /// Records a fault that is made now.
+    /// Records that `fault` is injected now; `whom` names the affected node, target or version.
     pub fn record_fault(&self, fault: &str, whom: &str) {
         let made =
             InjectedFault { at_us: now_us(), fault: fault.to_owned(), whom: whom.to_owned() };
         self.history.borrow_mut().faults.push(made);
     }
 
-    /// Sleeps; less if the run ends.
+    /// Sleeps for `span` milliseconds, or until the run is over.
     pub async fn sleep_ms(&self, span: u64) {
         let until = now_us() + span * 1_000;
         while !self.over.get() && now_us() < until {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Records that news could not spread from `from_us` until now.
+    /// Records that updates could not propagate from `from_us` until now.
     pub fn record_disturbance(&self, node: Option<usize>, from_us: u64) {
         let node = node.map(|number| self.cluster.nodes[number].name.clone());
         let disturbance = Disturbance { node, from_us, until_us: now_us() };
@@ -64,5 +64,5 @@
     }
 }
 
-/// How long a sleeping task takes at most to see that the run is over.
+/// Interval at which a sleeping task checks whether the run is over.
 const MAX_SLEEP_STEP: Duration = Duration::from_millis(50);
--- a/crates/history/src/runner.rs
+++ b/crates/history/src/runner.rs
@@ -1,4 +1,4 @@
-//! One run from the first process to the verdict.
+//! Execution of one run, from starting the processes to the check of the history.
 
 use std::{io, path::PathBuf, rc::Rc, time::Duration};
 
@@ -18,34 +18,35 @@
     run_context::RunContext,
 };
 
-/// How long the nodes may take until all of them serve.
+/// Timeout until all nodes are ready.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long reading the records of a run may take.
+/// Timeout for reading the records of a run.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long the nodes are left alone before the records are read, in milliseconds.
+/// Time without requests and faults before the records are read, in milliseconds.
 const SETTLE_MS: u64 = 2_500;
 
 /// Options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// From which all choices are drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How long callers ask.
+    /// Duration for which callers send requests.
     pub span: Duration,
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many callers there are.
+    /// Number of callers.
     pub callers: usize,
-    /// Whether faults are made.
+    /// Whether faults are injected.
     pub faults: bool,
-    /// Where files of the run go.
+    /// Folder for settings and logs of the run.
     pub folder: PathBuf,
 }
 
 impl RunOptions {
-    /// A run of `span` after `seed`, with faults.
+    /// Creates the options of a run of duration `span` with the default number of nodes and
+    /// callers, and with faults.
     pub fn new(seed: u64, span: Duration) -> RunOptions {
         let name = format!("kumquatnotch-history-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(name);
@@ -53,21 +54,21 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 pub struct Verdict {
-    /// All that was recorded.
+    /// The recorded history.
     pub history: History,
-    /// The violations.
+    /// Violations found in the history.
     pub findings: Findings,
-    /// The calls to the platform.
+    /// Number of calls to the platform, by kind.
     pub calls: Calls,
-    /// Connections over the limits of targets.
+    /// Number of connections over the limits of the targets.
     pub over_limit: u64,
-    /// Requests that targets shed.
+    /// Number of requests that the targets shed.
     pub shed: u64,
 }
 
-/// Makes a run; this must be called inside a runtime.
+/// Executes a run and checks its history; must be called within a runtime.
 pub async fn run(options: &RunOptions) -> io::Result<Verdict> {
     let cluster = Cluster::start(options.nodes, options.seed, &options.folder)?;
     let run = Rc::new(RunContext::new(cluster, options.seed));
@@ -84,7 +85,7 @@
     finish(&run, &first_operator).await
 }
 
-/// Puts the first document in force and waits until every node serves.
+/// Publishes the first document and waits until every node is ready.
 async fn start(run: &Rc<RunContext>, first_operator: &Operator) -> io::Result<()> {
     let shards = (0..layout::SEARCH_SHARDS).map(|number| ShardName::from(format!("s{number}")));
     let shards: Vec<ShardName> = shards.collect();
@@ -100,7 +101,10 @@
         let client = Client::new(node.entry, Duration::from_secs(1));
         while !client.get("/readyz").await.is_ok_and(|answer| answer.status == 200) {
             if Instant::now() >= until {
-                return Err(io::Error::other(format!("{} does not serve", node.name)));
+                return Err(io::Error::other(format!(
+                    "{} is not ready within {START_TIMEOUT:?}",
+                    node.name
+                )));
             }
             monoio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -130,7 +134,7 @@
     tasks
 }
 
-/// Mends what is broken, collects the records, and judges them.
+/// Ends all faults, collects the records, and checks them.
 async fn finish(run: &Rc<RunContext>, first_operator: &Operator) -> io::Result<Verdict> {
     let restore_links = LinkChange {
         cut_up: Some(false),
--- a/crates/history/src/shutdown.rs
+++ b/crates/history/src/shutdown.rs
@@ -1,28 +1,31 @@
-//! A graceful shutdown cuts no request in flight.
+//! Checks that a graceful shutdown interrupts no request in flight.
 //!
-//! The callers of a run keep an address no longer than they were told, so none
-//! sends to a node that has closed: whatever they sent before it was gone and
-//! was not answered counts, on connections new and kept.
+//! The callers of a run use an address no longer than its advice is valid, so none
+//! sends to a node that has already closed. Every request that was sent before the
+//! process exited and was not answered is therefore a violation, on new and on
+//! kept-alive connections alike.
 
 use crate::{
     checker::{Findings, Promise},
     record::{Attempt, History, Outcome, Shutdown},
 };
 
-/// Looks for requests that a shutdown cut.
+/// Looks for requests that were interrupted by a shutdown, and for shutdowns that failed.
 pub fn check(history: &History, findings: &mut Findings) {
     for shutdown in &history.shutdowns {
         let node = &shutdown.life.node;
         match shutdown.exited_us {
-            None => findings.add(Promise::Shutdown, format!("{node} had to be killed")),
+            None => findings
+                .add(Promise::Shutdown, format!("{node} did not exit in time and was killed")),
             Some(_) if !shutdown.success => {
-                findings.add(Promise::Shutdown, format!("{node} ended with a failure"));
+                findings.add(Promise::Shutdown, format!("{node} exited with an error status"));
             }
             Some(_) => {}
         }
         for attempt in history.attempts.iter().filter(|attempt| is_cut(attempt, shutdown)) {
             let since = attempt.sent_us as i64 - shutdown.asked_us as i64;
-            let detail = format!("{node} cut {:x}, sent {since} us after", attempt.nonce);
+            let detail =
+                format!("{node} interrupted {:x}, sent {since} us after the signal", attempt.nonce);
             findings.add(Promise::Shutdown, detail);
         }
     }
--- a/crates/history/src/snapshot.rs
+++ b/crates/history/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! Every answer comes from one snapshot of the index.
+//! Checks that every answer comes from one snapshot of the index.
 //!
-//! The stand-ins make the score and owner of a hit from its shard, version and
-//! number, so a hit of another version is known even if its label lies.
+//! The stand-ins derive the score and owner of a hit from its shard, version and
+//! number, so a hit of another version is detected even if its version label is wrong.
 
 use kumquatnotch_core::{
     answer::Answer,
@@ -15,12 +15,12 @@
     record::History,
 };
 
-/// Looks for answers that mix snapshots.
+/// Looks for answers that mix snapshots or come from a version that was never published.
 pub fn check(history: &History, findings: &mut Findings) {
     for (attempt, _, answer) in history.answers() {
         let Some(layout) = history.layouts.get(&answer.coverage.version) else {
             let version = answer.coverage.version;
-            let detail = format!("{:x} is from version {version}, never published", attempt.nonce);
+            let detail = format!("{:x} is from unpublished version {version}", attempt.nonce);
             findings.add(Promise::Snapshot, detail);
             continue;
         };
@@ -30,7 +30,7 @@
     }
 }
 
-/// The hits that are not of the answer's snapshot.
+/// Describes the hits that do not belong to the answer's snapshot.
 fn foreign_hits(answer: &Answer, layout: &[ShardName]) -> Vec<String> {
     let version = answer.coverage.version;
     let is_foreign = |hit: &&Hit| match shard_and_number(hit) {
@@ -49,7 +49,7 @@
     labelled && hit.score == expected.score && hit.owner == expected.owner
 }
 
-/// The shard of a hit and its number there.
+/// Returns the shard of a hit and the number of the hit within that shard.
 pub fn shard_and_number(hit: &Hit) -> Option<(ShardName, u32)> {
     let (shard, number) = hit.key.rsplit_once('/')?;
     Some((ShardName::from(shard), number.parse().ok()?))
--- a/crates/history/src/target_changes.rs
+++ b/crates/history/src/target_changes.rs
@@ -1,6 +1,7 @@
-//! Operators who take targets out by a label, a selector or removal, and roll back.
+//! Operators that take targets out of service by a label, a selector or removal, and that
+//! roll back configurations.
 //!
-//! Only second replicas leave this way, so that a shard keeps a target.
+//! Only second replicas are taken out, so that every shard keeps a target.
 
 use std::cell::RefCell;
 
@@ -13,14 +14,15 @@
 
 use crate::{layout, operators::Operator};
 
-/// How long a change stays: past the time after which no new work may come.
+/// Time for which a target stays out; longer than the limit after which it must receive no
+/// new work, so that late work is observed.
 const EXCLUSION_MS: u64 = 8_000;
 
-/// The label by which the selector of searches leaves targets out.
+/// Label of targets that the search selector can exclude.
 const HIDDEN_LABEL: &str = "hidden";
 
 impl Operator {
-    /// Takes one target out after the other, and takes it in again.
+    /// Takes targets out of service and back in, one at a time, until the run is over.
     pub async fn change_targets(self) {
         while !self.run.over.get() {
             let shard = self.random.below(layout::SEARCH_SHARDS);
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Rolls back now and then, whatever others have just changed.
+    /// Rolls back at random intervals until the run is over, regardless of concurrent changes.
     pub async fn roll_back_periodically(self) {
         while !self.run.over.get() {
             self.run.sleep_ms(4_000 + self.random.below(4_000) as u64).await;
@@ -67,7 +69,7 @@
     async fn relabel(&self, name: &TargetName) {
         let set = |role: &'static str| {
             move |document: &mut Document| {
-                // A rollback may have taken the target out or in meanwhile.
+                // A concurrent rollback may have removed or restored the target.
                 if let Some(target) = document.targets.get_mut(name) {
                     target.labels.insert("role".to_owned(), role.to_owned());
                 }
@@ -81,7 +83,7 @@
         self.amend_until_accepted(set("search"), "label").await;
     }
 
-    /// Labels a target, then changes the selector so that it is left out.
+    /// Labels a target, then changes the selector so that it excludes the label.
     async fn hide(&self, name: &TargetName) {
         let mark = |document: &mut Document| {
             if let Some(target) = document.targets.get_mut(name) {
@@ -111,7 +113,7 @@
         self.amend_until_accepted(unmark, "label").await;
     }
 
-    /// Changes what is in force until that is accepted or the run is over.
+    /// Repeats a change of the configuration until it is accepted or the run is over.
     async fn amend_until_accepted(
         &self,
         change: impl Fn(&mut Document) -> Result<()>,
