--- a/crates/history/src/report.rs
+++ b/crates/history/src/report.rs
@@ -56,15 +56,15 @@
     let runs = history.runs.iter().filter(|run| !run.exclusive).count();
     let done = history.runs.iter().filter(|run| run.end == RunEnd::Done).count();
     let (median, p99) = (quantile(&mut spans, 0.5), quantile(&mut spans, 0.99));
-    writeln!(text, "answers: median {} us, 99 in 100 within {} us", median, p99)?;
+    writeln!(text, "answers: median {} us, 99th percentile {} us", median, p99)?;
     writeln!(text, "coverage: {covered} of {asked} shards, {full} answers cover all")?;
-    writeln!(text, "runs on targets: {runs} of searches, {done} of all to their end")?;
+    writeln!(text, "runs on targets: {runs} searches, {done} of all runs completed")?;
     writeln!(text, "shed: {}, connections over limits: {}", verdict.shed, verdict.over_limit)?;
     let (median, most) = (quantile(&mut spreads, 0.5), quantile(&mut spreads, 1.0));
     writeln!(text, "configurations: {} accepted", history.accepted.len())?;
     writeln!(
         text,
-        "  undisturbed: {}, everywhere after {median} us, {most} us at most",
+        "  undisturbed: {}, in force everywhere after {median} us (median), {most} us (maximum)",
         spreads.len()
     )?;
     writeln!(text, "readings of nodes: {}", history.readings.len())?;
@@ -81,9 +81,9 @@
     for times in crashes.values() {
         *counts.entry(max_in_window(times, bounds.contained_us)).or_default() += 1;
     }
-    writeln!(text, "requests that crash: {}, {all} crashes", crashes.len())?;
+    writeln!(text, "requests that crashed targets: {}, {all} crashes", crashes.len())?;
     for (count, requests) in counts {
-        writeln!(text, "  {count} targets while contained: {requests}")?;
+        writeln!(text, "  {count} targets within the containment: {requests}")?;
     }
     Ok(())
 }
--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -1,110 +1,111 @@
-//! How a configuration is accepted, spreads, and stays in force.
+//! Model of how a configuration is accepted, propagates, and stays in force.
 //!
-//! Two operators write the head by compare-and-swap; a write may arrive late,
-//! and its reply may be lost. Nodes read the head or hear of it from each other,
-//! in any order and any number of times. A node may crash, be born, freeze and
-//! wake. An operator may ask whether a version is in force everywhere: then every
-//! node that the membership lists must say so, and a frozen node may have been
-//! dropped from the list.
+//! Two operators write the head by compare-and-swap; a write may arrive late, and
+//! its reply may be lost. Nodes read the head from the platform or receive it from
+//! each other, in any order and any number of times. A node may crash, start, freeze
+//! and wake. An operator may ask whether a version is in force everywhere: every node
+//! in the membership list must confirm it, but a frozen node may have been dropped
+//! from the list.
 //!
-//! Promised: what was accepted is accepted once and told truly; a version that a
-//! node puts in force was accepted; within its phase a node never goes back; and
-//! once an operator was told "in force everywhere", no node serves with an older
-//! version, also not one that is born or wakes later.
+//! Invariants: a change is accepted at most once and its outcome is reported
+//! correctly; a node puts only accepted versions in force; between a start and a
+//! crash, a node never goes back to an older version; and once an operator has been
+//! told "in force everywhere", no node serves with an older version, not even one
+//! that starts or wakes later.
 
 use crate::Model;
 
-/// How many nodes there are.
+/// Number of nodes.
 const NODE_COUNT: usize = 3;
-/// How many operators there are, each with one change.
+/// Number of operators, each with one change.
 const OPERATOR_COUNT: usize = 2;
-/// The most crashes and freezes together.
+/// Maximum total number of crashes, freezes and outages.
 const MAX_FAULTS: u8 = 2;
-/// The most copies of the head that are still on the way to nodes.
+/// Maximum number of versions in transit to nodes.
 const MAX_IN_TRANSIT: usize = 2;
 
-/// A safeguard that is taken away.
+/// A safeguard that is removed from the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Nothing is taken away.
+    /// All safeguards are in place.
     None,
-    /// A node takes any version it hears of.
+    /// A node accepts any version it receives, also an older one.
     AcceptOlder,
-    /// A node that was born serves before it has a version.
+    /// A node that has started serves before it has a version.
     ServeWithoutVersion,
-    /// A node that wakes serves before it has asked again.
+    /// A node that wakes serves before it has synchronised again.
     ServeAfterWake,
-    /// The platform's service takes a write whatever the revision is.
+    /// The platform accepts a write without comparing the revision.
     UnconditionalWrite,
-    /// An operator whose reply was lost takes the write as failed.
+    /// An operator treats a lost reply as a refusal of the write.
     LostReplyIsRefusal,
-    /// A node that was born takes the first answer of any peer, also one unborn.
+    /// A node that has started accepts the answer of any peer, also of one that is not serving.
     AcceptEmptyAnswer,
 }
 
-/// The specification, with one safeguard taken away or none.
+/// The model, with at most one safeguard removed.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigModel {
-    /// What is taken away.
+    /// The removed safeguard.
     pub mutation: Mutation,
 }
 
-/// A node.
+/// State of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Node {
     phase: NodePhase,
-    /// The version in force; zero for none.
+    /// Version in force; zero for none.
     version: u8,
-    /// The highest version in force in this phase.
+    /// Highest version in force since the start of the node.
     highest: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum NodePhase {
     Down,
-    /// Born, or woken and about to ask again: it does not serve.
+    /// Started or woken, and not yet synchronised: the node does not serve.
     Syncing,
     Serving,
     Frozen,
 }
 
-/// An operator with one change.
+/// State of an operator with one change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Operator {
-    /// It has not begun.
+    /// The operator has not begun its change.
     Idle,
-    /// It has read this version and sent its write.
+    /// The operator has read this version and sent its write.
     Sent(u8),
-    /// The reply did not come; it will write again under the same expectation.
+    /// The reply timed out; the operator will repeat the write with the same expected version.
     Retrying(u8),
-    /// It was told that its change is in force as this version.
+    /// The change was reported as accepted with this version.
     Accepted(u8),
-    /// It was told that its change is not, and never will be.
+    /// The change was reported as refused: it is not in force and never will be.
     Refused,
 }
 
-/// A write on its way to the platform's service.
+/// A write in transit to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Write {
     operator: u8,
     base: u8,
-    /// Whether its operator still waits for the reply.
+    /// Whether the operator still waits for the reply.
     awaited: bool,
 }
 
-/// A moment.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The operator that wrote each version, the first version first.
+    /// The operator that wrote each version, starting with version 1.
     accepted: Vec<u8>,
     writes: Vec<Write>,
     operators: [Operator; OPERATOR_COUNT],
     nodes: [Node; NODE_COUNT],
-    /// Copies of the head on their way to nodes.
+    /// Versions in transit to nodes.
     in_transit: Vec<u8>,
     outage: bool,
     faults: u8,
-    /// The version that an operator was told is in force everywhere.
+    /// The version that was reported to an operator as in force everywhere.
     confirmed: u8,
 }
 
@@ -166,9 +167,9 @@
                 Operator::Accepted(version)
                     if state.accepted.get(usize::from(*version) - 1) != Some(&index) =>
                 {
-                    return Some("told accepted, but another stands there");
+                    return Some("reported as accepted, but the version is of another operator");
                 }
-                Operator::Refused if count > 0 => return Some("told refused, but accepted"),
+                Operator::Refused if count > 0 => return Some("reported as refused, but accepted"),
                 _ => {}
             }
         }
@@ -184,7 +185,7 @@
                     next.push(send_write(state, index, state.accepted.len() as u8));
                 }
                 Operator::Sent(base) => {
-                    // The reply does not come in time; the write may still be on its way.
+                    // The reply times out; the write may still be in transit.
                     let mut lost = state.clone();
                     lost.operators[index] = match self.mutation {
                         Mutation::LostReplyIsRefusal => Operator::Refused,
@@ -196,7 +197,7 @@
                     next.push(lost);
                 }
                 Operator::Retrying(base) if !state.outage => {
-                    // At most one older copy stays on the way, to keep this small.
+                    // At most two copies of a write are in transit, to limit the state space.
                     let copies = state.writes.iter().filter(|w| usize::from(w.operator) == index);
                     if copies.count() < 2 {
                         next.push(send_write(state, index, base));
@@ -234,7 +235,7 @@
             state.accepted.push(write.operator);
         }
         if write.awaited {
-            // The writer recognises its own number, also below a later head.
+            // The operator finds its own write also in the history below a later head.
             let place = state.accepted.iter().position(|writer| *writer == write.operator);
             state.operators[operator] = match place {
                 Some(place) => Operator::Accepted(place as u8 + 1),
@@ -277,12 +278,12 @@
                 next.push(frozen);
             }
         }
-        // It hears of a version, from any copy, also an old one; copies may be
-        // taken again (duplicated) or never (lost).
+        // The node receives any version in transit, also an old one. Versions stay in
+        // transit, which covers duplicates, and may never be received, which covers losses.
         for version in &state.in_transit {
             next.push(with_node(self.receive(node, *version)));
         }
-        // It sends a copy of what it has.
+        // The node sends its version to its peers.
         if node.version > 0 && !state.in_transit.contains(&node.version) {
             let mut state = state.clone();
             if state.in_transit.len() == MAX_IN_TRANSIT {
@@ -291,7 +292,7 @@
             state.in_transit.push(node.version);
             next.push(state);
         }
-        // It reads the platform's service, and serves from then on.
+        // The node reads the head from the platform and serves from then on.
         if !state.outage && head > 0 {
             next.push(with_node(self.serve(self.receive(node, head))));
         }
@@ -303,7 +304,7 @@
         }
     }
 
-    /// The node asks a peer that serves, and serves with the higher version.
+    /// The node asks a serving peer, and then serves with the higher of both versions.
     fn ask_peers(&self, state: &State, node: Node, push: &mut dyn FnMut(Node)) {
         for peer in state.nodes {
             let answers = match self.mutation {
@@ -327,7 +328,8 @@
         Node { phase: NodePhase::Serving, ..node }
     }
 
-    /// An operator asks every node that the membership lists.
+    /// An operator asks every node in the membership list for its version. Nodes that do not serve
+    /// may be missing from the list.
     fn confirmation_step(&self, state: &State, next: &mut Vec<State>) {
         let listed = state.nodes.iter().filter(|node| node.phase == NodePhase::Serving);
         let Some(lowest) = listed.map(|node| node.version).min() else {
--- a/crates/spec/src/explorer.rs
+++ b/crates/spec/src/explorer.rs
@@ -1,36 +1,36 @@
-//! Visits every reachable state of a model, the nearest first.
+//! Breadth-first search through all reachable states of a model.
 
 use std::{cell::Cell, fmt::Debug, hash::Hash};
 
 use pathfinding::directed::bfs::bfs;
 
-/// A specification.
+/// A model of a protocol: a state machine with invariants.
 pub trait Model {
-    /// Everything that matters of a moment.
+    /// State of the whole system.
     type State: Clone + Debug + Eq + Hash;
 
-    /// Where it starts.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
 
-    /// The states that one step leads to.
+    /// Returns the successors of a state, one for each possible step.
     fn steps(&self, state: &Self::State) -> Vec<Self::State>;
 
-    /// What is wrong with a state, if anything is.
+    /// Describes the invariant that a state violates, if any.
     fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What a check found.
+/// Result of a check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// How many states were expanded.
+    /// Number of states expanded.
     pub states: usize,
-    /// What was violated, if anything was.
+    /// Description of the violated invariant, if any.
     pub violation: Option<&'static str>,
-    /// The shortest way to the violation, state by state.
+    /// Shortest path from the initial state to the violation.
     pub trace: Vec<String>,
 }
 
-/// Visits every state of `model` until one is in violation.
+/// Visits every reachable state of `model` until one violates an invariant.
 pub fn check<M: Model>(model: &M) -> Report {
     let states = Cell::new(0);
     let expand = |state: &M::State| {
--- a/crates/spec/src/leaving.rs
+++ b/crates/spec/src/leaving.rs
@@ -1,57 +1,58 @@
-//! How a node leaves without refusing a caller that was advised to use it.
+//! Model of how a node leaves without refusing a caller that was advised to use it.
 //!
-//! Time goes in ticks. Callers are advised by the leaving node and by another,
-//! which hears of the leaving after up to [`MAX_PROPAGATION`] ticks. An address may be
-//! kept for [`ADVICE_VALIDITY`] ticks; a request takes up to [`MAX_REQUEST_TICKS`] ticks. The node
-//! refuses new requests from some ticks after it began to leave, and exits once
-//! those in flight have ended.
+//! Time advances in ticks. Callers get advice from the leaving node and from a peer,
+//! which learns after up to [`MAX_PROPAGATION`] ticks that the node is leaving. Advice is
+//! valid for [`ADVICE_VALIDITY`] ticks; a request takes up to [`MAX_REQUEST_TICKS`] ticks.
+//! The node refuses new requests a number of ticks after it began to leave, and exits
+//! once the requests in flight have ended.
 //!
-//! Promised: no caller with valid advice is refused, and no request is cut.
+//! Invariants: no caller with valid advice is refused, and no request is interrupted.
 
 use crate::Model;
 
-/// The most ticks until every node has heard of a leaving one.
+/// Maximum number of ticks until every node knows that a node is leaving.
 pub const MAX_PROPAGATION: u8 = 2;
-/// The ticks for which advice may be kept.
+/// Number of ticks for which advice is valid.
 pub const ADVICE_VALIDITY: u8 = 3;
-/// The most ticks that a request takes.
+/// Maximum duration of a request, in ticks.
 pub const MAX_REQUEST_TICKS: u8 = 2;
-/// The end of the clock.
+/// Number of ticks that the model covers.
 const CLOCK_END: u8 = 10;
 
-/// A safeguard that is taken away.
+/// A safeguard that is removed from the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Nothing is taken away.
+    /// All safeguards are in place.
     None,
-    /// New requests are refused once the node's own advice has lapsed.
+    /// New requests are refused once the node's own advice has expired, although peers may still
+    /// have advised its address later.
     IgnorePropagation,
-    /// New requests are refused at once.
+    /// New requests are refused as soon as the node begins to leave.
     RefuseAtOnce,
-    /// The node exits as soon as it refuses new requests.
+    /// The node exits while requests are in flight, as soon as it refuses new ones.
     ExitBeforeDone,
-    /// The node goes on advising itself while it leaves.
+    /// The node continues to advise its own address while it leaves.
     AdviseSelf,
 }
 
-/// The specification, with one safeguard taken away or none.
+/// The model, with at most one safeguard removed.
 #[derive(Clone, Copy, Debug)]
 pub struct LeavingModel {
-    /// What is taken away.
+    /// The removed safeguard.
     pub mutation: Mutation,
 }
 
-/// A moment.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     /// Ticks since the node began to leave; `None` before.
     leaving_ticks: Option<u8>,
     clock: u8,
-    /// Whether the other node has heard of it.
+    /// Whether the peer knows that the node is leaving.
     peer_informed: bool,
-    /// Ticks for which the caller may still use the address.
+    /// Ticks for which the caller's advice is still valid.
     advice_left: u8,
-    /// Ticks that the running request still takes; zero for none.
+    /// Remaining ticks of the running request; zero for none.
     request_left: u8,
     exited: bool,
     refused: bool,
@@ -107,7 +108,8 @@
 }
 
 impl LeavingModel {
-    /// A tick; none while the other node is due to have heard and has not.
+    /// Advances the clock by one tick. Returns `None` if the propagation limit has been reached and
+    /// the peer is not informed yet, as the peer must be informed first.
     fn tick(&self, state: &State) -> Option<State> {
         if state.leaving_ticks.is_some_and(|ticks| ticks >= MAX_PROPAGATION) && !state.peer_informed
         {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Whether new requests are refused.
+    /// Whether the node refuses new requests.
     fn refuses(&self, state: &State) -> bool {
         let wait = match self.mutation {
             Mutation::RefuseAtOnce => 0,
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small specifications of the protocols between the nodes, checked exhaustively.
+//! Small models of the protocols between the nodes, checked exhaustively.
 //!
-//! A specification is a [`Model`]: a state, the steps that lead from it, and
-//! what must never be seen. [`check`] visits every state that can be reached
-//! with a few nodes and a few faults. Each model has mutations, which take one
-//! safeguard away; a mutation that is not caught shows that the model proves
+//! A specification is a [`Model`]: an initial state, the possible steps from each
+//! state, and the invariants. [`check`] visits every state that is reachable with a
+//! few nodes and a few faults. Each model has mutations, each of which removes one
+//! safeguard. A mutation that the check does not detect shows that the model proves
 //! less than it seems to.
 
 #![forbid(unsafe_code)]
--- a/crates/spec/src/ticket.rs
+++ b/crates/spec/src/ticket.rs
@@ -1,60 +1,60 @@
-//! How a non-idempotent request runs at most once.
+//! Model of how a non-idempotent request runs at most once.
 //!
-//! A caller sends one request under one ticket to the issuer and to another
-//! node, any number of times. The issuer sends it to the target through a
-//! holder; each hop may lose the message or its reply, and each process may
-//! crash or freeze. Messages of one connection are not duplicated, which TCP
-//! sees to; the senders are what could send twice.
+//! A caller sends one request under one ticket to the issuer and to another node,
+//! any number of times. The issuer sends the request to the target through a holder;
+//! each hop may lose the message or its reply, and each process may crash or freeze.
+//! TCP prevents duplicates within a connection, so only senders can cause duplicates.
 //!
-//! Promised: it runs at most once; "not run" is true for good; "done" is true.
+//! Invariants: the request runs at most once; a request reported as "not run" has not
+//! run and never will; a request reported as "done" has run.
 
 use crate::Model;
 
-/// The most times that the issuer sends, after certain refusals.
+/// Maximum number of sends by the issuer; it sends again only if the request certainly did not run.
 const MAX_SENDS: u8 = 2;
-/// The most restarts of the issuer.
+/// Maximum number of restarts of the issuer.
 const MAX_RESTARTS: u8 = 1;
 
-/// A safeguard that is taken away.
+/// A safeguard that is removed from the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Nothing is taken away.
+    /// All safeguards are in place.
     None,
-    /// A restarted issuer runs tickets of its earlier life.
+    /// A restarted issuer accepts tickets of its earlier incarnation.
     AnyIncarnation,
     /// Another node runs the request itself if the issuer does not answer.
     RunElsewhere,
-    /// The issuer sends again after its connection broke.
+    /// The issuer sends again after its connection has broken.
     ResendAfterLoss,
-    /// A time-out after sending is told as "not run".
+    /// A timeout after sending is reported as "not run".
     TimeoutNotRun,
-    /// The issuer forgets an outcome while the ticket can still be used.
+    /// The issuer discards an outcome while the ticket is still valid.
     ForgetEarly,
-    /// The holder sends to the target again after its connection broke.
+    /// The holder sends to the target again after its connection has broken.
     HolderResends,
-    /// A holder that gave up its wait tells "not run", and sends all the same.
+    /// A holder whose wait has timed out replies "not run" but still sends the request.
     HolderSendsLate,
 }
 
-/// The specification, with one safeguard taken away or none.
+/// The model, with at most one safeguard removed.
 #[derive(Clone, Copy, Debug)]
 pub struct TicketModel {
-    /// What is taken away.
+    /// The removed safeguard.
     pub mutation: Mutation,
 }
 
-/// What the issuer knows of the ticket.
+/// State of the ticket at the issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum TicketState {
     Nothing,
-    /// It waits for capacity; nothing was sent.
+    /// The request waits for capacity; nothing was sent.
     Queued,
-    /// It was sent this often, and the reply is awaited.
+    /// The request was sent this number of times, and the reply is awaited.
     Sent(u8),
     Outcome(Reply),
 }
 
-/// What a caller is told.
+/// Reply to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Reply {
     Done,
@@ -62,28 +62,28 @@
     Unknown,
 }
 
-/// One sending of the request, as it goes from hop to hop.
+/// Progress of one send of the request from the issuer to the target and back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Delivery {
     ToHolder,
     AtHolder,
     ToTarget,
-    /// The target ran it; the reply is on its way.
+    /// The target has run the request; the reply is in transit.
     Ran,
-    /// It certainly did not and will not run; that reply is on its way.
+    /// The request certainly did not and will not run; that reply is in transit.
     Refused,
     /// The message or the reply was lost.
     Lost,
 }
 
-/// A moment.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     restarts: u8,
     issuer_up: bool,
     issuer_frozen: bool,
     ticket: TicketState,
-    /// The sendings under way, the latest last; earlier ones are not awaited.
+    /// All deliveries, the latest last; the issuer awaits only the reply of the latest.
     deliveries: Vec<Delivery>,
     awaited: bool,
     runs: u8,
@@ -125,13 +125,13 @@
 
     fn violation(&self, state: &State) -> Option<&'static str> {
         if state.runs > 1 {
-            return Some("it ran twice");
+            return Some("the request ran twice");
         }
         if state.replied_not_run && state.runs > 0 {
-            return Some("told not run, but it ran");
+            return Some("reported as not run, but it ran");
         }
         if state.replied_done && state.runs == 0 {
-            return Some("told done, but it did not run");
+            return Some("reported as done, but it did not run");
         }
         None
     }
@@ -140,7 +140,7 @@
 impl TicketModel {
     fn issuer_faults(&self, state: &State, next: &mut Vec<State>) {
         if !state.issuer_up {
-            // It restarts at the same address, with nothing in its memory.
+            // The issuer restarts at the same address, without its state in memory.
             let mut up = state.clone();
             up.issuer_up = true;
             up.restarts += 1;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The request arrives at a node, for the first time or again.
+    /// The caller sends the request to a node, for the first time or again.
     fn caller_steps(&self, state: &State, next: &mut Vec<State>) {
         let reachable = state.issuer_up && !state.issuer_frozen;
         if !reachable && self.mutation == Mutation::RunElsewhere && !state.elsewhere {
@@ -170,12 +170,12 @@
             next.push(state);
         }
         if !reachable {
-            // The other node tells "ask again", which promises nothing.
+            // The other node replies "retry", which states nothing about the outcome.
             return;
         }
         let foreign = state.restarts > 0 && self.mutation != Mutation::AnyIncarnation;
         match state.ticket {
-            // A ticket of an earlier life: "outcome unknown", and it never runs.
+            // A ticket of an earlier incarnation is answered with "outcome unknown" and never runs.
             TicketState::Nothing if foreign => {}
             TicketState::Nothing => {
                 let mut state = state.clone();
@@ -183,7 +183,7 @@
                 next.push(state);
             }
             TicketState::Outcome(reply) => next.push(reply_to_caller(state, reply)),
-            // A duplicate waits for the one run.
+            // A duplicate waits for the outcome of the first.
             TicketState::Queued | TicketState::Sent(_) => {}
         }
     }
@@ -192,7 +192,7 @@
         match state.ticket {
             TicketState::Queued => {
                 next.push(send(state, 1));
-                // The deadline passes in the queue, or the caller is refused.
+                // The deadline expires in the queue, or the request is refused.
                 next.push(complete(state, Reply::NotRun));
             }
             TicketState::Sent(count) => {
@@ -218,7 +218,7 @@
         }
         match state.deliveries.last() {
             Some(Delivery::Ran) => next.push(complete(state, Reply::Done)),
-            // A certain refusal: the same request may be sent again, or given up.
+            // The request certainly did not run: it may be sent again or reported as "not run".
             Some(Delivery::Refused) => {
                 next.push(complete(state, Reply::NotRun));
                 if count < MAX_SENDS {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// One sending moves on: to the next hop, or into a fault of that hop.
+    /// Advances one delivery to the next hop or into a fault of that hop.
     fn delivery_steps(&self, state: &State, at: usize, next: &mut Vec<State>) {
         let mut advance = |deliveries: &[Delivery], runs: u8| {
             for delivery in deliveries {
@@ -246,17 +246,17 @@
             }
         };
         match state.deliveries[at] {
-            // It arrives, the connection can't be opened, or it breaks.
+            // The request arrives, the connection cannot be opened, or the connection breaks.
             Delivery::ToHolder => {
                 advance(&[Delivery::AtHolder, Delivery::Refused, Delivery::Lost], 0)
             }
-            // The holder sends it on, gives up while it waits, or crashes.
+            // The holder forwards the request, times out while it waits, or crashes.
             Delivery::AtHolder => {
                 advance(&[Delivery::ToTarget, Delivery::Refused, Delivery::Lost], 0)
             }
             Delivery::ToTarget => {
-                // It is shed or can't be sent; the connection breaks before the
-                // target reads it; the target runs it, and the reply may be lost.
+                // The request is shed or cannot be sent; the connection breaks before the
+                // target reads it; or the target runs it, and the reply may be lost.
                 advance(&[Delivery::Refused, Delivery::Lost], 0);
                 advance(&[Delivery::Ran, Delivery::Lost], 1);
                 if self.mutation == Mutation::HolderResends && state.runs < 2 {
--- a/crates/spec/tests/spec.rs
+++ b/crates/spec/tests/spec.rs
@@ -1,4 +1,4 @@
-//! Checks every specification, and that each mutation is caught.
+//! Checks that every model holds, and that the check detects each mutation.
 
 use spec::{
     Report, check,
@@ -35,7 +35,8 @@
     serve_after_wake = { config::Mutation::ServeAfterWake,
         "a node serves with an older version than was confirmed everywhere" },
     unconditional_write = { config::Mutation::UnconditionalWrite, "a change was accepted twice" },
-    lost_reply_is_refusal = { config::Mutation::LostReplyIsRefusal, "told refused, but accepted" },
+    lost_reply_is_refusal = { config::Mutation::LostReplyIsRefusal,
+        "reported as refused, but accepted" },
     accept_empty_answer = { config::Mutation::AcceptEmptyAnswer,
         "a node serves with an older version than was confirmed everywhere" },
 )]
@@ -46,13 +47,13 @@
 }
 
 #[parameterized(
-    any_incarnation = { ticket::Mutation::AnyIncarnation, "told not run, but it ran" },
-    run_elsewhere = { ticket::Mutation::RunElsewhere, "told not run, but it ran" },
-    resend_after_loss = { ticket::Mutation::ResendAfterLoss, "told not run, but it ran" },
-    timeout_not_run = { ticket::Mutation::TimeoutNotRun, "told not run, but it ran" },
-    forget_early = { ticket::Mutation::ForgetEarly, "told not run, but it ran" },
-    holder_resends = { ticket::Mutation::HolderResends, "it ran twice" },
-    holder_sends_late = { ticket::Mutation::HolderSendsLate, "told not run, but it ran" },
+    any_incarnation = { ticket::Mutation::AnyIncarnation, "reported as not run, but it ran" },
+    run_elsewhere = { ticket::Mutation::RunElsewhere, "reported as not run, but it ran" },
+    resend_after_loss = { ticket::Mutation::ResendAfterLoss, "reported as not run, but it ran" },
+    timeout_not_run = { ticket::Mutation::TimeoutNotRun, "reported as not run, but it ran" },
+    forget_early = { ticket::Mutation::ForgetEarly, "reported as not run, but it ran" },
+    holder_resends = { ticket::Mutation::HolderResends, "the request ran twice" },
+    holder_sends_late = { ticket::Mutation::HolderSendsLate, "reported as not run, but it ran" },
 )]
 fn a_mutation_of_tickets_is_caught(mutation: ticket::Mutation, expected: &str) {
     let report = check(&TicketModel { mutation });
