--- a/crates/history/tests/answers_checker.rs
+++ b/crates/history/tests/answers_checker.rs
@@ -1,7 +1,7 @@
-//! The checker on answers: a clean history passes, each planted violation is caught.
+//! Tests of the checks on answers: a clean history passes, and each violation is detected.
 //!
-//! Every case takes the clean history, breaks one promise in it as a faulty tier
-//! would, and expects the checker to name that promise.
+//! Every case violates one promise in the clean history, as a faulty tier would, and
+//! expects the checker to report that promise.
 
 mod fixture;
 
@@ -155,7 +155,8 @@
     assert_eq!(promises(&history), []);
 }
 
-/// A node takes `s3`, declared but not of the snapshot, for missing again and again.
+/// Makes a node count `s3`, which is declared but not part of the snapshot, as missing in the
+/// answer of the clean history and in further ones, `times` seconds later.
 fn count_extra_shard(history: &mut History, times: &[u64]) {
     change_answer(history, |answer| {
         answer.coverage.asked += 1;
--- a/crates/history/tests/promises_checker.rs
+++ b/crates/history/tests/promises_checker.rs
@@ -1,7 +1,7 @@
-//! The checker on all that is promised besides the content of answers.
+//! Tests of the checks on all promises besides those on answers.
 //!
-//! Every case takes the clean history, breaks one promise in it as a faulty tier
-//! would, and expects the checker to name that promise.
+//! Every case violates one promise in the clean history, as a faulty tier would, and
+//! expects the checker to report that promise.
 
 mod fixture;
 
@@ -61,8 +61,8 @@
 
 #[test]
 fn a_refusal_after_the_request_ran_is_caught_though_it_was_sent_again() {
-    // The first try runs and its reply is lost; the second is refused as "not
-    // run". The caller books elsewhere and holds two rooms.
+    // The first attempt runs and its reply is lost; the second is refused as "not run".
+    // A caller that believes the refusal books elsewhere and then holds two rooms.
     let mut history = clean_history();
     let mut first = attempt(3, exclusive(), Outcome::Broken);
     (first.sent_us, first.ended_us) = (18 * SECOND, 19 * SECOND);
@@ -120,13 +120,13 @@
     assert_eq!(promises(&history).contains(&Promise::Leaving), caught);
 }
 
-/// Version 2, of second 10, leaves a target out; a later one takes it in again.
+/// Version 2, accepted in second 10, excludes a target; a later version includes it again.
 #[parameterized(
     late = { 16, &[(3, 18)], true },
     in_time = { 14, &[(3, 18)], false },
     taken_in = { 16, &[(3, 12)], false },
     taken_in_later = { 17, &[(3, 18)], true },
-    // The version between them may have taken it in.
+    // The unrecorded version in between may have included the target.
     unknown_between = { 16, &[(4, 18)], false },
     for_good = { 40, &[], true },
 )]
@@ -146,7 +146,7 @@
     assert_eq!(promises(&history).contains(&Promise::Leaving), caught);
 }
 
-/// One request crashes targets, a second apart, or after its mark has expired.
+/// One request crashes targets at intervals of one second, or after its mark has expired.
 #[parameterized(
     few = { &[1, 2, 3, 4], None, false },
     many = { &[1, 2, 3, 4, 5], None, true },
--- a/crates/history/tests/run.rs
+++ b/crates/history/tests/run.rs
@@ -1,9 +1,9 @@
 //! A short run against the real daemons, with faults.
 //!
-//! Callers search and hold rooms while nodes are killed, stopped, shut down and
-//! cut off, targets crash, drain and fall silent, the platform is out or loses
-//! replies, operators race, and the index is published and repartitioned. What
-//! they saw is checked against the eight promises afterwards.
+//! Callers search and hold rooms while nodes are killed, paused, shut down and cut off,
+//! targets crash, drain and stop answering, the platform is unavailable or loses replies,
+//! operators make concurrent changes, and the index is published and repartitioned. The
+//! recorded history is then checked against the eight promises.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     runner::{self, RunOptions},
 };
 
-/// The seed of every choice of the run.
+/// Seed of all random choices of the run.
 const SEED: u64 = 20_261_202;
 
 #[test]
@@ -25,6 +25,6 @@
     println!("seed: {SEED}\nlogs: {}\n{report}", options.folder.display());
     assert!(!verdict.history.attempts.is_empty());
     assert!(verdict.findings.violations.is_empty(), "seed {SEED}\n{report}");
-    // The logs are kept where something was found.
+    // The logs are kept after a violation.
     std::fs::remove_dir_all(&options.folder).unwrap();
 }
