--- a/crates/history/src/answers.rs
+++ b/crates/history/src/answers.rs
@@ -16,13 +16,13 @@
 /// of another tenant.
 pub fn check(history: &History, findings: &mut Findings) {
     for attempt in &history.attempts {
-        if let Some(fault) = fault(attempt) {
+        if let Some(fault) = answer_fault(attempt) {
             findings.add(Promise::Answers, format!("{:x}: {fault}", attempt.nonce));
         }
     }
 }
 
-fn fault(attempt: &Attempt) -> Option<String> {
+fn answer_fault(attempt: &Attempt) -> Option<String> {
     match (&attempt.request, &attempt.outcome) {
         (_, Outcome::Unreadable(detail)) => Some(format!("unreadable reply: {detail}")),
         (Request::Search { .. }, Outcome::Answer(answer)) => {
--- a/crates/history/src/environment_faults.rs
+++ b/crates/history/src/environment_faults.rs
@@ -24,7 +24,7 @@
 const DRAIN_MS: u64 = 8_000;
 
 /// Time for which targets keep the previous version of the index, in milliseconds.
-const KEEP_MS: u64 = 2_000;
+const RETENTION_MS: u64 = 2_000;
 
 /// Injects faults of targets, one at a time, until the run is over.
 pub async fn inject_target_faults(run: Rc<RunContext>) {
@@ -159,7 +159,7 @@
             change(&run, FaultChange { target, publish, ..FaultChange::default() }).await;
             run.sleep_ms(random.below(40) as u64).await;
         }
-        run.sleep_ms(KEEP_MS).await;
+        run.sleep_ms(RETENTION_MS).await;
         run.record_fault("earlier index dropped", &(version - 1).to_string());
         for target in 0..SEARCH_SHARDS * REPLICAS.len() {
             let unpublish = Some(IndexVersion(version - 1));
--- a/crates/history/src/report.rs
+++ b/crates/history/src/report.rs
@@ -47,25 +47,25 @@
 
 fn write_statistics(text: &mut String, verdict: &Verdict) -> std::fmt::Result {
     let history = &verdict.history;
-    let mut spans: Vec<u64> =
+    let mut latencies: Vec<u64> =
         history.answers().map(|(attempt, ..)| attempt.ended_us - attempt.sent_us).collect();
-    let mut spreads = propagation_times(history, &Bounds::default());
+    let mut delays = propagation_times(history, &Bounds::default());
     let asked: u64 = history.answers().map(|(.., answer)| answer.coverage.asked as u64).sum();
     let covered: u64 = history.answers().map(|(.., answer)| answer.coverage.covered as u64).sum();
     let full = history.answers().filter(|(.., answer)| answer.coverage.is_full()).count();
     let runs = history.runs.iter().filter(|run| !run.exclusive).count();
     let done = history.runs.iter().filter(|run| run.end == RunEnd::Done).count();
-    let (median, p99) = (quantile(&mut spans, 0.5), quantile(&mut spans, 0.99));
+    let (median, p99) = (quantile(&mut latencies, 0.5), quantile(&mut latencies, 0.99));
     writeln!(text, "answers: median {} us, 99th percentile {} us", median, p99)?;
     writeln!(text, "coverage: {covered} of {asked} shards, {full} answers cover all")?;
     writeln!(text, "runs on targets: {runs} searches, {done} of all runs completed")?;
     writeln!(text, "shed: {}, connections over limits: {}", verdict.shed, verdict.over_limit)?;
-    let (median, most) = (quantile(&mut spreads, 0.5), quantile(&mut spreads, 1.0));
+    let (median, most) = (quantile(&mut delays, 0.5), quantile(&mut delays, 1.0));
     writeln!(text, "configurations: {} accepted", history.accepted.len())?;
     writeln!(
         text,
         "  undisturbed: {}, in force everywhere after {median} us (median), {most} us (maximum)",
-        spreads.len()
+        delays.len()
     )?;
     writeln!(text, "readings of nodes: {}", history.readings.len())?;
     writeln!(text, "drains: {}, shutdowns: {}", history.drains.len(), history.shutdowns.len())?;
--- a/crates/history/src/target_changes.rs
+++ b/crates/history/src/target_changes.rs
@@ -30,7 +30,7 @@
             match self.random.below(3) {
                 0 => self.remove(&target).await,
                 1 => self.relabel(&target).await,
-                _ => self.hide(&target).await,
+                _ => self.exclude_by_selector(&target).await,
             }
             self.run.sleep_ms(self.random.below(1_000) as u64).await;
         }
@@ -84,7 +84,7 @@
     }
 
     /// Labels a target, then changes the selector so that it excludes the label.
-    async fn hide(&self, name: &TargetName) {
+    async fn exclude_by_selector(&self, name: &TargetName) {
         let mark = |document: &mut Document| {
             if let Some(target) = document.targets.get_mut(name) {
                 target.labels.insert(HIDDEN_LABEL.to_owned(), "yes".to_owned());
