--- a/crates/history/src/target_changes.rs
+++ b/crates/history/src/target_changes.rs
@@ -18,7 +18,7 @@
 /// new work, so that late work is observed.
 const EXCLUSION_MS: u64 = 8_000;
 
-/// Label of targets that the search selector can exclude.
+/// Label of the targets that the changed search selector excludes.
 const HIDDEN_LABEL: &str = "hidden";
 
 impl Operator {
