--- a/crates/history/src/configuration.rs
+++ b/crates/history/src/configuration.rs
@@ -1,9 +1,9 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Checks that an accepted configuration is in force everywhere within seconds and never reverts.
 //!
-//! Readings are what nodes say of themselves and the versions that answers name.
-//! Outages of the platform, and the stops of the node itself, put the time off:
-//! news can't spread then. A node that starts has no such excuse: it must not
-//! serve before it knows what is in force.
+//! Readings are the versions that nodes report for themselves and those stated in
+//! answers. Outages of the platform, and pauses of the node itself, extend the
+//! deadline, as updates cannot propagate then. A start of the node does not: a node
+//! must not serve before it knows the version in force.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,18 @@
 
 use crate::{
     checker::{Bounds, Findings, Promise},
-    record::{Accepted, History, Life, Reading},
+    record::{Accepted, History, NodeInstance, Reading},
 };
 
-/// Looks for nodes that are behind or go back, and for accepted changes lost.
+/// Looks for nodes that are behind or go back, and for accepted changes that were lost.
 pub fn check(history: &History, bounds: &Bounds, findings: &mut Findings) {
     let readings = readings(history);
     check_accepted(history, findings);
     check_order(&readings, findings);
-    check_spread(history, &readings, bounds, findings);
+    check_propagation(history, &readings, bounds, findings);
 }
 
-/// The readings of each life, in the order in which they began.
+/// Returns the readings of all node instances, ordered by their begin.
 fn readings(history: &History) -> Vec<Reading> {
     let from_answers = history.answers().map(|(attempt, _, answer)| Reading {
         life: attempt.life.clone(),
@@ -40,22 +40,23 @@
         history.accepted.iter().map(|accepted| accepted.version).collect();
     versions.sort();
     for pair in versions.windows(2).filter(|pair| pair[0] == pair[1]) {
-        let detail = format!("version {} was accepted from two operators", pair[0]);
+        let detail = format!("version {} was accepted for two writes", pair[0]);
         findings.add(Promise::Configuration, detail);
     }
     if let Some(newest) = versions.last().filter(|newest| **newest > history.last) {
-        let detail = format!("version {newest} was accepted, but {} is stored", history.last);
+        let detail =
+            format!("version {newest} was accepted, but the stored version is {}", history.last);
         findings.add(Promise::Configuration, detail);
     }
 }
 
-/// A reading that began after another of the same life was there must not be older.
+/// A reading must not be older than one of the same instance that ended before it began.
 fn check_order(readings: &[Reading], findings: &mut Findings) {
-    let mut lives: BTreeMap<&Life, Vec<&Reading>> = BTreeMap::new();
+    let mut by_instance: BTreeMap<&NodeInstance, Vec<&Reading>> = BTreeMap::new();
     for reading in readings {
-        lives.entry(&reading.life).or_default().push(reading);
+        by_instance.entry(&reading.life).or_default().push(reading);
     }
-    for (life, readings) in lives {
+    for (life, readings) in by_instance {
         let mut ended: Vec<&Reading> = readings.clone();
         ended.sort_by_key(|reading| reading.ended_us);
         let mut ended = ended.into_iter().peekable();
@@ -73,11 +74,17 @@
     }
 }
 
-fn check_spread(history: &History, readings: &[Reading], bounds: &Bounds, findings: &mut Findings) {
+/// Looks for readings that are older than a version whose deadline had passed.
+fn check_propagation(
+    history: &History,
+    readings: &[Reading],
+    bounds: &Bounds,
+    findings: &mut Findings,
+) {
     for reading in readings {
         let late = |accepted: &&Accepted| {
             accepted.version > reading.version
-                && due(accepted, reading, history, bounds) < reading.sent_us
+                && deadline(accepted, reading, history, bounds) < reading.sent_us
         };
         if let Some(accepted) = history.accepted.iter().find(late) {
             let span = reading.sent_us.saturating_sub(accepted.at_us) / 1_000;
@@ -90,34 +97,36 @@
     }
 }
 
-fn due(accepted: &Accepted, reading: &Reading, history: &History, bounds: &Bounds) -> u64 {
-    let mut due = accepted.at_us + bounds.config_us;
+/// Returns the time by which the node of `reading` must have the accepted version. Disturbances of
+/// the platform or of this node extend it.
+fn deadline(accepted: &Accepted, reading: &Reading, history: &History, bounds: &Bounds) -> u64 {
+    let mut deadline = accepted.at_us + bounds.config_us;
     for disturbance in &history.disturbances {
         let concerns = disturbance.node.as_ref().is_none_or(|node| *node == reading.life.node);
-        if concerns && disturbance.from_us <= due && disturbance.until_us >= accepted.at_us {
-            due = due.max(disturbance.until_us + bounds.config_us);
+        if concerns && disturbance.from_us <= deadline && disturbance.until_us >= accepted.at_us {
+            deadline = deadline.max(disturbance.until_us + bounds.config_us);
         }
     }
-    due
+    deadline
 }
 
-/// How long each accepted version took to be read on every node, in microseconds;
-/// only of those that no disturbance put off.
+/// Returns the time from the acceptance of each version until every node reports it, in
+/// microseconds. Versions whose propagation overlapped with a disturbance are left out.
 ///
-/// Readings are taken at intervals, so this is too long by up to one of them.
-pub fn spread_times(history: &History, bounds: &Bounds) -> Vec<u64> {
+/// Readings are taken at intervals, so each time is too long by up to one interval.
+pub fn propagation_times(history: &History, bounds: &Bounds) -> Vec<u64> {
     let readings = readings(history);
-    let is_calm = |accepted: &&Accepted| {
+    let is_undisturbed = |accepted: &&Accepted| {
         let until = accepted.at_us + bounds.config_us;
         let mut disturbances = history.disturbances.iter();
         !disturbances.any(|found| found.from_us <= until && found.until_us >= accepted.at_us)
     };
-    let spread = |accepted: &Accepted| {
+    let propagation_time = |accepted: &Accepted| {
         let behind = readings.iter().filter(|reading| {
             reading.version < accepted.version && reading.sent_us > accepted.at_us
         });
         let last = behind.map(|reading| reading.sent_us).max();
         last.map_or(0, |last| last - accepted.at_us)
     };
-    history.accepted.iter().filter(is_calm).map(spread).collect()
+    history.accepted.iter().filter(is_undisturbed).map(propagation_time).collect()
 }
--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -1,110 +1,111 @@
-//! How a configuration is accepted, spreads, and stays in force.
+//! Model of how a configuration is accepted, propagates, and stays in force.
 //!
-//! Two operators write the head by compare-and-swap; a write may arrive late,
-//! and its reply may be lost. Nodes read the head or hear of it from each other,
-//! in any order and any number of times. A node may crash, be born, freeze and
-//! wake. An operator may ask whether a version is in force everywhere: then every
-//! node that the membership lists must say so, and a frozen node may have been
-//! dropped from the list.
+//! Two operators write the head by compare-and-swap; a write may arrive late, and
+//! its reply may be lost. Nodes read the head from the platform or receive it from
+//! each other, in any order and any number of times. A node may crash, start, freeze
+//! and wake. An operator may ask whether a version is in force everywhere: every node
+//! in the membership list must confirm it, but a frozen node may have been dropped
+//! from the list.
 //!
-//! Promised: what was accepted is accepted once and told truly; a version that a
-//! node puts in force was accepted; within its life a node never goes back; and
-//! once an operator was told "in force everywhere", no node serves with an older
-//! version, also not one that is born or wakes later.
+//! Invariants: a change is accepted at most once and its outcome is reported
+//! correctly; a node puts only accepted versions in force; between a start and a
+//! crash, a node never goes back to an older version; and once an operator has been
+//! told "in force everywhere", no node serves with an older version, not even one
+//! that starts or wakes later.
 
 use crate::Model;
 
-/// How many nodes there are.
-const NODES: usize = 3;
-/// How many operators there are, each with one change.
-const OPERATORS: usize = 2;
-/// The most crashes and freezes together.
-const FAULT_LIMIT: u8 = 2;
-/// The most copies of the head that are still on the way to nodes.
-const NEWS_LIMIT: usize = 2;
+/// Number of nodes.
+const NODE_COUNT: usize = 3;
+/// Number of operators, each with one change.
+const OPERATOR_COUNT: usize = 2;
+/// Maximum total number of crashes, freezes and outages.
+const MAX_FAULTS: u8 = 2;
+/// Maximum number of versions in transit to nodes.
+const MAX_IN_TRANSIT: usize = 2;
 
-/// A safeguard that is taken away.
+/// A safeguard that is removed from the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Nothing is taken away.
+    /// All safeguards are in place.
     None,
-    /// A node takes any version it hears of.
-    TakeLower,
-    /// A node that was born serves before it has a version.
-    ServeUnborn,
-    /// A node that wakes serves before it has asked again.
-    NoRecheck,
-    /// The platform's service takes a write whatever the revision is.
-    BlindWrite,
-    /// An operator whose reply was lost takes the write as failed.
-    LostIsFailed,
-    /// A node that was born takes the first answer of any peer, also one unborn.
-    ServeEmpty,
+    /// A node accepts any version it receives, also an older one.
+    AcceptOlder,
+    /// A node that has started serves before it has a version.
+    ServeWithoutVersion,
+    /// A node that wakes serves before it has synchronised again.
+    ServeAfterWake,
+    /// The platform accepts a write without comparing the revision.
+    UnconditionalWrite,
+    /// An operator treats a lost reply as a refusal of the write.
+    LostReplyIsRefusal,
+    /// A node that has started accepts the answer of any peer, also of one that is not serving.
+    AcceptEmptyAnswer,
 }
 
-/// The specification, with one safeguard taken away or none.
+/// The model, with at most one safeguard removed.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigModel {
-    /// What is taken away.
+    /// The removed safeguard.
     pub mutation: Mutation,
 }
 
-/// A node.
+/// State of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Node {
-    life: Life,
-    /// The version in force; zero for none.
+    phase: NodePhase,
+    /// Version in force; zero for none.
     version: u8,
-    /// The highest version in force in this life.
+    /// Highest version in force since the start of the node.
     highest: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Life {
+enum NodePhase {
     Down,
-    /// Born, or woken and about to ask again: it does not serve.
-    Asking,
+    /// Started or woken, and not yet synchronised: the node does not serve.
+    Syncing,
     Serving,
     Frozen,
 }
 
-/// An operator with one change.
+/// State of an operator with one change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Operator {
-    /// It has not begun.
+    /// The operator has not begun its change.
     Idle,
-    /// It has read this version and sent its write.
+    /// The operator has read this version and sent its write.
     Sent(u8),
-    /// The reply did not come; it will write again under the same expectation.
-    Unsure(u8),
-    /// It was told that its change is in force as this version.
+    /// The reply timed out; the operator will repeat the write with the same expected version.
+    Retrying(u8),
+    /// The change was reported as accepted with this version.
     Accepted(u8),
-    /// It was told that its change is not, and never will be.
+    /// The change was reported as refused: it is not in force and never will be.
     Refused,
 }
 
-/// A write on its way to the platform's service.
+/// A write in transit to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Write {
     operator: u8,
     base: u8,
-    /// Whether its operator still waits for the reply.
+    /// Whether the operator still waits for the reply.
     awaited: bool,
 }
 
-/// A moment.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The operator that wrote each version, the first version first.
+    /// The operator that wrote each version, starting with version 1.
     accepted: Vec<u8>,
     writes: Vec<Write>,
-    operators: [Operator; OPERATORS],
-    nodes: [Node; NODES],
-    /// Copies of the head on their way to nodes.
-    news: Vec<u8>,
+    operators: [Operator; OPERATOR_COUNT],
+    nodes: [Node; NODE_COUNT],
+    /// Versions in transit to nodes.
+    in_transit: Vec<u8>,
     outage: bool,
     faults: u8,
-    /// The version that an operator was told is in force everywhere.
+    /// The version that was reported to an operator as in force everywhere.
     confirmed: u8,
 }
 
@@ -112,13 +113,13 @@
     type State = State;
 
     fn initial(&self) -> State {
-        let node = Node { life: Life::Asking, version: 0, highest: 0 };
+        let node = Node { phase: NodePhase::Syncing, version: 0, highest: 0 };
         State {
             accepted: vec![],
             writes: vec![],
-            operators: [Operator::Idle; OPERATORS],
-            nodes: [node; NODES],
-            news: vec![],
+            operators: [Operator::Idle; OPERATOR_COUNT],
+            nodes: [node; NODE_COUNT],
+            in_transit: vec![],
             outage: false,
             faults: 0,
             confirmed: 0,
@@ -129,13 +130,13 @@
         let mut next = Vec::new();
         self.operator_steps(state, &mut next);
         self.platform_steps(state, &mut next);
-        for node in 0..NODES {
+        for node in 0..NODE_COUNT {
             self.node_steps(state, node, &mut next);
         }
-        self.status_step(state, &mut next);
+        self.confirmation_step(state, &mut next);
         for state in &mut next {
             state.writes.sort_unstable();
-            state.news.sort_unstable();
+            state.in_transit.sort_unstable();
         }
         next
     }
@@ -149,10 +150,10 @@
             if node.version < node.highest {
                 return Some("a node went back to an older version");
             }
-            if node.life == Life::Serving && node.version == 0 {
+            if node.phase == NodePhase::Serving && node.version == 0 {
                 return Some("a node serves without a version");
             }
-            if node.life == Life::Serving && node.version < state.confirmed {
+            if node.phase == NodePhase::Serving && node.version < state.confirmed {
                 return Some("a node serves with an older version than was confirmed everywhere");
             }
         }
@@ -166,9 +167,9 @@
                 Operator::Accepted(version)
                     if state.accepted.get(usize::from(*version) - 1) != Some(&index) =>
                 {
-                    return Some("told accepted, but another stands there");
+                    return Some("reported as accepted, but the version is of another operator");
                 }
-                Operator::Refused if count > 0 => return Some("told refused, but accepted"),
+                Operator::Refused if count > 0 => return Some("reported as refused, but accepted"),
                 _ => {}
             }
         }
@@ -184,19 +185,19 @@
                     next.push(send_write(state, index, state.accepted.len() as u8));
                 }
                 Operator::Sent(base) => {
-                    // The reply does not come in time; the write may still be on its way.
+                    // The reply times out; the write may still be in transit.
                     let mut lost = state.clone();
                     lost.operators[index] = match self.mutation {
-                        Mutation::LostIsFailed => Operator::Refused,
-                        _ => Operator::Unsure(base),
+                        Mutation::LostReplyIsRefusal => Operator::Refused,
+                        _ => Operator::Retrying(base),
                     };
                     for write in &mut lost.writes {
                         write.awaited &= usize::from(write.operator) != index;
                     }
                     next.push(lost);
                 }
-                Operator::Unsure(base) if !state.outage => {
-                    // At most one older copy stays on the way, to keep this small.
+                Operator::Retrying(base) if !state.outage => {
+                    // At most two copies of a write are in transit, to limit the state space.
                     let copies = state.writes.iter().filter(|w| usize::from(w.operator) == index);
                     if copies.count() < 2 {
                         next.push(send_write(state, index, base));
@@ -208,11 +209,11 @@
     }
 
     fn platform_steps(&self, state: &State, next: &mut Vec<State>) {
-        let mut flipped = state.clone();
-        flipped.outage = !state.outage;
-        if state.faults < FAULT_LIMIT || state.outage {
-            flipped.faults += u8::from(!state.outage);
-            next.push(flipped);
+        let mut toggled = state.clone();
+        toggled.outage = !state.outage;
+        if state.faults < MAX_FAULTS || state.outage {
+            toggled.faults += u8::from(!state.outage);
+            next.push(toggled);
         }
         if state.outage {
             return;
@@ -230,11 +231,11 @@
         let write = state.writes.remove(at);
         let operator = usize::from(write.operator);
         let matches = usize::from(write.base) == state.accepted.len();
-        if matches || self.mutation == Mutation::BlindWrite {
+        if matches || self.mutation == Mutation::UnconditionalWrite {
             state.accepted.push(write.operator);
         }
         if write.awaited {
-            // The writer recognises its own number, also below a later head.
+            // The operator finds its own write also in the history below a later head.
             let place = state.accepted.iter().position(|writer| *writer == write.operator);
             state.operators[operator] = match place {
                 Some(place) => Operator::Accepted(place as u8 + 1),
@@ -247,89 +248,90 @@
     fn node_steps(&self, state: &State, index: usize, next: &mut Vec<State>) {
         let node = state.nodes[index];
         let head = state.accepted.len() as u8;
-        let put = |node: Node| {
+        let with_node = |node: Node| {
             let mut state = state.clone();
             state.nodes[index] = node;
             state
         };
-        match node.life {
-            Life::Down => {
-                next.push(put(Node { life: Life::Asking, version: 0, highest: 0 }));
+        match node.phase {
+            NodePhase::Down => {
+                next.push(with_node(Node { phase: NodePhase::Syncing, version: 0, highest: 0 }));
                 return;
             }
-            Life::Frozen => {
-                let life = match self.mutation {
-                    Mutation::NoRecheck => Life::Serving,
-                    _ => Life::Asking,
+            NodePhase::Frozen => {
+                let phase = match self.mutation {
+                    Mutation::ServeAfterWake => NodePhase::Serving,
+                    _ => NodePhase::Syncing,
                 };
-                next.push(put(Node { life, ..node }));
+                next.push(with_node(Node { phase, ..node }));
                 return;
             }
-            Life::Asking | Life::Serving => {}
+            NodePhase::Syncing | NodePhase::Serving => {}
         }
-        if state.faults < FAULT_LIMIT {
-            let mut down = put(Node { life: Life::Down, version: 0, highest: 0 });
+        if state.faults < MAX_FAULTS {
+            let mut down = with_node(Node { phase: NodePhase::Down, version: 0, highest: 0 });
             down.faults += 1;
             next.push(down);
-            if node.life == Life::Serving {
-                let mut frozen = put(Node { life: Life::Frozen, ..node });
+            if node.phase == NodePhase::Serving {
+                let mut frozen = with_node(Node { phase: NodePhase::Frozen, ..node });
                 frozen.faults += 1;
                 next.push(frozen);
             }
         }
-        // It hears of a version, from any copy, also an old one; copies may be
-        // taken again (duplicated) or never (lost).
-        for version in &state.news {
-            next.push(put(self.hear(node, *version)));
+        // The node receives any version in transit, also an old one. Versions stay in
+        // transit, which covers duplicates, and may never be received, which covers losses.
+        for version in &state.in_transit {
+            next.push(with_node(self.receive(node, *version)));
         }
-        // It sends a copy of what it has.
-        if node.version > 0 && !state.news.contains(&node.version) {
+        // The node sends its version to its peers.
+        if node.version > 0 && !state.in_transit.contains(&node.version) {
             let mut state = state.clone();
-            if state.news.len() == NEWS_LIMIT {
-                state.news.remove(0);
+            if state.in_transit.len() == MAX_IN_TRANSIT {
+                state.in_transit.remove(0);
             }
-            state.news.push(node.version);
+            state.in_transit.push(node.version);
             next.push(state);
         }
-        // It reads the platform's service, and serves from then on.
+        // The node reads the head from the platform and serves from then on.
         if !state.outage && head > 0 {
-            next.push(put(self.serve(self.hear(node, head))));
+            next.push(with_node(self.serve(self.receive(node, head))));
         }
-        if node.life == Life::Asking {
-            self.ask_peers(state, node, &mut |node| next.push(put(node)));
-            if self.mutation == Mutation::ServeUnborn {
-                next.push(put(Node { life: Life::Serving, ..node }));
+        if node.phase == NodePhase::Syncing {
+            self.ask_peers(state, node, &mut |node| next.push(with_node(node)));
+            if self.mutation == Mutation::ServeWithoutVersion {
+                next.push(with_node(Node { phase: NodePhase::Serving, ..node }));
             }
         }
     }
 
-    /// The node asks a peer that serves, and serves with the higher version.
+    /// The node asks a serving peer, and then serves with the higher of both versions.
     fn ask_peers(&self, state: &State, node: Node, push: &mut dyn FnMut(Node)) {
         for peer in state.nodes {
             let answers = match self.mutation {
-                Mutation::ServeEmpty => peer.life != Life::Down && peer.version > 0,
-                _ => peer.life == Life::Serving,
+                Mutation::AcceptEmptyAnswer => peer.phase != NodePhase::Down && peer.version > 0,
+                _ => peer.phase == NodePhase::Serving,
             };
             if answers {
-                push(self.serve(self.hear(node, peer.version)));
+                push(self.serve(self.receive(node, peer.version)));
             }
         }
     }
 
-    fn hear(&self, node: Node, version: u8) -> Node {
-        if version <= node.version && self.mutation != Mutation::TakeLower {
+    fn receive(&self, node: Node, version: u8) -> Node {
+        if version <= node.version && self.mutation != Mutation::AcceptOlder {
             return node;
         }
         Node { version, highest: node.highest.max(version), ..node }
     }
 
     fn serve(&self, node: Node) -> Node {
-        Node { life: Life::Serving, ..node }
+        Node { phase: NodePhase::Serving, ..node }
     }
 
-    /// An operator asks every node that the membership lists.
-    fn status_step(&self, state: &State, next: &mut Vec<State>) {
-        let listed = state.nodes.iter().filter(|node| node.life == Life::Serving);
+    /// An operator asks every node in the membership list for its version. Nodes that do not serve
+    /// may be missing from the list.
+    fn confirmation_step(&self, state: &State, next: &mut Vec<State>) {
+        let listed = state.nodes.iter().filter(|node| node.phase == NodePhase::Serving);
         let Some(lowest) = listed.map(|node| node.version).min() else {
             return;
         };
