--- a/crates/kumquatnotch-query/examples/root.rs
+++ b/crates/kumquatnotch-query/examples/root.rs
@@ -27,13 +27,13 @@
 const SEEDS: u64 = 5;
 
 fn main() {
-    print_balance();
-    print_cost();
+    print_group_balance();
+    print_cpu_time();
     print_canary();
 }
 
 /// How evenly groups lie on the nodes, and how many a query of one selector meets.
-fn print_balance() {
+fn print_group_balance() {
     println!("groups on nodes: shards, selectors, to a group, groups, nodes: least, mean, most");
     for (shards, selectors, size, nodes) in
         [(50, 1, 8, 9), (50, 1, 4, 9), (50, 1, 2, 9), (4_800, 3, 20, 1_900), (4_800, 3, 40, 1_900)]
@@ -89,17 +89,17 @@
 }
 
 /// Processor time of a search, fakes included.
-fn print_cost() {
+fn print_cpu_time() {
     println!("processor time of a search: shards, microseconds, microseconds a shard");
     for shards in [1, 10, 50, 1_600] {
         // One node, whose own holder answers at once: nothing waits for the clock.
-        let world = world_with(1, shards, options(false));
+        let cluster = cluster_with(1, shards, options(false));
         let searches = 200_000 / shards.max(10);
-        let span = run(&world, async {
-            world.search(0).await.unwrap();
+        let span = run(&cluster, async {
+            cluster.search(0).await.unwrap();
             let start = Instant::now();
             for _ in 0..searches {
-                world.search(0).await.unwrap();
+                cluster.search(0).await.unwrap();
             }
             start.elapsed()
         });
@@ -127,15 +127,15 @@
 }
 
 fn latencies(canary: bool, seen: f64, seed: u64) -> (f64, f64) {
-    let world = world_with(9, 50, options(canary));
+    let cluster = cluster_with(9, 50, options(canary));
     let random = Random::with_seed(seed);
-    let mut spans: Vec<u64> = run(&world, async {
+    let mut spans: Vec<u64> = run(&cluster, async {
         let mut spans = Vec::new();
         for number in 0..SEARCHES {
-            set_delays(&world, &random);
+            set_delays(&cluster, &random);
             let repeat = random.chance(seen);
             let query = if repeat { "common".to_owned() } else { number.to_string() };
-            spans.push(world.search_for(number % 9, KEY, &query).await.unwrap().elapsed_us);
+            spans.push(cluster.search_for(number % 9, KEY, &query).await.unwrap().elapsed_us);
         }
         spans
     });
@@ -145,11 +145,11 @@
 }
 
 /// 2 to 8 ms for each shard, and 10 to 40 ms for the straggler.
-fn set_delays(world: &World, random: &Random) {
+fn set_delays(cluster: &Cluster, random: &Random) {
     for number in 0..50 {
         let shard: ShardName = shard(number);
         let span = 2.0 + 6.0 * random.fraction();
         let span = if number == 17 { span * 5.0 } else { span };
-        world.shards.change(&shard, |state| state.delay = ms(1).mul_f64(span));
+        cluster.shards.change(&shard, |state| state.delay = ms(1).mul_f64(span));
     }
 }
--- a/crates/kumquatnotch-query/src/access.rs
+++ b/crates/kumquatnotch-query/src/access.rs
@@ -33,12 +33,12 @@
     }
 
     fn table(&self, document: &Document) -> Rc<Table> {
-        let mut kept = self.table.borrow_mut();
-        if let Some(table) = kept.as_ref().filter(|table| table.version == document.version) {
+        let mut cached = self.table.borrow_mut();
+        if let Some(table) = cached.as_ref().filter(|table| table.version == document.version) {
             return table.clone();
         }
         let table = Rc::new(Table::of(document));
-        *kept = Some(table.clone());
+        *cached = Some(table.clone());
         table
     }
 }
--- a/crates/kumquatnotch-query/src/intake.rs
+++ b/crates/kumquatnotch-query/src/answers.rs
@@ -4,31 +4,31 @@
 
 use crate::{
     gather::{Gather, Part},
-    plan::Gone,
+    plan::GoneShards,
 };
 
 impl Gather<'_> {
     /// Takes the answer of a part; an error ends the search.
-    pub(crate) fn take(
+    pub(crate) fn handle_answer(
         &mut self,
         part: Part,
         result: Result<GroupAnswer>,
-        gone: &mut Gone,
+        gone: &mut GoneShards,
     ) -> Result<()> {
         let search = self.search;
         let answer = match result {
             Ok(answer) => answer,
             Err(error) => {
-                search.learn_refusal(&error);
+                search.record_refusal(&error);
                 for shard in part.shards.clone() {
-                    self.take_refusal(&part, shard, &error, gone)?;
+                    self.handle_refusal(&part, shard, &error, gone)?;
                 }
                 self.give_up_if_starved(&part, &error)?;
-                self.release_after(part.canary, false);
+                self.on_canary_result(part.canary, false);
                 return Ok(());
             }
         };
-        search.learn(&answer);
+        search.record_answer(&answer);
         let ran = !answer.covered.is_empty();
         for shard in &answer.covered {
             if self.waiting.remove(shard) {
@@ -37,13 +37,13 @@
         }
         self.hits.extend(answer.hits);
         for fault in answer.missing {
-            self.take_fault(&part, fault.shard, fault.error, gone)?;
+            self.handle_fault(&part, fault.shard, fault.error, gone)?;
         }
         // A shard that is in neither list must not vanish from the answer.
         for shard in part.shards {
             self.fail(shard, Error::protocol("left out of an answer"));
         }
-        self.release_after(part.canary, ran);
+        self.on_canary_result(part.canary, ran);
         Ok(())
     }
 
@@ -59,7 +59,7 @@
         };
         let search = self.search;
         let progress = self.progress(search.clock.now());
-        let has_run = self.covered > 0 || !self.open.is_empty();
+        let has_run = self.covered > 0 || !self.pending.is_empty();
         if part.canary || !has_run || search.stop_rule.can_suffice(&search.stop, &progress) {
             return Ok(());
         }
@@ -67,27 +67,27 @@
     }
 
     /// Takes that the holder answered for none of its shards.
-    fn take_refusal(
+    fn handle_refusal(
         &mut self,
         part: &Part,
         shard: ShardName,
         error: &Error,
-        gone: &mut Gone,
+        gone: &mut GoneShards,
     ) -> Result<()> {
         // A connection to a holder that breaks tells nothing of the request.
         if *error != Error::ConnectionLost {
-            return self.take_fault(part, shard, error.clone(), gone);
+            return self.handle_fault(part, shard, error.clone(), gone);
         }
         self.fail(shard, error.clone());
         Ok(())
     }
 
-    fn take_fault(
+    fn handle_fault(
         &mut self,
         part: &Part,
         shard: ShardName,
         error: Error,
-        gone: &mut Gone,
+        gone: &mut GoneShards,
     ) -> Result<()> {
         match &error {
             // The one shard that the request went to failed as crash-causing
@@ -106,7 +106,7 @@
             Error::VersionGone { .. } => {
                 gone.insert((self.plan.version, shard.clone()));
             }
-            Error::TimedOut | Error::ExpiredInQueue if !self.followed => {
+            Error::TimedOut | Error::ExpiredInQueue if !self.followed_up => {
                 if self.waiting.remove(&shard) {
                     self.late.push((shard, error));
                 }
--- a/crates/kumquatnotch-query/src/canary.rs
+++ b/crates/kumquatnotch-query/src/canary.rs
@@ -14,58 +14,62 @@
     ids::{Fingerprint, rendezvous},
 };
 
-use crate::plan::Expected;
+use crate::plan::PlannedShard;
 
 /// The requests that succeeded lately.
-pub(crate) struct Proven {
+pub(crate) struct ProvenRequests {
     state: RefCell<State>,
-    turn: Duration,
+    rotation: Duration,
     entries: usize,
 }
 
 #[derive(Default)]
 struct State {
     current: HashSet<Fingerprint>,
-    last: HashSet<Fingerprint>,
+    previous: HashSet<Fingerprint>,
     since: Option<Instant>,
 }
 
-impl Proven {
+impl ProvenRequests {
     /// Remembers for at least half of `memory` and at most `entries`.
-    pub fn new(memory: Duration, entries: usize) -> Proven {
-        Proven { state: RefCell::default(), turn: memory / 2, entries: (entries / 2).max(1) }
+    pub fn new(memory: Duration, entries: usize) -> ProvenRequests {
+        ProvenRequests {
+            state: RefCell::default(),
+            rotation: memory / 2,
+            entries: (entries / 2).max(1),
+        }
     }
 
     /// Whether the request succeeded lately.
-    pub fn knows(&self, now: Instant, fingerprint: Fingerprint) -> bool {
+    pub fn contains(&self, now: Instant, fingerprint: Fingerprint) -> bool {
         let mut state = self.state.borrow_mut();
-        self.turn(&mut state, now);
-        state.current.contains(&fingerprint) || state.last.contains(&fingerprint)
+        self.rotate(&mut state, now);
+        state.current.contains(&fingerprint) || state.previous.contains(&fingerprint)
     }
 
     /// The request succeeded.
-    pub fn learn(&self, now: Instant, fingerprint: Fingerprint) {
+    pub fn insert(&self, now: Instant, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
-        self.turn(&mut state, now);
+        self.rotate(&mut state, now);
         state.current.insert(fingerprint);
     }
 
     /// The request failed in a way that may be its own doing.
-    pub fn unlearn(&self, fingerprint: Fingerprint) {
+    pub fn remove(&self, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
         state.current.remove(&fingerprint);
-        state.last.remove(&fingerprint);
+        state.previous.remove(&fingerprint);
     }
 
-    fn turn(&self, state: &mut State, now: Instant) {
+    fn rotate(&self, state: &mut State, now: Instant) {
         let since = *state.since.get_or_insert(now);
         let age = now.saturating_duration_since(since);
-        if age < self.turn && state.current.len() < self.entries {
+        if age < self.rotation && state.current.len() < self.entries {
             return;
         }
-        state.last = std::mem::take(&mut state.current);
-        if age >= self.turn * 2 {
-            state.last.clear();
+        state.previous = std::mem::take(&mut state.current);
+        if age >= self.rotation * 2 {
+            state.previous.clear();
         }
         state.since = Some(now);
     }
@@ -73,39 +77,39 @@
 
 /// The shards that wait for a canary.
 pub(crate) struct HeldBack<'a> {
-    pub shards: Vec<&'a Expected>,
+    pub shards: Vec<&'a PlannedShard>,
     /// When the next step is due.
-    pub until: Instant,
+    pub due: Instant,
     /// Whether the next step is another canary.
-    pub second: bool,
+    pub send_another: bool,
     /// The canaries that have not answered yet.
-    open: usize,
+    pending: usize,
     sent: usize,
 }
 
 /// The most canaries of a round.
-const MOST_CANARIES: usize = 4;
+const MAX_CANARIES: usize = 4;
 
 impl<'a> HeldBack<'a> {
     /// The shards that wait for the first canary.
-    pub fn new(shards: Vec<&'a Expected>, until: Instant) -> HeldBack<'a> {
-        HeldBack { shards, until, second: true, open: 1, sent: 1 }
+    pub fn new(shards: Vec<&'a PlannedShard>, due: Instant) -> HeldBack<'a> {
+        HeldBack { shards, due, send_another: true, pending: 1, sent: 1 }
     }
 
     /// Another canary was sent, which is waited for until `until`.
-    pub fn on_sent(&mut self, until: Instant) {
-        self.until = until;
-        self.second = false;
-        self.open += 1;
+    pub fn on_sent(&mut self, due: Instant) {
+        self.due = due;
+        self.send_another = false;
+        self.pending += 1;
         self.sent += 1;
     }
 
     /// A canary failed and told nothing; the next step is due if no other is out.
     pub fn on_failed(&mut self, now: Instant, end: Instant) {
-        self.open -= 1;
-        if self.open == 0 {
-            self.second = self.sent < MOST_CANARIES && now < end;
-            self.until = now;
+        self.pending -= 1;
+        if self.pending == 0 {
+            self.send_another = self.sent < MAX_CANARIES && now < end;
+            self.due = now;
         }
     }
 }
@@ -114,8 +118,8 @@
 ///
 /// It follows from the request alone, so that the same request sent to any node
 /// meets the same holder, which recognises it.
-pub(crate) fn first_shard(fingerprint: Fingerprint, shards: &[&Expected]) -> usize {
-    let names: Vec<&str> = shards.iter().map(|expected| expected.shard.as_str()).collect();
+pub(crate) fn first_shard(fingerprint: Fingerprint, shards: &[&PlannedShard]) -> usize {
+    let names: Vec<&str> = shards.iter().map(|planned| planned.shard.as_str()).collect();
     let first = rendezvous(&fingerprint.0.to_be_bytes(), &names).first().copied();
-    shards.iter().position(|expected| Some(expected.shard.as_str()) == first).unwrap_or(0)
+    shards.iter().position(|planned| Some(planned.shard.as_str()) == first).unwrap_or(0)
 }
--- a/crates/kumquatnotch-query/src/front.rs
+++ b/crates/kumquatnotch-query/src/front.rs
@@ -30,17 +30,17 @@
 use crate::{
     FrontOptions,
     access::{Access, permitted},
-    canary::Proven,
+    canary::ProvenRequests,
     entry::advise,
     meters,
     planner::Planner,
-    router::{Ends, ROUTER, Router},
+    router::{Deadlines, ROUTER, Router},
     search::Search,
     tickets::{TICKETS, TicketService},
 };
 
 /// A node where requests wait this long is advised as if it were farther away.
-const BUSY_WAIT: Duration = Duration::from_millis(50);
+const BUSY_NODE_WAIT: Duration = Duration::from_millis(50);
 
 /// What a node does for callers.
 pub struct FrontService {
@@ -55,7 +55,7 @@
     tickets: Rc<TicketService>,
     planner: Planner,
     access: Access,
-    proven: Proven,
+    proven: ProvenRequests,
     admission: Box<dyn Admission>,
     stop_rule: Box<dyn StopRule>,
     entry: Box<dyn EntryPolicy>,
@@ -68,8 +68,8 @@
         let random: Random = registry.find(services::RANDOM)?;
         let router: Rc<Router> = registry.find(ROUTER)?;
         Ok(Rc::new(FrontService {
-            planner: Planner::new(clock.clone(), router.clone(), options.version_wait),
-            proven: Proven::new(options.canary_memory, options.canary_entries),
+            planner: Planner::new(clock.clone(), router.clone(), options.version_timeout),
+            proven: ProvenRequests::new(options.canary_ttl, options.canary_entries),
             admission: admission(&options, &random),
             stop_rule: stop_rule(&options),
             entry: entry(&options, &random),
@@ -130,7 +130,7 @@
         }
     }
 
-    async fn search_now(&self, key: &str, request: SearchRequest) -> Result<Answer> {
+    async fn handle_search(&self, key: &str, request: SearchRequest) -> Result<Answer> {
         let document = self.serving()?;
         let tenant = self.access.tenant(&document, key)?;
         let spec = permitted(&document, &request.selector, &tenant, false)?;
@@ -162,15 +162,15 @@
             return Err(Error::Unauthorised);
         };
         let patience = self.stop_rule.patience(&declared.stop, deadline);
-        let entrant = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             tenant: tenant.clone(),
             weight: declared.weight,
             class: spec.class,
             max_wait: patience,
         };
-        let _running = Running::enter(&*self.admission, entrant, start)?;
+        let _running = Running::enter(&*self.admission, admission_request, start)?;
         let margin = self.options.margin.min(deadline / 10);
-        let finish = start + deadline - margin;
+        let root_deadline = start + deadline - margin;
         let search = Search {
             clock: &*self.clock,
             router: &self.router,
@@ -187,19 +187,19 @@
             fingerprint,
             start,
             deadline,
-            ends: ends(start + patience, finish, margin),
+            deadlines: deadlines(start + patience, root_deadline, margin),
             margin,
             follow_up: self.options.follow_up,
-            plans: self.options.plans,
-            canary_start: self.options.canary_start,
+            max_plans: self.options.max_plans,
+            canary_initial: self.options.canary_initial,
         };
-        let canary = self.options.canary && !self.proven.knows(start, fingerprint);
+        let canary = self.options.canary && !self.proven.contains(start, fingerprint);
         let result = search.run(canary).await;
         let now = self.clock.now();
         self.admission.on_end(now, spec.class, is_starved(&result));
-        match crashed(&result) {
-            true => self.proven.unlearn(fingerprint),
-            false if result.is_ok() => self.proven.learn(now, fingerprint),
+        match may_have_crashed_target(&result) {
+            true => self.proven.remove(fingerprint),
+            false if result.is_ok() => self.proven.insert(now, fingerprint),
             false => {}
         }
         result
@@ -211,26 +211,26 @@
         if body.len() > self.options.body_limit {
             return Err(Error::BodyTooLarge { limit: self.options.body_limit as u64 });
         }
-        if request.limit == 0 || request.limit > self.options.most_hits {
-            let most = self.options.most_hits;
+        if request.limit == 0 || request.limit > self.options.max_hits {
+            let most = self.options.max_hits;
             return Err(Error::bad_request(format!("limit must be from 1 to {most}")));
         }
         let asked = request.deadline_ms.map(Duration::from_millis);
         let deadline = asked.unwrap_or(spec.deadline()).min(spec.deadline());
-        if deadline < self.options.least_deadline {
-            let least = self.options.least_deadline.as_millis();
+        if deadline < self.options.min_deadline {
+            let least = self.options.min_deadline.as_millis();
             return Err(Error::bad_request(format!("deadline_ms must be at least {least}")));
         }
         Ok((body, deadline))
     }
 
-    fn grant(&self, key: &str) -> Result<TicketGrant> {
+    fn issue_ticket(&self, key: &str) -> Result<TicketGrant> {
         let document = self.serving()?;
         let tenant = self.access.tenant(&document, key)?;
         self.tickets.issue(&tenant)
     }
 
-    async fn exclusive_now(&self, key: &str, body: ExclusiveBody) -> Result<Outcome> {
+    async fn handle_exclusive(&self, key: &str, body: ExclusiveBody) -> Result<Outcome> {
         // Any refusal here that says "not run" might be false: an earlier copy of
         // the request, sent through another node, may have run. Only the issuer
         // knows. So a node that can't ask it tells the caller to ask again.
@@ -248,11 +248,11 @@
         key: &'a str,
         request: SearchRequest,
     ) -> LocalFuture<'a, Result<Answer>> {
-        Box::pin(self.search_now(key, request))
+        Box::pin(self.handle_search(key, request))
     }
 
     fn ticket(&self, key: &str) -> Result<TicketGrant> {
-        self.grant(key).inspect_err(|error| meters::refused("ticket", None, error))
+        self.issue_ticket(key).inspect_err(|error| meters::refused("ticket", None, error))
     }
 
     fn exclusive<'a>(
@@ -261,7 +261,7 @@
         body: ExclusiveBody,
     ) -> LocalFuture<'a, Result<Outcome>> {
         Box::pin(async move {
-            let result = self.exclusive_now(key, body).await;
+            let result = self.handle_exclusive(key, body).await;
             if let Err(error) | Ok(Outcome::Failed(error)) = &result {
                 meters::refused("exclusive", None, error);
             }
@@ -278,9 +278,9 @@
 }
 
 /// Holders answer a margin before the root does, and partially another one before.
-fn ends(patience: Instant, finish: Instant, margin: Duration) -> Ends {
-    let deadline = finish - margin;
-    Ends { patience: patience.min(deadline - margin), deadline, finish }
+fn deadlines(patience: Instant, root: Instant, margin: Duration) -> Deadlines {
+    let holder = root - margin;
+    Deadlines { partial: patience.min(holder - margin), holder, root }
 }
 
 fn admission(options: &FrontOptions, random: &Random) -> Box<dyn Admission> {
@@ -297,7 +297,7 @@
 
 fn entry(options: &FrontOptions, random: &Random) -> Box<dyn EntryPolicy> {
     if options.advice_spread {
-        Box::new(SpreadEntry::new(random.clone(), BUSY_WAIT))
+        Box::new(SpreadEntry::new(random.clone(), BUSY_NODE_WAIT))
     } else {
         Box::new(NearestEntry)
     }
@@ -319,7 +319,7 @@
 }
 
 /// Whether a target was lost under a request, which may be the request's doing.
-fn crashed(result: &Result<Answer>) -> bool {
+fn may_have_crashed_target(result: &Result<Answer>) -> bool {
     let lost = Error::ConnectionLost.code();
     match result {
         Ok(answer) => answer.coverage.missing.iter().any(|missing| missing.code == lost),
@@ -333,24 +333,24 @@
 /// Counts a request as running until it is dropped, be it because its caller left.
 struct Running<'a> {
     admission: &'a dyn Admission,
-    entrant: AdmissionRequest,
+    admission_request: AdmissionRequest,
 }
 
 impl<'a> Running<'a> {
     fn enter(
         admission: &'a dyn Admission,
-        entrant: AdmissionRequest,
+        admission_request: AdmissionRequest,
         now: Instant,
     ) -> Result<Running<'a>> {
-        admission.enter(now, &entrant).map_err(Error::overloaded)?;
+        admission.enter(now, &admission_request).map_err(Error::overloaded)?;
         meters::running(admission.running());
-        Ok(Running { admission, entrant })
+        Ok(Running { admission, admission_request })
     }
 }
 
 impl Drop for Running<'_> {
     fn drop(&mut self) {
-        self.admission.leave(&self.entrant);
+        self.admission.leave(&self.admission_request);
         meters::running(self.admission.running());
     }
 }
--- a/crates/kumquatnotch-query/src/gather.rs
+++ b/crates/kumquatnotch-query/src/gather.rs
@@ -24,9 +24,9 @@
     canary::{HeldBack, first_shard},
     groups::GroupId,
     meters,
-    plan::{Expected, Gone, Plan},
+    plan::{GoneShards, Plan, PlannedShard},
     refusal::nothing_covered,
-    router::Ends,
+    router::Deadlines,
     search::Search,
 };
 
@@ -58,7 +58,7 @@
 pub(crate) struct Gather<'a> {
     pub(crate) search: &'a Search<'a>,
     pub(crate) plan: &'a Plan,
-    pub(crate) open: FuturesUnordered<LocalFuture<'a, Event>>,
+    pub(crate) pending: FuturesUnordered<LocalFuture<'a, Event>>,
     pub(crate) held_back: Option<HeldBack<'a>>,
     pub(crate) waiting: HashSet<ShardName>,
     /// The shards that holders gave up because partial answers were wanted.
@@ -66,7 +66,7 @@
     pub(crate) covered: u32,
     pub(crate) faults: Vec<(ShardName, Error)>,
     pub(crate) hits: Vec<Hit>,
-    pub(crate) followed: bool,
+    pub(crate) followed_up: bool,
     pub(crate) refreshing: bool,
     pub(crate) is_last: bool,
 }
@@ -77,41 +77,41 @@
         Gather {
             search,
             plan,
-            open: FuturesUnordered::new(),
+            pending: FuturesUnordered::new(),
             held_back: None,
-            waiting: plan.shards.iter().map(|expected| expected.shard.clone()).collect(),
+            waiting: plan.shards.iter().map(|planned| planned.shard.clone()).collect(),
             late: Vec::new(),
             covered: 0,
             faults: Vec::new(),
             hits: Vec::new(),
-            followed: false,
+            followed_up: false,
             refreshing: false,
             is_last,
         }
     }
 
     /// Runs the round to its end; `gone` takes shards without the version.
-    pub async fn run(mut self, canary: bool, gone: &mut Gone) -> Result<Round> {
+    pub async fn run(mut self, canary: bool, gone: &mut GoneShards) -> Result<Round> {
         self.fan_out(canary);
         let search = self.search;
         loop {
             let now = search.clock.now();
-            let is_over = now >= search.ends.finish;
+            let is_over = now >= search.deadlines.root;
             let is_enough = search.stop_rule.is_enough(&search.stop, &self.progress(now));
             if is_over || (is_enough && !self.refreshing) {
                 return self.finish(is_over);
             }
-            if self.open.is_empty() && self.held_back.is_none() {
+            if self.pending.is_empty() && self.held_back.is_none() {
                 if !self.follow_up(now) {
                     return self.finish(is_over);
                 }
                 continue;
             }
             let timer = search.clock.sleep_until(self.next_timer(now));
-            match select(self.open.next(), timer).await {
+            match select(self.pending.next(), timer).await {
                 Either::Left((Some(Event::Answered(part, result)), _)) => {
                     let known = gone.len();
-                    self.take(part, result, gone)?;
+                    self.handle_answer(part, result, gone)?;
                     if gone.len() > known {
                         self.refresh();
                     }
@@ -140,14 +140,14 @@
             return;
         }
         self.refreshing = true;
-        self.open.push(Box::pin(async move {
+        self.pending.push(Box::pin(async move {
             search.refresh().await;
             Event::Refreshed
         }));
     }
 
     pub(crate) fn progress(&self, now: Instant) -> Progress {
-        let late = if self.may_follow(now) { self.late.len() } else { 0 };
+        let late = if self.may_follow_up(now) { self.late.len() } else { 0 };
         Progress {
             elapsed: now.saturating_duration_since(self.search.start),
             deadline: self.search.deadline,
@@ -160,17 +160,17 @@
     fn next_timer(&self, now: Instant) -> Instant {
         let search = self.search;
         let patience = search.start + search.stop_rule.patience(&search.stop, search.deadline);
-        let release = self.held_back.as_ref().map(|held| held.until);
-        let timers = [Some(patience), release, Some(search.ends.finish)];
-        timers.into_iter().flatten().filter(|at| *at > now).min().unwrap_or(search.ends.finish)
+        let release = self.held_back.as_ref().map(|held| held.due);
+        let timers = [Some(patience), release, Some(search.deadlines.root)];
+        timers.into_iter().flatten().filter(|at| *at > now).min().unwrap_or(search.deadlines.root)
     }
 
     /// Sends the parts, or the canary's first.
     fn fan_out(&mut self, canary: bool) {
-        let mut shards: Vec<&'a Expected> = self.plan.shards.iter().collect();
+        let mut shards: Vec<&'a PlannedShard> = self.plan.shards.iter().collect();
         if !canary || shards.is_empty() {
             for part in self.parts(&shards) {
-                self.send(part, self.search.ends);
+                self.send(part, self.search.deadlines);
             }
             return;
         }
@@ -180,30 +180,31 @@
     }
 
     /// Sends the one of `shards` that the request meets first, and takes it out.
-    fn send_canary(&mut self, shards: &mut Vec<&'a Expected>) {
+    fn send_canary(&mut self, shards: &mut Vec<&'a PlannedShard>) {
         meters::canary();
         let first = shards.swap_remove(first_shard(self.search.fingerprint, shards));
         for mut part in self.parts(&[first]) {
             part.canary = true;
-            self.send(part, self.search.ends);
+            self.send(part, self.search.deadlines);
         }
     }
 
-    fn parts(&self, shards: &[&Expected]) -> Vec<Part> {
+    fn parts(&self, shards: &[&PlannedShard]) -> Vec<Part> {
         let mut groups: BTreeMap<GroupId, Vec<ShardName>> = BTreeMap::new();
-        for expected in shards {
-            let group = self.search.router.group(self.search.document, &expected.home);
-            groups.entry(group).or_default().push(expected.shard.clone());
+        for planned in shards {
+            let group = self.search.router.group(self.search.document, &planned.declared);
+            groups.entry(group).or_default().push(planned.shard.clone());
         }
         let parts = groups.into_iter();
         parts.map(|(group, shards)| Part { group, shards, canary: false }).collect()
     }
 
-    fn send(&mut self, part: Part, ends: Ends) {
+    fn send(&mut self, part: Part, deadlines: Deadlines) {
         let search = self.search;
         let request = search.request(self.plan.version, part.shards.clone());
-        self.open.push(Box::pin(async move {
-            let answer = search.router.ask(part.group, &request, ends, !part.canary).await;
+        self.pending.push(Box::pin(async move {
+            let answer =
+                search.router.query_group(part.group, &request, deadlines, !part.canary).await;
             Event::Answered(part, answer)
         }));
     }
@@ -214,7 +215,7 @@
             return;
         };
         for part in self.parts(&held.shards) {
-            self.send(part, self.search.ends);
+            self.send(part, self.search.deadlines);
         }
     }
 
@@ -224,7 +225,7 @@
     /// A shard that is lost, draining or of another version tells nothing of the
     /// request. To fan out then would crash a replica of each shard, so another
     /// canary is sent, a few times at most, since many shards may be refusing.
-    pub(crate) fn release_after(&mut self, canary: bool, ran: bool) {
+    pub(crate) fn on_canary_result(&mut self, canary: bool, ran: bool) {
         let Some(held) = self.held_back.as_mut().filter(|_| canary && !ran) else {
             return self.release();
         };
@@ -241,11 +242,11 @@
         let search = self.search;
         let now = search.clock.now();
         // While versions are asked for again, a canary may meet the old one only.
-        let is_due = |held: &mut HeldBack<'_>| now >= held.until && !self.refreshing;
+        let is_due = |held: &mut HeldBack<'_>| now >= held.due && !self.refreshing;
         let Some(mut held) = self.held_back.take_if(is_due) else {
             return;
         };
-        if held.second && !held.shards.is_empty() {
+        if held.send_another && !held.shards.is_empty() {
             self.send_canary(&mut held.shards);
             held.on_sent(search.canary_end().max(now));
             self.held_back = Some(held);
@@ -255,9 +256,9 @@
         self.release();
     }
 
-    fn may_follow(&self, now: Instant) -> bool {
+    fn may_follow_up(&self, now: Instant) -> bool {
         let search = self.search;
-        search.follow_up && !self.followed && now + search.margin < search.ends.deadline
+        search.follow_up && !self.followed_up && now + search.margin < search.deadlines.holder
     }
 
     /// Asks once more for shards that were late, if the coverage is not enough.
@@ -266,20 +267,21 @@
     /// a tenant whose coverage is enough by then. If it is not, the rest of the
     /// deadline is theirs.
     fn follow_up(&mut self, now: Instant) -> bool {
-        if self.late.is_empty() || !self.may_follow(now) {
+        if self.late.is_empty() || !self.may_follow_up(now) {
             return false;
         }
-        self.followed = true;
+        self.followed_up = true;
         let late: HashSet<ShardName> = self.late.drain(..).map(|(shard, _)| shard).collect();
         meters::followed_up(late.len());
         let plan = self.plan;
-        let shards: Vec<&Expected> =
-            plan.shards.iter().filter(|expected| late.contains(&expected.shard)).collect();
+        let shards: Vec<&PlannedShard> =
+            plan.shards.iter().filter(|planned| late.contains(&planned.shard)).collect();
         let parts = self.parts(&shards);
         self.waiting.extend(late);
-        let ends = Ends { patience: self.search.ends.deadline, ..self.search.ends };
+        let deadlines =
+            Deadlines { partial: self.search.deadlines.holder, ..self.search.deadlines };
         for part in parts {
-            self.send(part, ends);
+            self.send(part, deadlines);
         }
         true
     }
--- a/crates/kumquatnotch-query/src/groups.rs
+++ b/crates/kumquatnotch-query/src/groups.rs
@@ -43,12 +43,12 @@
 impl GroupTable {
     /// The groups of `document` with about `size` shards to each.
     pub fn new(document: &Document, size: usize) -> GroupTable {
-        let mut alike: BTreeMap<Vec<&str>, Vec<&ShardName>> = BTreeMap::new();
+        let mut by_selectors: BTreeMap<Vec<&str>, Vec<&ShardName>> = BTreeMap::new();
         for (shard, selectors) in selectors_of(document) {
-            alike.entry(selectors.into_iter().collect()).or_default().push(shard);
+            by_selectors.entry(selectors.into_iter().collect()).or_default().push(shard);
         }
         let mut groups = HashMap::default();
-        for (selectors, shards) in alike {
+        for (selectors, shards) in by_selectors {
             let count = group_count(shards.len(), size) as u64;
             let parts: Vec<&[u8]> = selectors.iter().map(|name| name.as_bytes()).collect();
             let seed = stable_hash(&parts);
@@ -85,11 +85,11 @@
 /// The groups and their holders in rank, kept until the members or the document change.
 #[derive(Default)]
 pub(crate) struct Ranks {
-    kept: RefCell<Kept>,
+    cache: RefCell<Cache>,
 }
 
 #[derive(Default)]
-struct Kept {
+struct Cache {
     generation: Option<u64>,
     /// The members of that generation, by tier.
     tiers: Vec<(u8, NodeRecord)>,
@@ -101,13 +101,13 @@
 impl Ranks {
     /// The groups under `document`.
     pub fn table(&self, document: &Document, size: usize) -> Rc<GroupTable> {
-        let mut kept = self.kept.borrow_mut();
-        if kept.version != Some(document.version) {
-            kept.version = Some(document.version);
-            kept.table = Rc::new(GroupTable::new(document, size));
-            kept.ranks.clear();
+        let mut cache = self.cache.borrow_mut();
+        if cache.version != Some(document.version) {
+            cache.version = Some(document.version);
+            cache.table = Rc::new(GroupTable::new(document, size));
+            cache.ranks.clear();
         }
-        kept.table.clone()
+        cache.table.clone()
     }
 
     /// The first `length` nodes in rank to hold `group`, the first one first.
@@ -116,13 +116,13 @@
     /// members: at 1,900 nodes whole ranks took more than four cores of a node.
     pub fn rank(&self, group: GroupId, length: usize, members: &dyn Members) -> Rc<[NodeRecord]> {
         let generation = members.generation();
-        let mut kept = self.kept.borrow_mut();
-        if kept.generation != Some(generation) {
-            kept.generation = Some(generation);
-            kept.tiers = tiers_of(members);
-            kept.ranks.clear();
+        let mut cache = self.cache.borrow_mut();
+        if cache.generation != Some(generation) {
+            cache.generation = Some(generation);
+            cache.tiers = tiers_of(members);
+            cache.ranks.clear();
         }
-        let Kept { tiers, ranks, .. } = &mut *kept;
+        let Cache { tiers, ranks, .. } = &mut *cache;
         ranks.entry(group).or_insert_with(|| rank(group, length, tiers)).clone()
     }
 }
--- a/crates/kumquatnotch-query/src/health.rs
+++ b/crates/kumquatnotch-query/src/health.rs
@@ -29,13 +29,13 @@
     open: usize,
     sent: Option<Instant>,
     silent_since: Option<Instant>,
-    tried: Option<Instant>,
+    probed_at: Option<Instant>,
     wait_us: f64,
 }
 
 impl Health {
     /// A request to `name` was sent.
-    pub fn sent(&self, name: &NodeName, now: Instant) {
+    pub fn request_sent(&self, name: &NodeName, now: Instant) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name.clone()).or_default();
         // What was not answered long ago says nothing about the peer of today.
@@ -48,7 +48,7 @@
     }
 
     /// `name` said something, be it an error.
-    pub fn replied(&self, name: &NodeName) {
+    pub fn reply_received(&self, name: &NodeName) {
         if let Some(peer) = self.peers.borrow_mut().get_mut(name) {
             peer.silent_since = None;
         }
@@ -58,7 +58,7 @@
     ///
     /// One that was given up keeps its evidence: hedges win long before a silence
     /// can be told from a slow answer, and each would wipe out what the last left.
-    pub fn closed(&self, name: &NodeName, now: Instant) {
+    pub fn request_closed(&self, name: &NodeName, now: Instant) {
         let mut peers = self.peers.borrow_mut();
         let Some(peer) = peers.get_mut(name) else {
             return;
@@ -70,7 +70,7 @@
     }
 
     /// The way to `name` is known to be mute: no need to wait for more evidence.
-    pub fn muted(&self, name: &NodeName, now: Instant, silence: Duration) {
+    pub fn mark_silent(&self, name: &NodeName, now: Instant, silence: Duration) {
         if let Some(peer) = self.peers.borrow_mut().get_mut(name) {
             peer.silent_since = now.checked_sub(silence).or(peer.silent_since);
         }
@@ -83,14 +83,14 @@
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// Whether `name` has been silent for `silence`; once per `retrial` it gets
+    /// Whether `name` has been silent for `silence`; once per `probe_interval` it gets
     /// another chance.
     pub fn is_silent(
         &self,
         name: &NodeName,
         now: Instant,
         silence: Duration,
-        retrial: Duration,
+        probe_interval: Duration,
     ) -> bool {
         let mut peers = self.peers.borrow_mut();
         let Some(peer) = peers.get_mut(name) else {
@@ -102,15 +102,16 @@
         if now.saturating_duration_since(since) < silence {
             return false;
         }
-        let due = peer.tried.is_none_or(|at| now.saturating_duration_since(at) >= retrial);
+        let due =
+            peer.probed_at.is_none_or(|at| now.saturating_duration_since(at) >= probe_interval);
         if due {
-            peer.tried = Some(now);
+            peer.probed_at = Some(now);
         }
         !due
     }
 
     /// `name` says that requests wait this long there.
-    pub fn learn_wait(&self, name: &NodeName, wait: Duration) {
+    pub fn record_wait(&self, name: &NodeName, wait: Duration) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name.clone()).or_default();
         peer.wait_us += WAIT_WEIGHT * (wait.as_micros() as f64 - peer.wait_us);
--- a/crates/kumquatnotch-query/src/lib.rs
+++ b/crates/kumquatnotch-query/src/lib.rs
@@ -9,13 +9,13 @@
 #![forbid(unsafe_code)]
 
 mod access;
+mod answers;
 mod canary;
 mod entry;
 mod front;
 mod gather;
 mod groups;
 mod health;
-mod intake;
 mod latency;
 mod merge;
 mod meters;
@@ -44,7 +44,7 @@
     front::FrontService,
     groups::{GroupId, GroupTable, group_count},
     options::{FrontOptions, QueryOptions, RouterOptions, TicketOptions},
-    plan::{Expected, Plan, plan},
+    plan::{Plan, PlannedShard, plan},
     router::{ROUTER, Router},
     tickets::{TICKETS, TicketService},
     view::VersionView,
--- a/crates/kumquatnotch-query/src/options.rs
+++ b/crates/kumquatnotch-query/src/options.rs
@@ -21,11 +21,11 @@
     /// How many nodes hold a group.
     pub holders: usize,
     /// How many holders a group's request is sent to at most.
-    pub tries: usize,
+    pub max_attempts: usize,
     /// The hedge delay until enough answers of holders were seen.
-    pub hedge_start: Duration,
+    pub hedge_initial: Duration,
     /// The least hedge delay.
-    pub hedge_least: Duration,
+    pub hedge_min: Duration,
     /// The share of requests that may be sent to a second holder because the first is late.
     ///
     /// A copy of a request runs all of its shards again, on top of the copies that
@@ -35,7 +35,7 @@
     /// A peer with requests open and no reply for this long is asked last.
     pub silence: Duration,
     /// How often a silent peer is asked first again.
-    pub retrial: Duration,
+    pub probe_interval: Duration,
 }
 
 impl Default for RouterOptions {
@@ -43,12 +43,12 @@
         RouterOptions {
             group_shards: 8,
             holders: 1,
-            tries: 3,
-            hedge_start: Duration::from_millis(60),
-            hedge_least: Duration::from_millis(5),
+            max_attempts: 3,
+            hedge_initial: Duration::from_millis(60),
+            hedge_min: Duration::from_millis(5),
             hedge_share: 0.002,
             silence: Duration::from_millis(250),
-            retrial: Duration::from_millis(500),
+            probe_interval: Duration::from_millis(500),
         }
     }
 }
@@ -59,13 +59,13 @@
     /// The largest query taken, in bytes of JSON.
     pub body_limit: usize,
     /// The most hits that a caller may ask for.
-    pub most_hits: u32,
+    pub max_hits: u32,
     /// The shortest deadline a caller may ask for.
-    pub least_deadline: Duration,
+    pub min_deadline: Duration,
     /// The time kept back for merging and for the way of the last answer.
     pub margin: Duration,
     /// How often a query is planned again because its version went away.
-    pub plans: usize,
+    pub max_plans: usize,
     /// Whether a tenant's stop rule ends its queries; if not, every shard is waited for.
     pub stop_early: bool,
     /// Whether shards that were late for the stop rule are asked once more if
@@ -74,11 +74,11 @@
     /// Whether a request unknown here goes to one shard first.
     pub canary: bool,
     /// How long a request that succeeded needs no canary.
-    pub canary_memory: Duration,
+    pub canary_ttl: Duration,
     /// How many requests that succeeded are remembered.
     pub canary_entries: usize,
     /// How long the canary is waited for until answers of groups were seen.
-    pub canary_start: Duration,
+    pub canary_initial: Duration,
     /// Whether requests are refused early under overload.
     pub admission: bool,
     /// How long a caller may keep the entry advice.
@@ -88,28 +88,28 @@
     /// The age at which what is known of versions is asked for again.
     pub version_age: Duration,
     /// How long holders have to tell the versions of their shards.
-    pub version_wait: Duration,
+    pub version_timeout: Duration,
 }
 
 impl Default for FrontOptions {
     fn default() -> FrontOptions {
         FrontOptions {
             body_limit: 64 * 1024,
-            most_hits: 1_000,
-            least_deadline: Duration::from_millis(5),
+            max_hits: 1_000,
+            min_deadline: Duration::from_millis(5),
             margin: Duration::from_millis(10),
-            plans: 3,
+            max_plans: 3,
             stop_early: true,
             follow_up: true,
             canary: true,
-            canary_memory: Duration::from_secs(60),
+            canary_ttl: Duration::from_secs(60),
             canary_entries: 65_536,
-            canary_start: Duration::from_millis(40),
+            canary_initial: Duration::from_millis(40),
             admission: true,
             advice_valid: Duration::from_secs(10),
             advice_spread: true,
             version_age: Duration::from_secs(1),
-            version_wait: Duration::from_millis(250),
+            version_timeout: Duration::from_millis(250),
         }
     }
 }
@@ -122,17 +122,17 @@
     /// The same for tickets that a leaving node issues.
     pub leaving_valid: Duration,
     /// How many outcomes are kept at most.
-    pub entries: usize,
+    pub max_outcomes: usize,
     /// How many runs go on at once at most.
-    pub runs: usize,
+    pub max_runs: usize,
     /// How many times a request that certainly did not run is sent on.
-    pub tries: usize,
+    pub max_attempts: usize,
     /// How long after the deadline the reply of a request that left is waited for.
     pub grace: Duration,
     /// The time kept back for the way of a reply.
     pub margin: Duration,
     /// How long this node must have run before an unknown issuer is taken as gone.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// The largest request taken, in bytes of JSON.
     pub body_limit: usize,
 }
@@ -142,12 +142,12 @@
         TicketOptions {
             valid: Duration::from_secs(120),
             leaving_valid: Duration::from_secs(10),
-            entries: 65_536,
-            runs: 4_096,
-            tries: 4,
+            max_outcomes: 65_536,
+            max_runs: 4_096,
+            max_attempts: 4,
             grace: Duration::from_secs(2),
             margin: Duration::from_millis(10),
-            settle: Duration::from_secs(15),
+            settle_time: Duration::from_secs(15),
             body_limit: 64 * 1024,
         }
     }
--- a/crates/kumquatnotch-query/src/outcomes.rs
+++ b/crates/kumquatnotch-query/src/outcomes.rs
@@ -15,14 +15,14 @@
 use kumquatnotch_core::{Error, collections::HashMap, ticket::Outcome};
 
 /// How many copies of a request wait for the one run at most.
-const MOST_WAITERS: usize = 64;
+const MAX_WAITERS: usize = 64;
 
 /// What a ticket's number stands for.
-pub(crate) enum Found {
+pub(crate) enum Lookup {
     /// Nothing yet.
-    Nothing,
+    Absent,
     /// Another request than the one that asks.
-    Other,
+    OtherRequest,
     /// It has ended.
     Ended(Outcome),
     /// It runs; this receives its outcome.
@@ -32,8 +32,8 @@
 /// The outcomes by the numbers of tickets.
 pub(crate) struct Outcomes {
     state: RefCell<State>,
-    keep: Duration,
-    most: usize,
+    ttl: Duration,
+    max_entries: usize,
 }
 
 #[derive(Default)]
@@ -56,31 +56,31 @@
 }
 
 impl Outcomes {
-    /// Keeps each outcome for `keep`, and `most` of them.
-    pub fn new(keep: Duration, most: usize) -> Outcomes {
-        Outcomes { state: RefCell::default(), keep, most }
+    /// Keeps each outcome for `keep`, and `max_entries` of them.
+    pub fn new(ttl: Duration, max_entries: usize) -> Outcomes {
+        Outcomes { state: RefCell::default(), ttl, max_entries }
     }
 
     /// What `serial` stands for, asked by `request`.
-    pub fn find(&self, now: Instant, serial: u64, request: u64) -> Found {
+    pub fn find(&self, now: Instant, serial: u64, request: u64) -> Lookup {
         let mut state = self.state.borrow_mut();
-        state.forget(now);
+        state.remove_expired(now);
         let Some(entry) = state.entries.get_mut(&serial) else {
-            return Found::Nothing;
+            return Lookup::Absent;
         };
         if entry.request != request {
-            return Found::Other;
+            return Lookup::OtherRequest;
         }
         match &mut entry.stage {
-            EntryStage::Ended(outcome) => Found::Ended(outcome.clone()),
+            EntryStage::Ended(outcome) => Lookup::Ended(outcome.clone()),
             EntryStage::Running(waiters) => {
                 waiters.retain(|waiter| !waiter.is_canceled());
                 let (sender, receiver) = oneshot::channel();
                 // One more than the bound gets a closed channel: still running.
-                if waiters.len() < MOST_WAITERS {
+                if waiters.len() < MAX_WAITERS {
                     waiters.push(sender);
                 }
-                Found::Running(receiver)
+                Lookup::Running(receiver)
             }
         }
     }
@@ -88,11 +88,11 @@
     /// Makes the entry of a request that is about to run; false if there is no room.
     pub fn begin(&self, now: Instant, serial: u64, request: u64) -> bool {
         let mut state = self.state.borrow_mut();
-        state.forget(now);
-        if state.entries.len() >= self.most {
+        state.remove_expired(now);
+        if state.entries.len() >= self.max_entries {
             return false;
         }
-        state.order.push_back((now + self.keep, serial));
+        state.order.push_back((now + self.ttl, serial));
         state.entries.insert(serial, Entry { request, stage: EntryStage::Running(Vec::new()) });
         state.running += 1;
         true
@@ -130,7 +130,7 @@
 
 impl State {
     /// Drops entries whose time is over; one that still runs is kept.
-    fn forget(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         while let Some((at, serial)) = self.order.front().copied() {
             if at > now {
                 return;
@@ -138,7 +138,7 @@
             self.order.pop_front();
             let entry = self.entries.get(&serial);
             if entry.is_some_and(|entry| matches!(entry.stage, EntryStage::Running(_))) {
-                self.order.push_back((now + RUNNING_LONGER, serial));
+                self.order.push_back((now + RUNNING_RECHECK, serial));
                 continue;
             }
             self.entries.remove(&serial);
@@ -147,7 +147,7 @@
 }
 
 /// When an entry that still runs is looked at again.
-const RUNNING_LONGER: Duration = Duration::from_secs(10);
+const RUNNING_RECHECK: Duration = Duration::from_secs(10);
 
 /// Ends a run as "outcome unknown" if it is dropped before its end, so that
 /// nobody waits for a run that has been lost to a fault.
--- a/crates/kumquatnotch-query/src/plan.rs
+++ b/crates/kumquatnotch-query/src/plan.rs
@@ -22,18 +22,18 @@
     /// The snapshot.
     pub version: IndexVersion,
     /// The shards that can be asked.
-    pub shards: Vec<Expected>,
+    pub shards: Vec<PlannedShard>,
     /// The shards that belong to the snapshot but can't be asked.
     pub absent: Vec<Missing>,
 }
 
 /// A shard that can be asked.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Expected {
+pub struct PlannedShard {
     /// The shard, by its name at the snapshot.
     pub shard: ShardName,
     /// The declared shard whose replicas hold it, which decides its group.
-    pub home: ShardName,
+    pub declared: ShardName,
 }
 
 impl Plan {
@@ -43,10 +43,11 @@
     }
 
     /// This plan with what is in `gone` listed as missing.
-    pub(crate) fn without(&self, gone: &Gone) -> Plan {
+    pub(crate) fn without(&self, gone: &GoneShards) -> Plan {
         let error = Error::VersionGone { version: self.version.0 };
-        let lost = |e: &&Expected| gone.contains(&(self.version, e.shard.clone()));
-        let (lost, left): (Vec<&Expected>, Vec<&Expected>) = self.shards.iter().partition(lost);
+        let lost = |e: &&PlannedShard| gone.contains(&(self.version, e.shard.clone()));
+        let (lost, left): (Vec<&PlannedShard>, Vec<&PlannedShard>) =
+            self.shards.iter().partition(lost);
         let mut absent = self.absent.clone();
         absent.extend(lost.into_iter().map(|e| Missing::new(e.shard.clone(), &error)));
         Plan { version: self.version, shards: left.into_iter().cloned().collect(), absent }
@@ -60,18 +61,22 @@
 }
 
 /// Shards that turned out not to have a version while a query ran.
-pub(crate) type Gone = BTreeSet<(IndexVersion, ShardName)>;
+pub(crate) type GoneShards = BTreeSet<(IndexVersion, ShardName)>;
 
 /// Plans an answer over the declared `shards`.
 ///
 /// The newest version that every shard has is taken, else the one with the best
 /// coverage, the newest first.
 pub fn plan(view: &VersionView, shards: &[ShardName]) -> Result<Plan> {
-    plan_without(view, shards, &Gone::new())
+    plan_without(view, shards, &GoneShards::new())
 }
 
 /// As [`plan`], not counting on what is in `gone`.
-pub(crate) fn plan_without(view: &VersionView, shards: &[ShardName], gone: &Gone) -> Result<Plan> {
+pub(crate) fn plan_without(
+    view: &VersionView,
+    shards: &[ShardName],
+    gone: &GoneShards,
+) -> Result<Plan> {
     let layouts = Layouts::read(view, shards, gone);
     let mut best: Option<Plan> = None;
     for version in layouts.versions.iter().rev() {
@@ -88,7 +93,7 @@
 struct Layouts {
     versions: BTreeSet<IndexVersion>,
     collections: BTreeMap<String, BTreeMap<IndexVersion, Layout>>,
-    unknown: Vec<Unknown>,
+    unknown: Vec<UnknownShard>,
 }
 
 /// One collection at one version.
@@ -104,29 +109,29 @@
 impl Layout {
     /// Whether the shards that were seen stand under their declared names.
     fn is_declared(&self) -> bool {
-        self.shards.iter().all(|(shard, home)| shard == home)
+        self.shards.iter().all(|(shard, declared)| shard == declared)
     }
 
-    /// The shard is held by replicas declared for `home`; its own come first.
-    fn add(&mut self, shard: &ShardName, home: &ShardName) {
-        let known = self.shards.entry(shard.clone()).or_insert_with(|| home.clone());
-        if shard == home {
-            known.clone_from(home);
+    /// The shard is held by replicas declared for `declared`; its own come first.
+    fn add(&mut self, shard: &ShardName, declared: &ShardName) {
+        let known = self.shards.entry(shard.clone()).or_insert_with(|| declared.clone());
+        if shard == declared {
+            known.clone_from(declared);
         }
     }
 }
 
 /// A declared shard whose replicas hold nothing, as far as is known.
-struct Unknown {
+struct UnknownShard {
     shard: ShardName,
     /// The collections it was seen in before.
     collections: BTreeSet<String>,
 }
 
 impl Layouts {
-    fn read(view: &VersionView, shards: &[ShardName], gone: &Gone) -> Layouts {
+    fn read(view: &VersionView, shards: &[ShardName], gone: &GoneShards) -> Layouts {
         let mut layouts = Layouts::default();
-        view.visit(shards, |home, report| match report {
+        view.visit(shards, |declared, report| match report {
             Some(report) if !report.versions.is_empty() => {
                 for held in &report.versions {
                     layouts.versions.insert(held.version);
@@ -137,16 +142,17 @@
                     if is_gone {
                         layout.gone.insert(held.shard.clone());
                     } else {
-                        layout.add(&held.shard, home);
+                        layout.add(&held.shard, declared);
                     }
                 }
             }
-            Some(report) => layouts
+            Some(report) => layouts.unknown.push(UnknownShard {
+                shard: declared.clone(),
+                collections: report.collections.clone(),
+            }),
+            None => layouts
                 .unknown
-                .push(Unknown { shard: home.clone(), collections: report.collections.clone() }),
-            None => {
-                layouts.unknown.push(Unknown { shard: home.clone(), collections: BTreeSet::new() })
-            }
+                .push(UnknownShard { shard: declared.clone(), collections: BTreeSet::new() }),
         });
         layouts.drop_moved();
         layouts
@@ -168,17 +174,19 @@
 
     fn plan(&self, version: IndexVersion) -> Plan {
         let mut plan = Plan { version, ..Plan::default() };
-        let mut names = Names::new(&self.unknown);
+        let mut names = MissingNames::new(&self.unknown);
         let gone = Error::VersionGone { version: version.0 };
         for (collection, versions) in &self.collections {
             let (layout, present) = nearest(versions, version);
-            let mut open = (layout.total as usize).max(layout.shards.len() + layout.gone.len());
+            let mut unassigned =
+                (layout.total as usize).max(layout.shards.len() + layout.gone.len());
             if present {
-                open -= layout.shards.len();
+                unassigned -= layout.shards.len();
                 let seen = layout.shards.iter();
-                plan.shards.extend(
-                    seen.map(|(shard, home)| Expected { shard: shard.clone(), home: home.clone() }),
-                );
+                plan.shards.extend(seen.map(|(shard, declared)| PlannedShard {
+                    shard: shard.clone(),
+                    declared: declared.clone(),
+                }));
             }
             // What is left of the collection can't be asked. The slots get the
             // names of shards that are known to belong to it, as far as they go.
@@ -189,18 +197,18 @@
             if present {
                 lost.retain(|shard| !layout.shards.contains_key(*shard));
             }
-            for shard in lost.into_iter().take(open) {
+            for shard in lost.into_iter().take(unassigned) {
                 plan.absent.push(Missing::new(shard.clone(), &gone));
-                open -= 1;
+                unassigned -= 1;
             }
-            names.fill(collection, (open, layout.is_declared()), &mut plan.absent);
+            names.fill(collection, (unassigned, layout.is_declared()), &mut plan.absent);
         }
-        names.rest(&mut plan.absent);
+        names.add_remaining(&mut plan.absent);
         plan.shards.sort();
         plan.shards.dedup_by(|a, b| a.shard == b.shard);
         // Collections that share the name of a shard share the shard.
         let mut names: HashSet<ShardName> =
-            plan.shards.iter().map(|expected| expected.shard.clone()).collect();
+            plan.shards.iter().map(|planned| planned.shard.clone()).collect();
         plan.absent.retain(|missing| names.insert(missing.shard.clone()));
         plan
     }
@@ -219,24 +227,29 @@
 }
 
 /// Names for shards that belong to a snapshot but were not seen at it.
-struct Names<'a> {
-    unknown: Vec<&'a Unknown>,
+struct MissingNames<'a> {
+    unknown: Vec<&'a UnknownShard>,
     known: BTreeSet<String>,
 }
 
-impl<'a> Names<'a> {
-    fn new(unknown: &'a [Unknown]) -> Names<'a> {
-        Names { unknown: unknown.iter().collect(), known: BTreeSet::new() }
+impl<'a> MissingNames<'a> {
+    fn new(unknown: &'a [UnknownShard]) -> MissingNames<'a> {
+        MissingNames { unknown: unknown.iter().collect(), known: BTreeSet::new() }
     }
 
-    /// Lists `open` shards of `collection` as missing, under the names of declared
+    /// Lists `unassigned` shards of `collection` as missing, under the names of declared
     /// shards if the layout is `named` by them.
     ///
     /// After a repartitioning it is not, and a declared name would be that of a
     /// shard which is not part of the snapshot.
-    fn fill(&mut self, collection: &str, (open, named): (usize, bool), absent: &mut Vec<Missing>) {
+    fn fill(
+        &mut self,
+        collection: &str,
+        (unassigned, named): (usize, bool),
+        absent: &mut Vec<Missing>,
+    ) {
         self.known.insert(collection.to_owned());
-        for number in 0..open {
+        for number in 0..unassigned {
             // First a shard that was seen in this collection, then one that was
             // never seen anywhere and may belong to it.
             let seen = self.unknown.iter().position(|u| u.collections.contains(collection));
@@ -253,7 +266,7 @@
     ///
     /// A shard never heard of may belong to a collection that is down as a
     /// whole: leaving it out would make a thin answer look whole.
-    fn rest(self, absent: &mut Vec<Missing>) {
+    fn add_remaining(self, absent: &mut Vec<Missing>) {
         for unknown in self.unknown {
             if unknown.collections.is_disjoint(&self.known) {
                 absent.push(Missing::new(unknown.shard.clone(), &Error::NoTarget));
--- a/crates/kumquatnotch-query/src/planner.rs
+++ b/crates/kumquatnotch-query/src/planner.rs
@@ -23,40 +23,40 @@
 
 use crate::{
     groups::GroupId,
-    plan::{Gone, Plan, plan, plan_without},
+    plan::{GoneShards, Plan, plan, plan_without},
     router::Router,
     view::VersionView,
 };
 
 /// How often holders are asked again while no version at all is known.
-const BLANK_RETRY: Duration = Duration::from_millis(50);
+const VERSION_RETRY: Duration = Duration::from_millis(50);
 /// For how long after its last query the versions of a selector are kept fresh.
-const IN_USE: Duration = Duration::from_secs(60);
+const SELECTOR_IDLE: Duration = Duration::from_secs(60);
 
 /// Plans queries over what is known of versions.
 pub(crate) struct Planner {
     clock: Rc<dyn Clock>,
     router: Rc<Router>,
     pub view: VersionView,
-    wait: Duration,
-    kept: RefCell<HashMap<SelectorName, Kept>>,
+    timeout: Duration,
+    cached: RefCell<HashMap<SelectorName, CachedPlan>>,
     version: Cell<ConfigVersion>,
 }
 
-struct Kept {
+struct CachedPlan {
     shards: Rc<Vec<ShardName>>,
     plan: Option<(u64, Rc<Plan>)>,
     used: Instant,
 }
 
 impl Planner {
-    pub fn new(clock: Rc<dyn Clock>, router: Rc<Router>, wait: Duration) -> Planner {
+    pub fn new(clock: Rc<dyn Clock>, router: Rc<Router>, timeout: Duration) -> Planner {
         Planner {
             clock,
             router,
             view: VersionView::default(),
-            wait,
-            kept: RefCell::default(),
+            timeout,
+            cached: RefCell::default(),
             version: Cell::default(),
         }
     }
@@ -74,30 +74,30 @@
         }
         // Right after its start a node knows nothing. Answering "no version" at
         // once would fail the first callers, so it asks and waits a little.
-        while self.view.is_blank(&shards) {
+        while self.view.has_no_versions(&shards) {
             self.refresh(document, &shards, deadline).await;
-            if !self.view.is_blank(&shards) {
+            if !self.view.has_no_versions(&shards) {
                 break;
             }
-            if self.clock.now() + BLANK_RETRY >= deadline {
+            if self.clock.now() + VERSION_RETRY >= deadline {
                 return Err(Error::NoSnapshot);
             }
-            sleep(&*self.clock, BLANK_RETRY).await;
+            sleep(&*self.clock, VERSION_RETRY).await;
         }
-        self.kept_plan(name, &shards)
+        self.cached_plan(name, &shards)
     }
 
-    fn kept_plan(&self, name: &SelectorName, shards: &[ShardName]) -> Result<Rc<Plan>> {
+    fn cached_plan(&self, name: &SelectorName, shards: &[ShardName]) -> Result<Rc<Plan>> {
         let changes = self.view.changes();
-        let mut all = self.kept.borrow_mut();
-        if let Some(Kept { plan: Some((at, plan)), .. }) = all.get(name)
+        let mut all = self.cached.borrow_mut();
+        if let Some(CachedPlan { plan: Some((at, plan)), .. }) = all.get(name)
             && *at == changes
         {
             return Ok(plan.clone());
         }
         let made = Rc::new(plan(&self.view, shards)?);
-        if let Some(kept) = all.get_mut(name) {
-            kept.plan = Some((changes, made.clone()));
+        if let Some(cached) = all.get_mut(name) {
+            cached.plan = Some((changes, made.clone()));
         }
         Ok(made)
     }
@@ -108,7 +108,7 @@
         document: &Document,
         (name, spec): (&SelectorName, &SelectorSpec),
         old: &Plan,
-        gone: &Gone,
+        gone: &GoneShards,
     ) -> Option<Rc<Plan>> {
         let shards = self.shards(document, name, spec);
         let new = plan_without(&self.view, &shards, gone).ok()?;
@@ -123,7 +123,7 @@
         name: &SelectorName,
         spec: &SelectorSpec,
     ) -> Rc<Vec<ShardName>> {
-        let mut all = self.kept.borrow_mut();
+        let mut all = self.cached.borrow_mut();
         if self.version.replace(document.version) != document.version {
             all.clear();
             let declared: BTreeSet<&ShardName> =
@@ -131,13 +131,13 @@
             self.view.retain(|shard| declared.contains(shard));
         }
         let now = self.clock.now();
-        let kept = all.entry(name.clone()).or_insert_with(|| {
+        let cached = all.entry(name.clone()).or_insert_with(|| {
             let shards: BTreeSet<ShardName> =
                 document.select(spec).map(|(_, target)| target.shard.clone()).collect();
-            Kept { shards: Rc::new(shards.into_iter().collect()), plan: None, used: now }
+            CachedPlan { shards: Rc::new(shards.into_iter().collect()), plan: None, used: now }
         });
-        kept.used = now;
-        kept.shards.clone()
+        cached.used = now;
+        cached.shards.clone()
     }
 
     /// Asks for what was not heard of for `age`, of one selector.
@@ -158,20 +158,21 @@
     /// Asks holders for the versions of `shards`.
     pub async fn refresh(&self, document: &Document, shards: &[ShardName], deadline: Instant) {
         let now = self.clock.now();
-        self.view.asked(now, shards);
-        let until = deadline.min(now + self.wait);
+        self.view.mark_requested(now, shards);
+        let until = deadline.min(now + self.timeout);
         let mut groups: BTreeMap<GroupId, Vec<ShardName>> = BTreeMap::new();
         for shard in shards {
             let group = self.router.group(document, shard);
             groups.entry(group).or_default().push(shard.clone());
         }
-        let asked = groups.into_iter().map(|(group, shards)| self.ask(group, shards, until));
+        let asked =
+            groups.into_iter().map(|(group, shards)| self.fetch_versions(group, shards, until));
         for held in join_all(asked).await.into_iter().flatten() {
-            self.view.learn(self.clock.now(), &held);
+            self.view.update(self.clock.now(), &held);
         }
     }
 
-    async fn ask(
+    async fn fetch_versions(
         &self,
         group: GroupId,
         shards: Vec<ShardName>,
@@ -194,17 +195,18 @@
     pub async fn keep_fresh(&self, document: &Document, age: Duration) {
         let now = self.clock.now();
         let stale: Vec<ShardName> = {
-            let all = self.kept.borrow();
-            let used = |kept: &&Kept| now.saturating_duration_since(kept.used) < IN_USE;
+            let all = self.cached.borrow();
+            let used =
+                |cached: &&CachedPlan| now.saturating_duration_since(cached.used) < SELECTOR_IDLE;
             let shards: BTreeSet<ShardName> = all
                 .values()
                 .filter(used)
-                .flat_map(|kept| self.view.stale(now, &kept.shards, age))
+                .flat_map(|cached| self.view.stale(now, &cached.shards, age))
                 .collect();
             shards.into_iter().collect()
         };
         if !stale.is_empty() {
-            self.refresh(document, &stale, now + self.wait).await;
+            self.refresh(document, &stale, now + self.timeout).await;
         }
     }
 }
--- a/crates/kumquatnotch-query/src/router.rs
+++ b/crates/kumquatnotch-query/src/router.rs
@@ -42,7 +42,7 @@
 pub const ROUTER: &str = "router";
 
 /// The quantile of answers after which a holder counts as late.
-const LATE_QUANTILE: f64 = 0.99;
+const HEDGE_QUANTILE: f64 = 0.99;
 /// The quantile of answers up to which a canary is waited for.
 const CANARY_QUANTILE: f64 = 0.95;
 /// How many nodes are kept in rank after the holders of a group.
@@ -51,7 +51,7 @@
 /// has found it; a data centre of a region that is lost at once takes a few.
 const SPARE_HOLDERS: usize = 8;
 /// The most hedges that can be saved up.
-const HEDGE_TOKENS: f64 = 10.0;
+const MAX_HEDGE_TOKENS: f64 = 10.0;
 
 /// The way to holders.
 pub struct Router {
@@ -63,20 +63,20 @@
     options: RouterOptions,
     ranks: Ranks,
     health: Health,
-    answers: [Latency; 3],
+    latencies: [Latency; 3],
     tokens: Cell<f64>,
-    pruned: Cell<u64>,
+    pruned_generation: Cell<u64>,
 }
 
 /// When the parts of a query end.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ends {
+pub(crate) struct Deadlines {
     /// When holders should answer with what they have.
-    pub patience: Instant,
+    pub partial: Instant,
     /// When holders should give up.
-    pub deadline: Instant,
+    pub holder: Instant,
     /// When the root gives up.
-    pub finish: Instant,
+    pub root: Instant,
 }
 
 impl Router {
@@ -91,9 +91,9 @@
             options,
             ranks: Ranks::default(),
             health: Health::default(),
-            answers: Default::default(),
-            tokens: Cell::new(HEDGE_TOKENS),
-            pruned: Cell::new(0),
+            latencies: Default::default(),
+            tokens: Cell::new(MAX_HEDGE_TOKENS),
+            pruned_generation: Cell::new(0),
         }))
     }
 
@@ -121,13 +121,13 @@
     }
 
     fn is_silent(&self, name: &NodeName, now: Instant) -> bool {
-        self.health.is_silent(name, now, self.options.silence, self.options.retrial)
+        self.health.is_silent(name, now, self.options.silence, self.options.probe_interval)
     }
 
     /// Forgets peers that are gone, once for each change of the members.
     fn prune(&self) {
         let generation = self.members.generation();
-        if self.pruned.replace(generation) == generation {
+        if self.pruned_generation.replace(generation) == generation {
             return;
         }
         self.health.retain(|name| self.members.find(name).is_some());
@@ -140,12 +140,12 @@
 
     /// How long a canary is waited for; `start` until answers were seen.
     pub(crate) fn canary_delay(&self, class: Class, start: Duration) -> Duration {
-        self.answers[class as usize].quantile(CANARY_QUANTILE).unwrap_or(start)
+        self.latencies[class as usize].quantile(CANARY_QUANTILE).unwrap_or(start)
     }
 
     fn hedge_delay(&self, class: Class) -> Duration {
-        let learned = self.answers[class as usize].quantile(LATE_QUANTILE);
-        learned.unwrap_or(self.options.hedge_start).max(self.options.hedge_least)
+        let learned = self.latencies[class as usize].quantile(HEDGE_QUANTILE);
+        learned.unwrap_or(self.options.hedge_initial).max(self.options.hedge_min)
     }
 
     /// Sends `message` to `node`, be it this one, and waits for its reply.
@@ -173,14 +173,14 @@
         message: &PeerMessage,
         deadline: Instant,
     ) -> Result<PeerReply> {
-        let _open = Open::new(self, &node.name);
+        let _open = InFlight::new(self, &node.name);
         let sent = self.clock.now();
         let sending = self.peers.send(node.peer, message, deadline);
         // The way to peers should keep the deadline itself. If it does not, the
         // query must still end.
         let reply = timeout_at(&*self.clock, deadline, sending).await.and_then(|reply| reply);
         match &reply {
-            Ok(_) => self.health.replied(&node.name),
+            Ok(_) => self.health.reply_received(&node.name),
             Err(error) => self.note_failure(&node.name, error, sent),
         }
         reply
@@ -194,13 +194,13 @@
             | Error::ConnectRefused
             | Error::ConnectionLost
             | Error::ConnectionSilent => {
-                self.health.muted(name, self.clock.now(), self.options.silence);
+                self.health.mark_silent(name, self.clock.now(), self.options.silence);
                 self.members.report_silent(name);
             }
             // A deadline of few milliseconds that passes is no evidence.
             Error::TimedOut if waited >= self.options.silence => self.members.report_silent(name),
             Error::TimedOut => {}
-            _ => self.health.replied(name),
+            _ => self.health.reply_received(name),
         }
     }
 
@@ -208,46 +208,48 @@
     ///
     /// Without `hedged` a late holder is waited for as long as it is not silent: a
     /// request that may crash targets must not run through two holders at once.
-    pub(crate) async fn ask(
+    pub(crate) async fn query_group(
         &self,
         group: GroupId,
         request: &GroupRequest,
-        ends: Ends,
+        deadlines: Deadlines,
         hedged: bool,
     ) -> Result<GroupAnswer> {
         let holders = self.holders(group);
-        let mut waiting = holders.iter().take(self.options.tries);
+        let mut waiting = holders.iter().take(self.options.max_attempts);
         let Some(first) = waiting.next() else {
             return Err(Error::NoTarget);
         };
         self.earn_token();
         let mut open = FuturesUnordered::new();
-        open.push(self.attempt(first, request, ends, false));
+        open.push(self.attempt(first, request, deadlines, false));
         let silent_at = self.clock.now() + self.options.silence;
         let mut hedge_at = self.clock.now() + self.hedge_delay(request.class);
         loop {
-            let timer = self.clock.sleep_until(hedge_at.min(ends.finish));
+            let timer = self.clock.sleep_until(hedge_at.min(deadlines.root));
             match select(open.next(), timer).await {
                 Either::Left((Some(Ok(answer)), _)) => return Ok(answer),
                 Either::Left((Some(Err(error)), _)) => {
                     // A dead holder, or one that can't serve: the next one, at once.
-                    let next = if is_of_holder(&error) { waiting.next() } else { None };
+                    let next = if may_try_next_holder(&error) { waiting.next() } else { None };
                     match next {
-                        Some(next) => open.push(self.attempt(next, request, ends, false)),
+                        Some(next) => open.push(self.attempt(next, request, deadlines, false)),
                         None if open.is_empty() => return Err(error),
                         None => {}
                     }
                 }
                 Either::Left((None, _)) => return Err(Error::NoTarget),
-                Either::Right(_) if self.clock.now() >= ends.finish => return Err(Error::TimedOut),
+                Either::Right(_) if self.clock.now() >= deadlines.root => {
+                    return Err(Error::TimedOut);
+                }
                 Either::Right(_) => {
                     let is_silent = self.has_gone_silent(&first.name);
                     if is_silent || (hedged && self.spend_token()) {
                         let next = waiting.next();
-                        open.extend(next.map(|next| self.attempt(next, request, ends, true)));
-                        hedge_at = ends.finish;
+                        open.extend(next.map(|next| self.attempt(next, request, deadlines, true)));
+                        hedge_at = deadlines.root;
                     } else {
-                        hedge_at = silent_at.max(self.clock.now() + self.options.hedge_least);
+                        hedge_at = silent_at.max(self.clock.now() + self.options.hedge_min);
                     }
                 }
             }
@@ -272,27 +274,27 @@
     }
 
     fn earn_token(&self) {
-        self.tokens.set((self.tokens.get() + self.options.hedge_share).min(HEDGE_TOKENS));
+        self.tokens.set((self.tokens.get() + self.options.hedge_share).min(MAX_HEDGE_TOKENS));
     }
 
     async fn attempt(
         &self,
         node: &NodeRecord,
         request: &GroupRequest,
-        ends: Ends,
+        deadlines: Deadlines,
         hedge: bool,
     ) -> Result<GroupAnswer> {
         let sent = self.clock.now();
         let left = |end: Instant| end.saturating_duration_since(sent).as_millis() as u64;
         let request = GroupRequest {
-            patience_ms: left(ends.patience),
-            deadline_ms: left(ends.deadline),
+            patience_ms: left(deadlines.partial),
+            deadline_ms: left(deadlines.holder),
             hedge,
             ..request.clone()
         };
         let (class, shards) = (request.class, request.shards.clone());
         let message = PeerMessage::Group(Box::new(request));
-        let reply = self.send(node, &message, ends.finish).await?;
+        let reply = self.send(node, &message, deadlines.root).await?;
         let PeerReply::Group(answer) = reply else {
             return Err(Error::protocol("not an answer for a group"));
         };
@@ -302,8 +304,8 @@
             return Err(Error::protocol("an answer for other shards"));
         }
         let now = self.clock.now();
-        self.answers[class as usize].record(now, now.saturating_duration_since(sent));
-        self.health.learn_wait(&node.name, Duration::from_micros(answer.wait_us));
+        self.latencies[class as usize].record(now, now.saturating_duration_since(sent));
+        self.health.record_wait(&node.name, Duration::from_micros(answer.wait_us));
         Ok(*answer)
     }
 
@@ -320,7 +322,7 @@
 /// A refusal for want of capacity is not: the next holder has slots of its own
 /// for the same replicas, and would overload them. Nor is the refusal of a
 /// request that crashes targets: the next holder may not have heard of it yet.
-fn is_of_holder(error: &Error) -> bool {
+fn may_try_next_holder(error: &Error) -> bool {
     !matches!(
         error,
         Error::Overloaded { .. }
@@ -332,21 +334,21 @@
 }
 
 /// Counts a request to a peer as open until it is dropped.
-struct Open<'a> {
+struct InFlight<'a> {
     router: &'a Router,
     name: &'a NodeName,
 }
 
-impl<'a> Open<'a> {
-    fn new(router: &'a Router, name: &'a NodeName) -> Open<'a> {
-        router.health.sent(name, router.clock.now());
-        Open { router, name }
+impl<'a> InFlight<'a> {
+    fn new(router: &'a Router, name: &'a NodeName) -> InFlight<'a> {
+        router.health.request_sent(name, router.clock.now());
+        InFlight { router, name }
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let router = self.router;
-        router.health.closed(self.name, router.clock.now());
+        router.health.request_closed(self.name, router.clock.now());
     }
 }
--- a/crates/kumquatnotch-query/src/runner.rs
+++ b/crates/kumquatnotch-query/src/runner.rs
@@ -20,14 +20,14 @@
 use crate::{TicketOptions, router::Router};
 
 /// The pause before a request that was refused is sent on again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(5);
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 /// Runs exclusive requests through the holders of their shards.
 pub(crate) struct Runner {
     clock: Rc<dyn Clock>,
     random: Random,
     router: Rc<Router>,
-    tries: usize,
+    max_attempts: usize,
     grace: Duration,
     margin: Duration,
 }
@@ -39,8 +39,8 @@
         random: Random,
         router: Rc<Router>,
     ) -> Runner {
-        let TicketOptions { tries, grace, margin, .. } = *options;
-        Runner { clock, random, router, tries, grace, margin }
+        let TicketOptions { max_attempts, grace, margin, .. } = *options;
+        Runner { clock, random, router, max_attempts, grace, margin }
     }
 
     /// Runs `request` once.
@@ -59,7 +59,7 @@
         };
         let group = self.router.group(document, &shard);
         let mut last = Error::ExpiredInQueue;
-        for attempt in 0..self.tries {
+        for attempt in 0..self.max_attempts {
             if self.clock.now() + MIN_CALL_TIME > deadline {
                 // It waited here and never left.
                 return Outcome::Failed(Error::ExpiredInQueue);
@@ -80,12 +80,12 @@
                 break;
             }
         }
-        Outcome::Failed(told(last))
+        Outcome::Failed(caller_error(last))
     }
 
     /// Waits until the request may be sent on again; false if there is no time for it.
     async fn pause(&self, error: &Error, deadline: Instant) -> bool {
-        let pause = error.retry_after().unwrap_or(REFUSED_PAUSE);
+        let pause = error.retry_after().unwrap_or(RETRY_PAUSE);
         if self.clock.now() + pause + MIN_CALL_TIME > deadline {
             return false;
         }
@@ -142,7 +142,7 @@
 
 /// The error for the caller: a holder's trouble with its own document is no fault
 /// of the request.
-fn told(error: Error) -> Error {
+fn caller_error(error: Error) -> Error {
     match error {
         Error::UnknownSelector { .. }
         | Error::Leaving
--- a/crates/kumquatnotch-query/src/search.rs
+++ b/crates/kumquatnotch-query/src/search.rs
@@ -18,9 +18,9 @@
     gather::{Gather, Round},
     merge::merge,
     meters,
-    plan::{Gone, Plan},
+    plan::{GoneShards, Plan},
     planner::Planner,
-    router::{Ends, Router},
+    router::{Deadlines, Router},
 };
 
 /// The share of the deadline within which versions must have been told.
@@ -47,11 +47,11 @@
     pub fingerprint: Fingerprint,
     pub start: Instant,
     pub deadline: Duration,
-    pub ends: Ends,
+    pub deadlines: Deadlines,
     pub margin: Duration,
     pub follow_up: bool,
-    pub plans: usize,
-    pub canary_start: Duration,
+    pub max_plans: usize,
+    pub canary_initial: Duration,
 }
 
 impl Search<'_> {
@@ -59,9 +59,9 @@
     pub async fn run(&self, mut canary: bool) -> Result<Answer> {
         let planned_by = self.start + self.deadline / PLAN_SHARE;
         let mut plan = self.planner.plan(self.document, self.selector, planned_by).await?;
-        let mut gone = Gone::new();
-        for round in 0..self.plans.max(1) {
-            let gather = Gather::new(self, &plan, round + 1 >= self.plans);
+        let mut gone = GoneShards::new();
+        for round in 0..self.max_plans.max(1) {
+            let gather = Gather::new(self, &plan, round + 1 >= self.max_plans);
             match gather.run(canary, &mut gone).await? {
                 Round::Done(hits, coverage) => return Ok(self.answer(hits, coverage)),
                 Round::Gone { plan: next, covered } => {
@@ -88,17 +88,17 @@
 
     /// Whether there is time for another round.
     pub fn may_replan(&self) -> bool {
-        self.clock.now() + self.margin < self.ends.patience
+        self.clock.now() + self.margin < self.deadlines.partial
     }
 
     /// Asks holders for the versions that were not heard of in the last moments.
     pub async fn refresh(&self) {
-        let until = self.ends.patience.min(self.clock.now() + REFRESH_WAIT);
+        let until = self.deadlines.partial.min(self.clock.now() + REFRESH_WAIT);
         self.planner.refresh_stale(self.document, self.selector, REFRESH_AGE, until).await;
     }
 
     /// Another plan for the whole answer, if there is a better one and time for it.
-    pub fn replan(&self, old: &Plan, gone: &Gone) -> Option<Rc<Plan>> {
+    pub fn replan(&self, old: &Plan, gone: &GoneShards) -> Option<Rc<Plan>> {
         if !self.may_replan() {
             return None;
         }
@@ -126,23 +126,23 @@
     /// How long the first canary is waited for.
     pub fn canary_delay(&self) -> Duration {
         let most = self.canary_end().saturating_duration_since(self.start);
-        self.router.canary_delay(self.class(), self.canary_start).min(most)
+        self.router.canary_delay(self.class(), self.canary_initial).min(most)
     }
 
     /// When no canary is waited for any more, so that time is left for the rest.
     pub fn canary_end(&self) -> Instant {
-        self.start + self.ends.patience.saturating_duration_since(self.start) / 2
+        self.start + self.deadlines.partial.saturating_duration_since(self.start) / 2
     }
 
     /// Takes what an answer tells besides its hits.
-    pub fn learn(&self, answer: &GroupAnswer) {
+    pub fn record_answer(&self, answer: &GroupAnswer) {
         let now = self.clock.now();
-        self.planner.view.learn(now, &answer.held);
+        self.planner.view.update(now, &answer.held);
         self.admission.observe_wait(now, self.class(), Duration::from_micros(answer.wait_us));
     }
 
     /// Takes what a holder's refusal tells: requests wait as long as it says.
-    pub fn learn_refusal(&self, error: &Error) {
+    pub fn record_refusal(&self, error: &Error) {
         if let (Error::Overloaded { .. }, Some(retry)) = (error, error.retry_after()) {
             self.admission.observe_wait(self.clock.now(), self.class(), retry);
         }
--- a/crates/kumquatnotch-query/src/tickets.rs
+++ b/crates/kumquatnotch-query/src/tickets.rs
@@ -41,7 +41,7 @@
 
 use crate::{
     TicketOptions, meters,
-    outcomes::{Found, Outcomes, RunGuard},
+    outcomes::{Lookup, Outcomes, RunGuard},
     router::{ROUTER, Router},
     runner::Runner,
 };
@@ -83,7 +83,7 @@
         }
         // An outcome is told for as long again as its ticket may run something:
         // a caller that sends at the last moment can still ask.
-        let outcomes = Outcomes::new(options.valid * 2, options.entries);
+        let outcomes = Outcomes::new(options.valid * 2, options.max_outcomes);
         let runner = Runner::new(&options, clock.clone(), random.clone(), router.clone());
         Ok(Rc::new_cyclic(|this| TicketService {
             this: this.clone(),
@@ -106,7 +106,7 @@
         // Without a ticket nothing can have run: here is the one place where a
         // refusal for want of room costs nothing.
         let (running, kept) = self.outcomes.counts();
-        if running >= self.options.runs || kept >= self.options.entries {
+        if running >= self.options.max_runs || kept >= self.options.max_outcomes {
             return Err(Error::overloaded(self.options.grace));
         }
         let serial = self.serial.get() + 1;
@@ -166,16 +166,16 @@
             deadline_ms: (deadline - margin).as_millis() as u64,
         };
         let outcome = if ticket.issuer == self.members.local().name {
-            self.take(&ticket, request).await
+            self.run_or_wait(&ticket, request).await
         } else {
-            self.pass_on(&ticket, request, start + deadline).await
+            self.forward(&ticket, request, start + deadline).await
         };
         meters::exclusive(tenant, self.clock.now().saturating_duration_since(start));
         Ok(outcome)
     }
 
     /// Passes a request on to the issuer of its ticket, which alone may run it.
-    async fn pass_on(
+    async fn forward(
         &self,
         ticket: &Ticket,
         request: ExclusiveRequest,
@@ -183,7 +183,7 @@
     ) -> Outcome {
         let issuer = match self.members.find(&ticket.issuer) {
             Some(record) if record.state != NodeState::Gone => record,
-            _ => return Outcome::Failed(self.without_issuer()),
+            _ => return Outcome::Failed(self.unknown_issuer()),
         };
         // The record may be older than the issuer's present life, or newer than
         // the ticket's: the node itself knows which life it is, so it is asked.
@@ -200,31 +200,36 @@
     }
 
     /// What is told if the issuer is no member any more.
-    fn without_issuer(&self) -> Error {
+    fn unknown_issuer(&self) -> Error {
         // A node that has just started may not have heard of all members yet.
         let age = Duration::from_millis(self.age_ms());
-        if age < self.options.settle {
+        if age < self.options.settle_time {
             return Error::IssuerUnreachable;
         }
         Error::OutcomeUnknown
     }
 
     /// Runs a request under an own ticket, or waits for the run, or tells the outcome.
-    async fn take(&self, ticket: &Ticket, request: ExclusiveRequest) -> Outcome {
+    async fn run_or_wait(&self, ticket: &Ticket, request: ExclusiveRequest) -> Outcome {
         let deadline = self.clock.now() + Duration::from_millis(request.deadline_ms);
-        match self.admit(ticket, request, deadline) {
-            Found::Ended(outcome) => outcome,
-            Found::Running(outcome) => match timeout_at(&*self.clock, deadline, outcome).await {
+        match self.find_or_start(ticket, request, deadline) {
+            Lookup::Ended(outcome) => outcome,
+            Lookup::Running(outcome) => match timeout_at(&*self.clock, deadline, outcome).await {
                 Ok(Ok(outcome)) => outcome,
                 Ok(Err(_)) | Err(_) => Outcome::Failed(Error::StillRunning),
             },
-            Found::Nothing | Found::Other => Outcome::Failed(Error::BadTicket),
+            Lookup::Absent | Lookup::OtherRequest => Outcome::Failed(Error::BadTicket),
         }
     }
 
     /// Finds the entry of a ticket, or makes it and starts the run. This never
     /// waits: between the look and the entry no other copy can come in.
-    fn admit(&self, ticket: &Ticket, request: ExclusiveRequest, deadline: Instant) -> Found {
+    fn find_or_start(
+        &self,
+        ticket: &Ticket,
+        request: ExclusiveRequest,
+        deadline: Instant,
+    ) -> Lookup {
         let local = self.members.local();
         if ticket.issuer != local.name {
             // Never passed on again, so that two views can't make a circle.
@@ -241,7 +246,7 @@
         let now = self.clock.now();
         let hash = request_hash(&request);
         match self.outcomes.find(now, ticket.serial, hash) {
-            Found::Nothing => {}
+            Lookup::Absent => {}
             found => return found,
         }
         let valid_ms = self.options.valid.as_millis() as u64;
@@ -275,9 +280,9 @@
             }
             this.outcomes.end(serial, outcome);
             drop(guard);
-            this.gauge();
+            this.update_gauges();
         });
-        self.gauge();
+        self.update_gauges();
     }
 
     /// The document that the request runs under, if it may run now.
@@ -285,7 +290,7 @@
         if self.lifecycle.stage() == Stage::Closing {
             return Err(Error::Leaving);
         }
-        if self.outcomes.counts().0 > self.options.runs {
+        if self.outcomes.counts().0 > self.options.max_runs {
             return Err(Error::overloaded(self.options.grace));
         }
         if request.body.len() > self.options.body_limit {
@@ -296,7 +301,7 @@
         Ok(document)
     }
 
-    fn gauge(&self) {
+    fn update_gauges(&self) {
         let (running, kept) = self.outcomes.counts();
         meters::tickets(running, kept);
     }
@@ -321,7 +326,7 @@
                 return Err(Error::protocol("not a message for the issuer of a ticket"));
             };
             let outcome = match request.ticket.parse() {
-                Ok(ticket) => self.take(&ticket, *request).await,
+                Ok(ticket) => self.run_or_wait(&ticket, *request).await,
                 Err(error) => Outcome::Failed(error),
             };
             Ok(PeerReply::Exclusive(outcome))
@@ -329,8 +334,8 @@
     }
 }
 
-fn failed(error: Error) -> Found {
-    Found::Ended(Outcome::Failed(error))
+fn failed(error: Error) -> Lookup {
+    Lookup::Ended(Outcome::Failed(error))
 }
 
 /// By which a request under a ticket is recognised; the time to wait is no part of it.
--- a/crates/kumquatnotch-query/src/view.rs
+++ b/crates/kumquatnotch-query/src/view.rs
@@ -17,7 +17,7 @@
 };
 
 /// How long after the last version was heard of an empty report counts.
-const EMPTY_AFTER: Duration = Duration::from_secs(10);
+const EMPTY_GRACE: Duration = Duration::from_secs(10);
 
 /// The versions that shards have.
 #[derive(Default)]
@@ -33,10 +33,10 @@
     pub versions: Vec<HeldVersion>,
     /// The collections it was ever seen in, which outlast its replicas.
     pub collections: BTreeSet<String>,
-    heard: Option<Instant>,
+    received: Option<Instant>,
     /// When any version was last heard of.
-    filled: Option<Instant>,
-    asked: Option<Instant>,
+    last_nonempty: Option<Instant>,
+    requested: Option<Instant>,
 }
 
 impl Report {
@@ -45,23 +45,23 @@
     /// A holder that has just taken a group over knows nothing for a moment. If
     /// that counted, the next plan would be thin. If the replicas are lost in
     /// truth, the shard is asked for in vain and listed with its reason.
-    fn outlasts(&self, now: Instant, shard: &ShardVersions) -> bool {
-        let young = |at: Instant| now.saturating_duration_since(at) < EMPTY_AFTER;
-        shard.versions.is_empty() && self.filled.is_some_and(young)
+    fn ignores_empty(&self, now: Instant, shard: &ShardVersions) -> bool {
+        let young = |at: Instant| now.saturating_duration_since(at) < EMPTY_GRACE;
+        shard.versions.is_empty() && self.last_nonempty.is_some_and(young)
     }
 }
 
 impl VersionView {
     /// Takes what a holder says of its shards.
-    pub fn learn(&self, now: Instant, held: &[ShardVersions]) {
+    pub fn update(&self, now: Instant, held: &[ShardVersions]) {
         let mut reports = self.reports.borrow_mut();
         for shard in held {
             let report = reports.entry(shard.shard.clone()).or_default();
-            let first = report.heard.replace(now).is_none();
+            let first = report.received.replace(now).is_none();
             if !shard.versions.is_empty() {
-                report.filled = Some(now);
+                report.last_nonempty = Some(now);
             }
-            if (report.versions == shard.versions && !first) || report.outlasts(now, shard) {
+            if (report.versions == shard.versions && !first) || report.ignores_empty(now, shard) {
                 continue;
             }
             self.changes.set(self.changes.get() + 1);
@@ -80,13 +80,13 @@
     }
 
     /// Whether nothing was ever heard of any of `shards`.
-    pub(crate) fn is_blank(&self, shards: &[ShardName]) -> bool {
+    pub(crate) fn has_no_versions(&self, shards: &[ShardName]) -> bool {
         let reports = self.reports.borrow();
         let has = |shard| reports.get(shard).is_some_and(|report| !report.versions.is_empty());
         !shards.iter().any(has)
     }
 
-    /// Those of `shards` that were not heard of for `age` and not asked for either.
+    /// Those of `shards` that were not received of for `age` and not asked for either.
     pub(crate) fn stale(
         &self,
         now: Instant,
@@ -97,16 +97,18 @@
         let recent =
             |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) < age);
         let is_stale = |shard: &&ShardName| {
-            reports.get(*shard).is_none_or(|report| !recent(report.heard) && !recent(report.asked))
+            reports
+                .get(*shard)
+                .is_none_or(|report| !recent(report.received) && !recent(report.requested))
         };
         shards.iter().filter(is_stale).cloned().collect()
     }
 
     /// Notes that `shards` are asked for.
-    pub(crate) fn asked(&self, now: Instant, shards: &[ShardName]) {
+    pub(crate) fn mark_requested(&self, now: Instant, shards: &[ShardName]) {
         let mut reports = self.reports.borrow_mut();
         for shard in shards {
-            reports.entry(shard.clone()).or_default().asked = Some(now);
+            reports.entry(shard.clone()).or_default().requested = Some(now);
         }
     }
 
--- a/crates/kumquatnotch-query/tests/common/holder.rs
+++ b/crates/kumquatnotch-query/tests/common/holder.rs
@@ -39,7 +39,7 @@
     pub run_delay: RefCell<Duration>,
     pub wait: RefCell<Duration>,
     /// The node whose answers are those to other requests.
-    pub crossed: RefCell<Option<NodeName>>,
+    pub misdirected: RefCell<Option<NodeName>>,
     /// A shard that answers leave out.
     pub omitted: RefCell<Option<ShardName>>,
     /// The node that refuses every group for want of slots.
@@ -56,7 +56,7 @@
             refusals: RefCell::default(),
             run_delay: RefCell::new(Duration::from_millis(2)),
             wait: RefCell::default(),
-            crossed: RefCell::default(),
+            misdirected: RefCell::default(),
             omitted: RefCell::default(),
             refusing: RefCell::default(),
         }
@@ -120,7 +120,7 @@
             held: self.versions(&request.shards),
             wait_us: self.wait.borrow().as_micros() as u64,
         };
-        if self.crossed.borrow().as_ref() == Some(name) {
+        if self.misdirected.borrow().as_ref() == Some(name) {
             let other = ShardName::from("of-another-request");
             answer.hits.push(hit(&other, request.version));
             answer.covered.push(other);
--- a/crates/kumquatnotch-query/tests/common/mod.rs
+++ b/crates/kumquatnotch-query/tests/common/mod.rs
@@ -46,7 +46,7 @@
 pub const KEY: &str = "key of siam";
 pub const RIVAL_KEY: &str = "key of barid";
 
-pub struct World {
+pub struct Cluster {
     pub clock: PausedClock,
     pub net: Rc<Net>,
     pub shards: Rc<Shards>,
@@ -68,13 +68,13 @@
 }
 
 /// A world of `nodes` nodes and of `shards` shards at version 1.
-pub fn world(nodes: usize, shards: usize) -> World {
-    world_with(nodes, shards, QueryOptions::default())
+pub fn cluster(nodes: usize, shards: usize) -> Cluster {
+    cluster_with(nodes, shards, QueryOptions::default())
 }
 
-pub fn world_with(nodes: usize, shards: usize, options: QueryOptions) -> World {
+pub fn cluster_with(nodes: usize, shards: usize, options: QueryOptions) -> Cluster {
     let clock = PausedClock::default();
-    let mut world = World {
+    let mut cluster = Cluster {
         net: Rc::new(Net::new(clock.clone())),
         shards: Rc::new(Shards::new(clock.clone())),
         documents: Rc::new(FakeDocuments(RefCell::new(Some(Rc::new(document(shards)))))),
@@ -85,16 +85,16 @@
         clock,
     };
     for number in 0..shards {
-        world.shards.set_versions(&shard(number), vec![held(&shard(number), 1, shards)]);
+        cluster.shards.set_versions(&shard(number), vec![held(&shard(number), 1, shards)]);
     }
     for number in 0..nodes {
         let record = record(number, 1);
-        world.start(number, record, options.clone());
+        cluster.start(number, record, options.clone());
     }
-    world
+    cluster
 }
 
-impl World {
+impl Cluster {
     /// Starts a node, in the place of the earlier life of the same number if there is one.
     pub fn start(&mut self, number: usize, record: NodeRecord, options: QueryOptions) {
         let node = self.make(record, options);
@@ -168,12 +168,12 @@
         1 + place.expect("node 0 does not hold every group")
     }
 
-    pub fn set_way(&self, number: usize, way: net::Way) {
-        self.net.set(self.nodes[number].record.peer, way);
+    pub fn set_link(&self, number: usize, link: net::LinkState) {
+        self.net.set(self.nodes[number].record.peer, link);
     }
 
     /// The nodes that `shard` was asked through, in order.
-    pub fn askers(&self, shard: &ShardName) -> Vec<NodeName> {
+    pub fn asked_nodes(&self, shard: &ShardName) -> Vec<NodeName> {
         let asked = self.shards.asked.borrow();
         asked.iter().filter(|(_, name, _)| name == shard).map(|(node, _, _)| node.clone()).collect()
     }
@@ -226,7 +226,7 @@
 }
 
 /// What an exclusive request told, as an error or not.
-pub fn told(result: Result<Outcome>) -> Result<serde_json::Value> {
+pub fn outcome_value(result: Result<Outcome>) -> Result<serde_json::Value> {
     match result? {
         Outcome::Done(value) => Ok(value),
         Outcome::Failed(error) => Err(error),
@@ -368,11 +368,11 @@
     }
 }
 
-/// Runs `test` in a runtime under the paused clock of its world.
-pub fn run<T>(world: &World, test: impl Future<Output = T>) -> T {
+/// Runs `test` in a runtime under the paused clock of its cluster.
+pub fn run<T>(cluster: &Cluster, test: impl Future<Output = T>) -> T {
     let mut runtime =
         monoio::RuntimeBuilder::<monoio::LegacyDriver>::new().enable_timer().build().unwrap();
-    let clock = world.clock.clone();
+    let clock = cluster.clock.clone();
     runtime.block_on(async move { clock.drive(test).await })
 }
 
--- a/crates/kumquatnotch-query/tests/common/net.rs
+++ b/crates/kumquatnotch-query/tests/common/net.rs
@@ -13,9 +13,9 @@
 
 /// What is wrong on the way to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum LinkState {
     /// Nothing; half a millisecond each way.
-    Fine,
+    Healthy,
     /// Nobody listens.
     Closed,
     /// Messages arrive in the kernel of a stopped process: no reply, and nothing
@@ -32,7 +32,7 @@
 pub struct Net {
     clock: PausedClock,
     nodes: RefCell<BTreeMap<SocketAddr, Registry>>,
-    ways: RefCell<BTreeMap<SocketAddr, Way>>,
+    links: RefCell<BTreeMap<SocketAddr, LinkState>>,
     backlog: RefCell<Vec<(SocketAddr, PeerMessage)>>,
     pub sent: RefCell<Vec<(SocketAddr, PeerMessage)>>,
 }
@@ -42,7 +42,7 @@
         Net {
             clock,
             nodes: RefCell::default(),
-            ways: RefCell::default(),
+            links: RefCell::default(),
             backlog: RefCell::default(),
             sent: RefCell::default(),
         }
@@ -52,17 +52,17 @@
         self.nodes.borrow_mut().insert(address, registry);
     }
 
-    pub fn set(&self, address: SocketAddr, way: Way) {
-        self.ways.borrow_mut().insert(address, way);
+    pub fn set(&self, address: SocketAddr, link: LinkState) {
+        self.links.borrow_mut().insert(address, link);
     }
 
-    fn way(&self, address: SocketAddr) -> Way {
-        self.ways.borrow().get(&address).copied().unwrap_or(Way::Fine)
+    fn link(&self, address: SocketAddr) -> LinkState {
+        self.links.borrow().get(&address).copied().unwrap_or(LinkState::Healthy)
     }
 
     /// Wakes a frozen node: what lay in its sockets is handled now.
     pub async fn wake(&self, address: SocketAddr) {
-        self.set(address, Way::Fine);
+        self.set(address, LinkState::Healthy);
         let backlog: Vec<_> = self.backlog.borrow_mut().drain(..).collect();
         for (to, message) in backlog.into_iter().filter(|(to, _)| *to == address) {
             let _ = self.handle(to, message).await;
@@ -79,21 +79,21 @@
     async fn deliver(&self, address: SocketAddr, message: PeerMessage) -> Result<PeerReply> {
         self.sent.borrow_mut().push((address, message.clone()));
         sleep(&self.clock, ms(1) / 2).await;
-        match self.way(address) {
-            Way::Closed => return Err(Error::ConnectFailed),
-            Way::RequestLost => return Err(Error::ConnectionLost),
-            Way::Frozen => {
+        match self.link(address) {
+            LinkState::Closed => return Err(Error::ConnectFailed),
+            LinkState::RequestLost => return Err(Error::ConnectionLost),
+            LinkState::Frozen => {
                 self.backlog.borrow_mut().push((address, message));
                 return std::future::pending().await;
             }
-            Way::Slow(span) => sleep(&self.clock, ms(span)).await,
-            Way::Fine | Way::ReplyLost => {}
+            LinkState::Slow(span) => sleep(&self.clock, ms(span)).await,
+            LinkState::Healthy | LinkState::ReplyLost => {}
         }
         let reply = self.handle(address, message).await?;
         sleep(&self.clock, ms(1) / 2).await;
-        match self.way(address) {
-            Way::ReplyLost => Err(Error::ConnectionLost),
-            Way::Frozen => std::future::pending().await,
+        match self.link(address) {
+            LinkState::ReplyLost => Err(Error::ConnectionLost),
+            LinkState::Frozen => std::future::pending().await,
             _ => Ok(reply),
         }
     }
--- a/crates/kumquatnotch-query/tests/groups.rs
+++ b/crates/kumquatnotch-query/tests/groups.rs
@@ -47,7 +47,7 @@
 /// met all 256 groups, each for six of its shards. At the size to come that is
 /// six times the messages between nodes, and its slowest holder sets the time.
 #[test]
-fn a_query_meets_only_the_groups_of_its_selector() {
+fn query_uses_only_the_groups_of_its_selector() {
     let table = GroupTable::new(&document(4_800), 20);
 
     let met = groups(&table, (0..4_800).step_by(3));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_shard_that_comes_regroups_no_other() {
+fn adding_a_shard_does_not_regroup_the_others() {
     let before = GroupTable::new(&document(300), 8);
     let after = GroupTable::new(&document(301), 8);
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_shard_that_is_not_declared_has_a_group_of_its_own() {
+fn undeclared_shard_has_its_own_group() {
     let table = GroupTable::new(&document(3), 8);
 
     assert_ne!(table.group(&shard(7)), table.group(&shard(8)));
--- a/crates/kumquatnotch-query/tests/holders.rs
+++ b/crates/kumquatnotch-query/tests/holders.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{holder::ShardState, net::Way, *};
+use common::{holder::ShardState, net::LinkState, *};
 use kumquatnotch_core::{
     Clock, Error,
     clock::sleep,
@@ -21,17 +21,17 @@
 /// Order: the holder of some groups is gone and nothing listens there; the
 /// next in rank is asked at once. Why: membership needs seconds to know.
 #[parameterized(
-    nobody_listens = { Way::Closed },
-    request_lost = { Way::RequestLost },
-    reply_lost = { Way::ReplyLost },
+    nobody_listens = { LinkState::Closed },
+    request_lost = { LinkState::RequestLost },
+    reply_lost = { LinkState::ReplyLost },
 )]
-fn a_dead_holder_costs_time_and_no_coverage(way: Way) {
-    let world = world_with(4, 40, without_canary());
+fn dead_holder_does_not_reduce_coverage(link: LinkState) {
+    let cluster = cluster_with(4, 40, without_canary());
 
-    let answer = run(&world, async {
-        let holder = world.other_holder().await;
-        world.set_way(holder, way);
-        world.search(0).await.unwrap()
+    let answer = run(&cluster, async {
+        let holder = cluster.other_holder().await;
+        cluster.set_link(holder, link);
+        cluster.search(0).await.unwrap()
     });
 
     assert!(answer.coverage.is_full(), "{:?}", answer.coverage.missing);
@@ -44,21 +44,21 @@
 /// their budget is used up; then the silent one is asked last. Why: without the
 /// evidence of silence, groups waited for their deadline once the budget was gone.
 #[test]
-fn a_frozen_holder_delays_few_searches_and_thins_none() {
-    let world = world_with(4, 40, without_canary());
+fn frozen_holder_delays_few_searches_and_loses_no_coverage() {
+    let cluster = cluster_with(4, 40, without_canary());
 
-    let spans = run(&world, async {
-        let holder = world.other_holder().await;
+    let spans = run(&cluster, async {
+        let holder = cluster.other_holder().await;
         for _ in 0..20 {
-            world.search(0).await.unwrap();
+            cluster.search(0).await.unwrap();
         }
-        world.set_way(holder, Way::Frozen);
+        cluster.set_link(holder, LinkState::Frozen);
         let mut spans = Vec::new();
         for _ in 0..60 {
-            let answer = world.search(0).await.unwrap();
+            let answer = cluster.search(0).await.unwrap();
             assert!(answer.coverage.is_full(), "{:?}", answer.coverage.missing);
             spans.push(answer.elapsed_us);
-            kumquatnotch_core::clock::sleep(&world.clock, ms(40)).await;
+            kumquatnotch_core::clock::sleep(&cluster.clock, ms(40)).await;
         }
         spans
     });
@@ -75,20 +75,20 @@
 /// Why: the next holder has slots of its own for the same replicas; two holders
 /// together would send them more than they can take.
 #[test]
-fn an_overloaded_holder_is_not_replaced_by_another() {
-    let world = world_with(4, 40, without_canary());
-    world.change_document(|document| {
+fn overloaded_holder_is_not_replaced_by_another() {
+    let cluster = cluster_with(4, 40, without_canary());
+    cluster.change_document(|document| {
         document.rules.tenants.get_mut("siam").unwrap().stop.enough = 0.1;
     });
 
-    let (before, after) = run(&world, async {
-        world.search(0).await.unwrap();
-        let before = world.shards.asked.borrow().clone();
-        world.shards.asked.borrow_mut().clear();
-        *world.shards.refusing.borrow_mut() = Some(before[0].0.clone());
-        let answer = world.search(0).await.unwrap();
+    let (before, after) = run(&cluster, async {
+        cluster.search(0).await.unwrap();
+        let before = cluster.shards.asked.borrow().clone();
+        cluster.shards.asked.borrow_mut().clear();
+        *cluster.shards.refusing.borrow_mut() = Some(before[0].0.clone());
+        let answer = cluster.search(0).await.unwrap();
         assert!(answer.coverage.missing.iter().all(|missing| missing.code == 2001));
-        (before, world.shards.asked.borrow().clone())
+        (before, cluster.shards.asked.borrow().clone())
     });
 
     let refusing = &before[0].0;
@@ -102,19 +102,19 @@
 /// Order: one holder refuses its groups for want of slots; the others would answer
 /// after 300 ms. Why: their slots would be spent on an answer that is too thin.
 #[test]
-fn a_search_that_can_not_be_enough_is_given_up_at_once() {
-    let world = world_with(4, 40, without_canary());
+fn search_that_cannot_reach_enough_coverage_is_given_up_at_once() {
+    let cluster = cluster_with(4, 40, without_canary());
 
-    let (result, span) = run(&world, async {
-        world.search(0).await.unwrap();
-        let refusing = world.shards.asked.borrow()[0].0.clone();
-        *world.shards.refusing.borrow_mut() = Some(refusing);
+    let (result, span) = run(&cluster, async {
+        cluster.search(0).await.unwrap();
+        let refusing = cluster.shards.asked.borrow()[0].0.clone();
+        *cluster.shards.refusing.borrow_mut() = Some(refusing);
         for number in 0..40 {
-            world.shards.change(&shard(number), |state| state.delay = ms(300));
+            cluster.shards.change(&shard(number), |state| state.delay = ms(300));
         }
-        let start = world.clock.now();
-        let result = world.search_for(0, RIVAL_KEY, "vans").await;
-        (result, world.now_ms(start))
+        let start = cluster.clock.now();
+        let result = cluster.search_for(0, RIVAL_KEY, "vans").await;
+        (result, cluster.now_ms(start))
     });
 
     let error = result.unwrap_err();
@@ -129,16 +129,17 @@
 /// while, which costs slots of targets and never truth.
 #[test]
 fn nodes_that_disagree_about_holders_both_answer_in_full() {
-    let world = world_with(3, 40, without_canary());
-    world.hide(0, 2);
+    let cluster = cluster_with(3, 40, without_canary());
+    cluster.hide(0, 2);
 
-    let (first, second) =
-        run(&world, async { (world.search(0).await.unwrap(), world.search(1).await.unwrap()) });
+    let (first, second) = run(&cluster, async {
+        (cluster.search(0).await.unwrap(), cluster.search(1).await.unwrap())
+    });
 
     assert!(first.coverage.is_full() && second.coverage.is_full());
     let two = (0..40).filter(|number| {
-        let askers = world.askers(&shard(*number));
-        askers.len() == 2 && askers[0] != askers[1]
+        let asked_nodes = cluster.asked_nodes(&shard(*number));
+        asked_nodes.len() == 2 && asked_nodes[0] != asked_nodes[1]
     });
     assert!(two.count() > 0);
 }
@@ -148,13 +149,13 @@
 /// did not ask for, drops it, and asks the next holder.
 /// Why: hits of another request would be rooms that nobody searched for.
 #[test]
-fn a_crossed_answer_reaches_nobody() {
-    let world = world_with(4, 40, without_canary());
+fn answer_to_another_request_is_dropped() {
+    let cluster = cluster_with(4, 40, without_canary());
 
-    let answer = run(&world, async {
-        let holder = world.other_holder().await;
-        *world.shards.crossed.borrow_mut() = Some(world.nodes[holder].record.name.clone());
-        world.search(0).await.unwrap()
+    let answer = run(&cluster, async {
+        let holder = cluster.other_holder().await;
+        *cluster.shards.misdirected.borrow_mut() = Some(cluster.nodes[holder].record.name.clone());
+        cluster.search(0).await.unwrap()
     });
 
     assert!(answer.coverage.is_full(), "{:?}", answer.coverage.missing);
@@ -165,11 +166,11 @@
 /// Order: a holder's answer names a shard neither as covered nor as missing.
 /// Why: what nobody speaks of would vanish, and the answer look whole.
 #[test]
-fn a_shard_left_out_of_an_answer_is_missing() {
-    let world = world_with(4, 40, without_canary());
-    *world.shards.omitted.borrow_mut() = Some(shard(5));
+fn shard_absent_from_an_answer_is_reported_missing() {
+    let cluster = cluster_with(4, 40, without_canary());
+    *cluster.shards.omitted.borrow_mut() = Some(shard(5));
 
-    let coverage = run(&world, world.search(0)).unwrap().coverage;
+    let coverage = run(&cluster, cluster.search(0)).unwrap().coverage;
 
     assert_eq!((coverage.covered, coverage.asked), (39, 40));
     assert_eq!((&coverage.missing[0].shard, coverage.missing[0].code), (&shard(5), 4004));
@@ -180,15 +181,15 @@
 /// won, while the second search runs.
 /// Why: a late answer must count neither twice nor for the next search.
 #[test]
-fn a_late_answer_counts_nowhere() {
-    let world = world_with(4, 40, without_canary());
+fn late_answer_is_not_counted() {
+    let cluster = cluster_with(4, 40, without_canary());
 
-    let answers = run(&world, async {
-        let holder = world.other_holder().await;
-        world.set_way(holder, Way::Slow(120));
+    let answers = run(&cluster, async {
+        let holder = cluster.other_holder().await;
+        cluster.set_link(holder, LinkState::Slow(120));
         let mut answers = Vec::new();
         for _ in 0..3 {
-            answers.push(world.search(0).await.unwrap());
+            answers.push(cluster.search(0).await.unwrap());
         }
         answers
     });
@@ -205,22 +206,22 @@
 /// each sends it to the same one shard, through the same holder.
 /// Why: fanned out at once it would crash a replica of every shard.
 #[test]
-fn a_request_that_crashes_targets_meets_one_shard() {
-    let world = world(3, 40);
+fn crashing_request_is_sent_to_one_shard() {
+    let cluster = cluster(3, 40);
     for number in 0..40 {
-        world.shards.change(&shard(number), |state| state.fault = Some(Error::ConnectionLost));
+        cluster.shards.change(&shard(number), |state| state.fault = Some(Error::ConnectionLost));
     }
 
-    let codes = run(&world, async {
+    let codes = run(&cluster, async {
         let mut codes = Vec::new();
         for node in 0..3 {
-            codes.push(code(world.search_for(node, KEY, "poison").await));
+            codes.push(code(cluster.search_for(node, KEY, "poison").await));
         }
         codes
     });
 
     assert_eq!(codes, [4002, 4002, 4002]);
-    let asked = world.shards.asked.borrow();
+    let asked = cluster.shards.asked.borrow();
     assert_eq!(asked.len(), 3);
     assert!(asked.iter().all(|entry| *entry == asked[0]), "{asked:?}");
 }
@@ -230,25 +231,25 @@
 /// far longer than an answer takes. Why: taken for merely slow, the canary was
 /// given up, and the request crashed a target of each shard.
 #[test]
-fn a_crash_that_is_found_late_is_not_fanned_out() {
-    let world = world(3, 40);
+fn request_is_not_fanned_out_while_its_crash_is_undetected() {
+    let cluster = cluster(3, 40);
 
-    let result = run(&world, async {
+    let result = run(&cluster, async {
         for _ in 0..40 {
-            world.search(0).await.unwrap();
+            cluster.search(0).await.unwrap();
         }
-        world.shards.asked.borrow_mut().clear();
+        cluster.shards.asked.borrow_mut().clear();
         for number in 0..40 {
-            world.shards.change(&shard(number), |state| {
+            cluster.shards.change(&shard(number), |state| {
                 state.delay = ms(120);
                 state.fault = Some(Error::ConnectionLost);
             });
         }
-        world.search_for(0, KEY, "poison").await
+        cluster.search_for(0, KEY, "poison").await
     });
 
     assert_eq!(code(result), 4002);
-    assert_eq!(world.shards.asked.borrow().len(), 2);
+    assert_eq!(cluster.shards.asked.borrow().len(), 2);
 }
 
 /// What the caller sees: an error, and every target but one serves on.
@@ -258,51 +259,51 @@
 #[parameterized(
     no_target = { |_, state| state.fault = Some(Error::NoTarget) },
     refused = { |_, state| state.fault = Some(Error::Overloaded { retry_ms: 20 }) },
-    other_version = { |world, _| {
+    other_version = { |cluster, _| {
         for number in 0..20 {
             let versions = vec![held(&shard(number), 2, 20)];
-            world.shards.set_versions(&shard(number), versions);
+            cluster.shards.set_versions(&shard(number), versions);
         }
     } },
 )]
-fn a_canary_that_told_nothing_is_followed_by_another(change: fn(&World, &mut ShardState)) {
-    let world = world(3, 20);
+fn inconclusive_canary_is_followed_by_another(change: fn(&Cluster, &mut ShardState)) {
+    let cluster = cluster(3, 20);
 
-    let result = run(&world, async {
-        let first = first_asked(&world, search_request("rooms")).await;
-        world.search_for(1, KEY, "other").await.unwrap();
+    let result = run(&cluster, async {
+        let first = first_shard(&cluster, search_request("rooms")).await;
+        cluster.search_for(1, KEY, "other").await.unwrap();
         for number in 0..20 {
             let lost = Some(Error::ConnectionLost);
-            world.shards.change(&shard(number), |state| state.fault = lost);
+            cluster.shards.change(&shard(number), |state| state.fault = lost);
         }
-        let mut state = world.shards.state(&first);
-        change(&world, &mut state);
+        let mut state = cluster.shards.state(&first);
+        change(&cluster, &mut state);
         if state.fault != Some(Error::ConnectionLost) {
-            world.shards.change(&first, |known| *known = state);
+            cluster.shards.change(&first, |known| *known = state);
         }
-        world.shards.asked.borrow_mut().clear();
+        cluster.shards.asked.borrow_mut().clear();
         // What was heard a moment ago is not asked for again.
-        sleep(&world.clock, ms(100)).await;
+        sleep(&cluster.clock, ms(100)).await;
         // Another node has not seen the request succeed.
-        world.search_for(1, KEY, "rooms").await
+        cluster.search_for(1, KEY, "rooms").await
     });
 
     assert_eq!(code(result), 4002);
-    assert_eq!(world.shards.asked.borrow().len(), 2);
+    assert_eq!(cluster.shards.asked.borrow().len(), 2);
 }
 
 /// What the caller sees: the refusal, at once, with the time it lasts.
 /// Order: another node marked the request; the mark came with membership news.
 /// Why: the shared mark stops it on nodes that have not seen a crash.
 #[test]
-fn a_marked_request_is_refused_without_being_sent() {
-    let world = world(2, 8);
+fn marked_request_is_refused_without_being_sent() {
+    let cluster = cluster(2, 8);
     let fingerprint = search_request("poison").fingerprint(&tenant_name("siam"));
     let kind = MarkKind::Contained(fingerprint);
-    world.nodes[0].marks.0.borrow_mut().push(Mark { kind, left_ms: 900 });
+    cluster.nodes[0].marks.0.borrow_mut().push(Mark { kind, left_ms: 900 });
 
-    let (poison, other) = run(&world, async {
-        (world.search_for(0, KEY, "poison").await, world.search_for(0, KEY, "rooms").await)
+    let (poison, other) = run(&cluster, async {
+        (cluster.search_for(0, KEY, "poison").await, cluster.search_for(0, KEY, "rooms").await)
     });
 
     assert_eq!(poison.unwrap_err(), Error::Contained { retry_ms: 900 });
@@ -314,17 +315,17 @@
 /// after the learned delay the rest is sent.
 /// Why: a slow shard is no sign of a crash, and must not hold up the others.
 #[test]
-fn a_slow_canary_holds_nothing_up() {
-    let world = world(3, 20);
+fn slow_canary_does_not_delay_the_other_shards() {
+    let cluster = cluster(3, 20);
     for number in 0..20 {
-        world.shards.change(&shard(number), |state| state.delay = ms(30));
+        cluster.shards.change(&shard(number), |state| state.delay = ms(30));
     }
 
-    let answer = run(&world, async {
+    let answer = run(&cluster, async {
         let request = search_request("slow");
-        let first = first_asked(&world, request).await;
-        world.shards.change(&first, |state| state.delay = ms(400));
-        world.search_for(1, KEY, "slow").await.unwrap()
+        let first = first_shard(&cluster, request).await;
+        cluster.shards.change(&first, |state| state.delay = ms(400));
+        cluster.search_for(1, KEY, "slow").await.unwrap()
     });
 
     assert!(answer.coverage.is_full());
@@ -332,26 +333,29 @@
 }
 
 /// The shard that `request` is sent to first.
-async fn first_asked(world: &World, request: SearchRequest) -> kumquatnotch_core::ids::ShardName {
+async fn first_shard(
+    cluster: &Cluster,
+    request: SearchRequest,
+) -> kumquatnotch_core::ids::ShardName {
     use kumquatnotch_core::front::Front;
-    world.shards.asked.borrow_mut().clear();
-    world.nodes[0].front.search(KEY, request).await.unwrap();
-    world.shards.asked.borrow()[0].1.clone()
+    cluster.shards.asked.borrow_mut().clear();
+    cluster.nodes[0].front.search(KEY, request).await.unwrap();
+    cluster.shards.asked.borrow()[0].1.clone()
 }
 
 /// What the caller sees: the second time the same search is as fast as without.
 /// Order: it succeeded; the node remembers; the next one fans out at once.
 /// Why: the canary costs a round trip, which only unknown requests should pay.
 #[test]
-fn a_request_that_succeeded_needs_no_canary() {
-    let world = world(3, 20);
+fn request_that_succeeded_needs_no_canary() {
+    let cluster = cluster(3, 20);
     for number in 0..20 {
-        world.shards.change(&shard(number), |state| state.delay = ms(10));
+        cluster.shards.change(&shard(number), |state| state.delay = ms(10));
     }
 
-    let (first, second) = run(&world, async {
-        let first = world.search(0).await.unwrap();
-        (first.elapsed_us, world.search(0).await.unwrap().elapsed_us)
+    let (first, second) = run(&cluster, async {
+        let first = cluster.search(0).await.unwrap();
+        (first.elapsed_us, cluster.search(0).await.unwrap().elapsed_us)
     });
 
     assert!(first >= 20_000, "{first} us");
@@ -359,13 +363,13 @@
 }
 
 #[test]
-fn different_requests_meet_different_first_shards() {
-    let world = world(3, 20);
+fn different_requests_have_different_canary_shards() {
+    let cluster = cluster(3, 20);
 
-    let firsts = run(&world, async {
+    let firsts = run(&cluster, async {
         let mut firsts = std::collections::BTreeSet::new();
         for number in 0..8 {
-            firsts.insert(first_asked(&world, search_request(&number.to_string())).await);
+            firsts.insert(first_shard(&cluster, search_request(&number.to_string())).await);
         }
         firsts
     });
--- a/crates/kumquatnotch-query/tests/plan.rs
+++ b/crates/kumquatnotch-query/tests/plan.rs
@@ -21,7 +21,7 @@
     let now = PausedClock::default().now();
     for (shard, versions) in reports {
         let report = ShardVersions { shard: (*shard).into(), versions: versions.to_vec() };
-        view.learn(now, &[report]);
+        view.update(now, &[report]);
     }
     view
 }
@@ -74,7 +74,7 @@
         &[("a", &[at(2, "a", "c", 1)]), ("x", &[at(1, "x", "d", 2)])], &["a", "x"], (2, 1, 3)
     },
 )]
-fn the_layout_decides_what_is_asked(
+fn layout_determines_the_requested_shards(
     reports: &[(&str, &[HeldVersion])],
     declared: &[&str],
     expected: (u64, usize, u32),
@@ -91,12 +91,12 @@
     a_moment = { 1_000, 2 },
     for_good = { 11_000, 1 },
 )]
-fn an_empty_report_never_thins_a_plan(span: u64, shards: usize) {
+fn empty_report_does_not_shrink_a_plan(span: u64, shards: usize) {
     let clock = PausedClock::default();
     let view = VersionView::default();
     let report = |shard: &str, versions: Vec<HeldVersion>| {
         let report = ShardVersions { shard: shard.into(), versions };
-        view.learn(clock.now(), &[report]);
+        view.update(clock.now(), &[report]);
     };
     report("a", vec![at(1, "a", "c", 1)]);
     report("b", vec![at(1, "b", "d", 1)]);
@@ -112,7 +112,7 @@
 /// of the old one. Order: two shards were split in four; "b" was never heard of.
 /// Why: "b" is not part of the snapshot, so that listing it would be untrue.
 #[test]
-fn a_missing_part_of_a_new_layout_has_no_old_name() {
+fn missing_shard_of_a_new_layout_has_no_old_name() {
     let view = view_of(&[("a", &[at(2, "p0", "c", 4), at(2, "p1", "c", 4)])]);
 
     let plan = plan(&view, &["a".into(), "b".into()]).unwrap();
@@ -126,7 +126,7 @@
 /// Why: seen at "a" and unknown at "b", it stood in one answer as covered and as
 /// missing.
 #[test]
-fn a_shard_that_moved_stands_in_a_plan_once() {
+fn moved_shard_is_planned_once() {
     let view = view_of(&[("a", &[at(1, "a", "c", 2), at(1, "b", "c", 2)]), ("b", &[])]);
 
     let plan = plan(&view, &["a".into(), "b".into()]).unwrap();
@@ -145,7 +145,7 @@
     /// Whatever holders report, each shard stands once in a plan, all that can be
     /// asked were reported at the chosen version, and none is counted twice.
     #[test]
-    fn a_plan_adds_up(reports in any_reports()) {
+    fn plan_lists_each_shard_once(reports in any_reports()) {
         let clock = PausedClock::default();
         let view = Rc::new(VersionView::default());
         let declared: Vec<ShardName> = (0..reports.len()).map(shard).collect();
@@ -155,7 +155,7 @@
                 .map(|(version, part, total)| at(*version, &format!("s{part}"), "c", *total))
                 .collect();
             let report = ShardVersions { shard: home.clone(), versions };
-            view.learn(clock.now(), &[report]);
+            view.update(clock.now(), &[report]);
         }
         if let Ok(plan) = plan(&view, &declared) {
             let mut names: Vec<&str> = plan.shards.iter().map(|e| e.shard.as_str()).collect();
--- a/crates/kumquatnotch-query/tests/search.rs
+++ b/crates/kumquatnotch-query/tests/search.rs
@@ -16,9 +16,9 @@
 
 #[test]
 fn a_search_covers_every_shard_from_one_version() {
-    let world = world(3, 10);
+    let cluster = cluster(3, 10);
 
-    let answer = run(&world, world.search(0)).unwrap();
+    let answer = run(&cluster, cluster.search(0)).unwrap();
 
     assert_eq!(answer.coverage.asked, 10);
     assert_eq!(answer.coverage.covered, 10);
@@ -35,26 +35,26 @@
     no_time = { SearchRequest { deadline_ms: Some(0), ..search_request("a") }, 1001 },
     large_query = { search_request(&"a".repeat(70_000)), 1002 },
 )]
-fn a_request_at_fault_is_refused_with_its_number(request: SearchRequest, expected: u16) {
-    let world = world(1, 2);
+fn invalid_request_is_refused_with_its_code(request: SearchRequest, expected: u16) {
+    let cluster = cluster(1, 2);
 
-    let result = run(&world, world.nodes[0].front.search(KEY, request));
+    let result = run(&cluster, cluster.nodes[0].front.search(KEY, request));
 
     assert_eq!(code(result), expected);
-    assert!(world.shards.asked.borrow().is_empty());
+    assert!(cluster.shards.asked.borrow().is_empty());
 }
 
 #[test]
-fn an_unknown_key_and_a_forbidden_selector_are_refused() {
-    let world = world(1, 2);
-    world.change_document(|document| {
+fn unknown_key_and_forbidden_selector_are_refused() {
+    let cluster = cluster(1, 2);
+    cluster.change_document(|document| {
         let selector = document.rules.selectors.get_mut(SELECTOR).unwrap();
         selector.tenants = vec![tenant_name("siam")];
     });
 
-    let (stranger, rival) = run(&world, async {
-        let stranger = world.search_for(0, "no key", "a").await;
-        (stranger, world.search_for(0, RIVAL_KEY, "a").await)
+    let (stranger, rival) = run(&cluster, async {
+        let stranger = cluster.search_for(0, "no key", "a").await;
+        (stranger, cluster.search_for(0, RIVAL_KEY, "a").await)
     });
 
     assert_eq!(code(stranger), 1004);
@@ -67,14 +67,14 @@
     leaving = { Stage::Leaving, None },
     closing = { Stage::Closing, Some(2003) },
 )]
-fn a_node_serves_until_the_advice_has_lapsed(stage: Stage, expected: Option<u16>) {
-    let world = world(1, 2);
-    world.nodes[0].lifecycle.advance(stage);
+fn leaving_node_serves_until_it_closes(stage: Stage, expected: Option<u16>) {
+    let cluster = cluster(1, 2);
+    cluster.nodes[0].lifecycle.advance(stage);
     if stage == Stage::Starting {
-        world.documents.0.borrow_mut().take();
+        cluster.documents.0.borrow_mut().take();
     }
 
-    let result = run(&world, world.search(0));
+    let result = run(&cluster, cluster.search(0));
 
     assert_eq!(result.err().map(|error| error.code()), expected);
 }
@@ -83,12 +83,12 @@
 /// Order: the holder is of an older build and strips nothing; the root merges.
 /// Why: one forgotten place would show a rival's rates, so the root strips too.
 #[test]
-fn private_fields_reach_their_owner_only() {
-    let world = world(2, 4);
+fn private_fields_are_returned_to_their_owner_only() {
+    let cluster = cluster(2, 4);
 
-    let (siam, barid) = run(&world, async {
-        let siam = world.search_for(0, KEY, "vans").await.unwrap();
-        (siam, world.search_for(0, RIVAL_KEY, "vans").await.unwrap())
+    let (siam, barid) = run(&cluster, async {
+        let siam = cluster.search_for(0, KEY, "vans").await.unwrap();
+        (siam, cluster.search_for(0, RIVAL_KEY, "vans").await.unwrap())
     });
 
     assert!(siam.hits.iter().all(|hit| hit.private.is_none()));
@@ -99,13 +99,13 @@
 /// Order: every shard fails; the holders say so; the root covers nothing.
 /// Why: an empty success would read as "no room available".
 #[test]
-fn a_search_that_covers_nothing_is_an_error() {
-    let world = world_with(2, 4, without_canary());
+fn search_without_coverage_fails() {
+    let cluster = cluster_with(2, 4, without_canary());
     for number in 0..4 {
-        world.shards.change(&shard(number), |state| state.fault = Some(Error::ConnectionLost));
+        cluster.shards.change(&shard(number), |state| state.fault = Some(Error::ConnectionLost));
     }
 
-    let result = run(&world, world.search(0));
+    let result = run(&cluster, cluster.search(0));
 
     assert_eq!(code(result), 3004);
 }
@@ -114,14 +114,14 @@
 /// Order: every shard is refused by its holder for want of capacity.
 /// Why: "nothing covered" would not say that coming back later helps.
 #[test]
-fn a_search_refused_by_every_holder_tells_when_to_come_back() {
-    let world = world_with(2, 4, without_canary());
+fn search_refused_by_every_holder_returns_a_retry_time() {
+    let cluster = cluster_with(2, 4, without_canary());
     for number in 0..4 {
         let error = Error::Overloaded { retry_ms: 100 + number as u64 };
-        world.shards.change(&shard(number), |state| state.fault = Some(error));
+        cluster.shards.change(&shard(number), |state| state.fault = Some(error));
     }
 
-    let result = run(&world, world.search(0));
+    let result = run(&cluster, cluster.search(0));
 
     assert_eq!(result.unwrap_err(), Error::Overloaded { retry_ms: 103 });
 }
@@ -135,20 +135,20 @@
     siam = { KEY, 19, true, 500..=520 },
     barid = { RIVAL_KEY, 20, false, 700..=720 },
 )]
-fn the_stop_rule_trades_coverage_against_time(
+fn stop_rule_trades_coverage_for_latency(
     key: &str,
     covered: u32,
     stopped: bool,
     span_ms: std::ops::RangeInclusive<u64>,
 ) {
-    let world = world(3, 20);
-    world.shards.change(&shard(7), |state| state.delay = ms(700));
-
-    let (answer, span) = run(&world, async {
-        world.search_for(0, key, "warm up").await.unwrap();
-        let start = world.clock.now();
-        let answer = world.search_for(0, key, "warm up").await.unwrap();
-        (answer, world.now_ms(start))
+    let cluster = cluster(3, 20);
+    cluster.shards.change(&shard(7), |state| state.delay = ms(700));
+
+    let (answer, span) = run(&cluster, async {
+        cluster.search_for(0, key, "warm up").await.unwrap();
+        let start = cluster.clock.now();
+        let answer = cluster.search_for(0, key, "warm up").await.unwrap();
+        (answer, cluster.now_ms(start))
     });
 
     assert_eq!((answer.coverage.covered, answer.coverage.asked), (covered, 20));
@@ -161,17 +161,17 @@
 /// which is not enough for Siam; the late ones are asked once more, to the end.
 /// Why: holders cut them off at patience, so waiting alone would bring nothing.
 #[test]
-fn too_thin_an_answer_asks_the_late_shards_once_more() {
-    let world = world_with(3, 9, without_canary());
+fn insufficient_coverage_retries_the_late_shards() {
+    let cluster = cluster_with(3, 9, without_canary());
     for number in 0..3 {
-        world.shards.change(&shard(number), |state| state.delay = ms(420));
+        cluster.shards.change(&shard(number), |state| state.delay = ms(420));
     }
-    world.change_document(|document| {
+    cluster.change_document(|document| {
         let siam = document.rules.tenants.get_mut("siam").unwrap();
         siam.stop.patience = 0.4;
     });
 
-    let answer = run(&world, world.search(0)).unwrap();
+    let answer = run(&cluster, cluster.search(0)).unwrap();
 
     assert_eq!(answer.coverage.covered, 9);
     assert!(!answer.coverage.stopped_early);
@@ -182,14 +182,14 @@
 /// Order: the holder's queue for two of twenty shards is full until patience.
 /// Why: "timed out" would hide that more load is the cause.
 #[test]
-fn shards_that_starved_in_a_queue_are_listed_as_such() {
-    let world = world_with(3, 20, without_canary());
+fn shards_expired_in_the_queue_are_reported_as_such() {
+    let cluster = cluster_with(3, 20, without_canary());
     for number in 0..2 {
         let fault = Some(Error::ExpiredInQueue);
-        world.shards.change(&shard(number), |state| state.fault = fault);
+        cluster.shards.change(&shard(number), |state| state.fault = fault);
     }
 
-    let answer = run(&world, world.search(0)).unwrap();
+    let answer = run(&cluster, cluster.search(0)).unwrap();
 
     let codes: Vec<u16> = answer.coverage.missing.iter().map(|missing| missing.code).collect();
     assert_eq!(codes, [2005, 2005]);
@@ -199,13 +199,13 @@
 /// Order: half of the shards never answer; the deadline passes.
 /// Why: a shard that is open at the end is missing, with its reason.
 #[test]
-fn the_deadline_ends_a_search_with_what_there_is() {
-    let world = world_with(3, 8, without_canary());
+fn search_returns_partial_results_at_its_deadline() {
+    let cluster = cluster_with(3, 8, without_canary());
     for number in 0..4 {
-        world.shards.change(&shard(number), |state| state.delay = ms(60_000));
+        cluster.shards.change(&shard(number), |state| state.delay = ms(60_000));
     }
 
-    let answer = run(&world, world.search(0)).unwrap();
+    let answer = run(&cluster, cluster.search(0)).unwrap();
 
     assert_eq!(answer.coverage.covered, 4);
     assert_eq!(answer.coverage.missing.len(), 4);
@@ -217,19 +217,19 @@
 /// Order: holders report a wait far beyond the patience; the next search comes.
 /// Why: taken in, it would be given up at its deadline after a long wait.
 #[test]
-fn overload_is_refused_at_once() {
-    let world = world(1, 4);
+fn search_is_refused_at_once_under_overload() {
+    let cluster = cluster(1, 4);
 
-    let (results, span) = run(&world, async {
-        world.search(0).await.unwrap();
-        *world.shards.wait.borrow_mut() = ms(2_000);
+    let (results, span) = run(&cluster, async {
+        cluster.search(0).await.unwrap();
+        *cluster.shards.wait.borrow_mut() = ms(2_000);
         let mut results = Vec::new();
         for _ in 0..10 {
-            results.push(world.search(0).await);
+            results.push(cluster.search(0).await);
         }
-        let start = world.clock.now();
-        results.push(world.search(0).await);
-        (results, world.now_ms(start))
+        let start = cluster.clock.now();
+        results.push(cluster.search(0).await);
+        (results, cluster.now_ms(start))
     });
 
     let last = results.last().unwrap().as_ref().unwrap_err();
@@ -243,33 +243,33 @@
 /// Order: overload; everything is refused, so no answer brings news of the wait.
 /// Why: the known wait fades by itself, else the class would stay shut for good.
 #[test]
-fn admission_opens_again_by_itself() {
-    let world = world(1, 4);
-
-    let answer = run(&world, async {
-        *world.shards.wait.borrow_mut() = ms(2_000);
-        while world.search(0).await.is_ok() {}
-        *world.shards.wait.borrow_mut() = ms(0);
-        kumquatnotch_core::clock::sleep(&world.clock, ms(2_000)).await;
-        world.search(0).await
+fn admission_recovers_after_overload() {
+    let cluster = cluster(1, 4);
+
+    let answer = run(&cluster, async {
+        *cluster.shards.wait.borrow_mut() = ms(2_000);
+        while cluster.search(0).await.is_ok() {}
+        *cluster.shards.wait.borrow_mut() = ms(0);
+        kumquatnotch_core::clock::sleep(&cluster.clock, ms(2_000)).await;
+        cluster.search(0).await
     });
 
     assert!(answer.unwrap().coverage.is_full());
 }
 
 #[test]
-fn advice_leaves_out_a_node_that_leaves_at_once() {
-    let world = world(3, 2);
-    let front = &world.nodes[1].front;
+fn advice_omits_a_leaving_node_at_once() {
+    let cluster = cluster(3, 2);
+    let front = &cluster.nodes[1].front;
 
     let before = front.advice(Some("dc1")).addresses;
-    world.nodes[1].lifecycle.advance(Stage::Leaving);
+    cluster.nodes[1].lifecycle.advance(Stage::Leaving);
     let after = front.advice(Some("dc1")).addresses;
 
     assert_eq!(before.len(), 3);
-    assert_eq!(before[0], world.nodes[1].record.entry);
+    assert_eq!(before[0], cluster.nodes[1].record.entry);
     assert_eq!(after.len(), 2);
-    assert!(!after.contains(&world.nodes[1].record.entry));
+    assert!(!after.contains(&cluster.nodes[1].record.entry));
 }
 
 /// What the caller sees: no refusal with 2004 by a node that has just started, and
@@ -277,30 +277,30 @@
 /// platform hangs, so it has no document for long; callers ask and search.
 /// Why: it answers its peers before it can serve, and being up was all that counted.
 #[test]
-fn a_node_that_does_not_serve_yet_gets_no_callers_and_no_groups() {
-    let world = world_with(3, 40, without_canary());
-    world.set_starting(2);
+fn node_that_does_not_serve_yet_gets_no_callers_and_no_groups() {
+    let cluster = cluster_with(3, 40, without_canary());
+    cluster.set_starting(2);
 
-    let advised = world.nodes[0].front.advice(Some("dc2")).addresses;
-    let answer = run(&world, async { world.search(0).await }).unwrap();
+    let advised = cluster.nodes[0].front.advice(Some("dc2")).addresses;
+    let answer = run(&cluster, async { cluster.search(0).await }).unwrap();
 
     assert!(answer.coverage.is_full());
     assert_eq!(advised.len(), 2);
-    assert!(!advised.contains(&world.nodes[2].record.entry));
-    let name = &world.nodes[2].record.name;
-    assert!(world.shards.asked.borrow().iter().all(|(asked, _, _)| asked != name));
+    assert!(!advised.contains(&cluster.nodes[2].record.entry));
+    let name = &cluster.nodes[2].record.name;
+    assert!(cluster.shards.asked.borrow().iter().all(|(asked, _, _)| asked != name));
 }
 
 /// What the callers see: while a node holds its document back after a freeze it
 /// advises the others and not itself. It is not told to the others, as it serves
 /// again within two seconds.
 #[test]
-fn a_node_that_was_frozen_advises_others() {
-    let world = world(3, 2);
-    world.documents.0.take();
+fn node_without_a_document_advises_other_nodes() {
+    let cluster = cluster(3, 2);
+    cluster.documents.0.take();
 
-    let advised = world.nodes[0].front.advice(Some("dc0")).addresses;
+    let advised = cluster.nodes[0].front.advice(Some("dc0")).addresses;
 
     assert_eq!(advised.len(), 2);
-    assert!(!advised.contains(&world.nodes[0].record.entry));
+    assert!(!advised.contains(&cluster.nodes[0].record.entry));
 }
--- a/crates/kumquatnotch-query/tests/tickets.rs
+++ b/crates/kumquatnotch-query/tests/tickets.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{net::Way, *};
+use common::{net::LinkState, *};
 use kumquatnotch_core::{
     Error,
     clock::sleep,
@@ -13,28 +13,28 @@
 use kumquatnotch_query::{QueryOptions, TicketOptions};
 use yare::parameterized;
 
-fn runs(world: &World) -> usize {
-    world.shards.runs.borrow().len()
+fn runs(cluster: &Cluster) -> usize {
+    cluster.shards.runs.borrow().len()
 }
 
 /// What the caller sees: "bad ticket", and nothing of the other's outcome.
 /// Order: a ticket is used again with another request, or by another tenant.
 #[test]
-fn a_ticket_is_good_for_one_request_of_one_tenant() {
-    let world = world(2, 10);
+fn ticket_is_valid_for_one_request_of_one_tenant() {
+    let cluster = cluster(2, 10);
 
-    let (other, rival) = run(&world, async {
-        let ticket = world.ticket(0);
-        told(world.hold(0, &ticket).await).unwrap();
+    let (other, rival) = run(&cluster, async {
+        let ticket = cluster.ticket(0);
+        outcome_value(cluster.hold(0, &ticket).await).unwrap();
         let body = hold_body(&ticket, "room 8");
-        let other = told(world.nodes[0].front.exclusive(KEY, body).await);
+        let other = outcome_value(cluster.nodes[0].front.exclusive(KEY, body).await);
         let body = hold_body(&ticket, "room 7");
-        (other, told(world.nodes[1].front.exclusive(RIVAL_KEY, body).await))
+        (other, outcome_value(cluster.nodes[1].front.exclusive(RIVAL_KEY, body).await))
     });
 
     assert_eq!(other.unwrap_err(), Error::BadTicket);
     assert_eq!(rival.unwrap_err(), Error::BadTicket);
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
 
 #[parameterized(
@@ -42,51 +42,54 @@
     not_a_ticket = { "n0:1:2", 1008 },
     forged = { "n0:3e8:1:0:1234", 1008 },
 )]
-fn a_ticket_that_was_not_issued_runs_nothing(ticket: &str, expected: u16) {
-    let world = world(1, 4);
+fn ticket_that_was_not_issued_runs_nothing(ticket: &str, expected: u16) {
+    let cluster = cluster(1, 4);
 
-    let result = run(&world, world.hold(0, ticket));
+    let result = run(&cluster, cluster.hold(0, ticket));
 
-    assert_eq!(code(told(result)), expected);
-    assert_eq!(runs(&world), 0);
+    assert_eq!(code(outcome_value(result)), expected);
+    assert_eq!(runs(&cluster), 0);
 }
 
 /// What the caller sees: "expired" if nothing was sent in time; the outcome if it
 /// was. Order: two tickets, one used; both grow old; both are sent again.
 /// Why: an expired ticket may have been forgotten, so running it may double.
 #[test]
-fn an_expired_ticket_never_runs() {
+fn expired_ticket_never_runs() {
     let options = TicketOptions { valid: ms(60_000), ..TicketOptions::default() };
-    let world = world_with(2, 4, QueryOptions { tickets: options, ..QueryOptions::default() });
-
-    let (used, unused, forgotten) = run(&world, async {
-        let (used, unused) = (world.ticket(0), world.ticket(0));
-        told(world.hold(0, &used).await).unwrap();
-        sleep(&world.clock, ms(61_000)).await;
-        let results = (told(world.hold(1, &used).await), told(world.hold(1, &unused).await));
-        sleep(&world.clock, ms(61_000)).await;
-        (results.0, results.1, told(world.hold(0, &used).await))
+    let cluster = cluster_with(2, 4, QueryOptions { tickets: options, ..QueryOptions::default() });
+
+    let (used, unused, forgotten) = run(&cluster, async {
+        let (used, unused) = (cluster.ticket(0), cluster.ticket(0));
+        outcome_value(cluster.hold(0, &used).await).unwrap();
+        sleep(&cluster.clock, ms(61_000)).await;
+        let results = (
+            outcome_value(cluster.hold(1, &used).await),
+            outcome_value(cluster.hold(1, &unused).await),
+        );
+        sleep(&cluster.clock, ms(61_000)).await;
+        (results.0, results.1, outcome_value(cluster.hold(0, &used).await))
     });
 
     assert_eq!(used.unwrap()["held"], 1);
     assert_eq!(unused.unwrap_err(), Error::TicketExpired);
     assert_eq!(forgotten.unwrap_err(), Error::TicketExpired);
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
 
 /// What the caller sees: "ask again" from a node that has just started, "outcome
 /// unknown" from one that has run for long. Order: the issuer is gone from the
 /// members. Why: a young node may not have heard of it yet.
 #[test]
-fn an_issuer_that_is_gone_leaves_the_outcome_unknown() {
-    let world = world(3, 10);
-
-    let (young, settled) = run(&world, async {
-        let ticket = world.ticket(0);
-        world.set_state(0, NodeState::Gone);
-        let young = told(world.hold(1, &ticket).await);
-        sleep(&world.clock, ms(20_000)).await;
-        (young, told(world.hold(1, &ticket).await))
+fn missing_issuer_leaves_the_outcome_unknown() {
+    let cluster = cluster(3, 10);
+
+    let (young, settled) = run(&cluster, async {
+        let ticket = cluster.ticket(0);
+        cluster.set_state(0, NodeState::Gone);
+        let young = outcome_value(cluster.hold(1, &ticket).await);
+        sleep(&cluster.clock, ms(20_000)).await;
+        (young, outcome_value(cluster.hold(1, &ticket).await))
     });
 
     assert_eq!(young.unwrap_err(), Error::IssuerUnreachable);
@@ -97,22 +100,22 @@
 /// Order: the caller goes away while its request runs; the run goes on in a task
 /// of its own. Why: cancelling it would leave the outcome unknown for no reason.
 #[test]
-fn a_caller_that_goes_away_can_ask_again() {
-    let world = world(2, 10);
-    *world.shards.run_delay.borrow_mut() = ms(200);
-
-    let result = run(&world, async {
-        let ticket = world.ticket(0);
-        let now = kumquatnotch_core::Clock::now(&world.clock);
-        let gone = world.hold(0, &ticket);
-        let left = kumquatnotch_core::clock::timeout_at(&world.clock, now + ms(50), gone).await;
+fn disconnected_caller_can_retry() {
+    let cluster = cluster(2, 10);
+    *cluster.shards.run_delay.borrow_mut() = ms(200);
+
+    let result = run(&cluster, async {
+        let ticket = cluster.ticket(0);
+        let now = kumquatnotch_core::Clock::now(&cluster.clock);
+        let gone = cluster.hold(0, &ticket);
+        let left = kumquatnotch_core::clock::timeout_at(&cluster.clock, now + ms(50), gone).await;
         assert!(left.is_err());
-        sleep(&world.clock, ms(300)).await;
-        told(world.hold(1, &ticket).await)
+        sleep(&cluster.clock, ms(300)).await;
+        outcome_value(cluster.hold(1, &ticket).await)
     });
 
     assert_eq!(result.unwrap()["held"], 1);
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
 
 /// What the caller sees: the one hold, before and after.
@@ -120,41 +123,41 @@
 /// elsewhere and drains targets; the request is sent again.
 /// Why: another shard would not know of the first hold.
 #[test]
-fn a_changed_document_does_not_run_a_request_again() {
-    let world = world(3, 10);
+fn changed_document_does_not_rerun_a_request() {
+    let cluster = cluster(3, 10);
 
-    let (first, second) = run(&world, async {
-        let ticket = world.ticket(0);
-        let first = told(world.hold(0, &ticket).await).unwrap();
-        world.change_document(|document| {
+    let (first, second) = run(&cluster, async {
+        let ticket = cluster.ticket(0);
+        let first = outcome_value(cluster.hold(0, &ticket).await).unwrap();
+        cluster.change_document(|document| {
             document.targets.values_mut().for_each(|target| target.drain = true);
             document.targets.values_mut().for_each(|target| target.shard = shard(99));
             document.rules.selectors.get_mut(HOLDS).unwrap().tenants = vec![tenant_name("barid")];
         });
-        (first, told(world.hold(1, &ticket).await).unwrap())
+        (first, outcome_value(cluster.hold(1, &ticket).await).unwrap())
     });
 
     assert_eq!(first, second);
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
 
 /// What the caller sees: "ask again" or the outcome, and never a false "not run".
 /// Order: a hold ran; the caller asks again through a node that can't serve.
 /// Why: that node's own "not run" would speak of its copy only.
 #[test]
-fn a_node_that_cannot_ask_the_issuer_never_says_not_run() {
-    let world = world(3, 10);
-
-    let results = run(&world, async {
-        let ticket = world.ticket(0);
-        told(world.hold(0, &ticket).await).unwrap();
-        world.nodes[1].lifecycle.advance(Stage::Closing);
-        let closing = told(world.hold(1, &ticket).await);
-        world.set_way(0, Way::Closed);
-        let cut = told(world.hold(2, &ticket).await);
-        let document = world.documents.0.borrow_mut().take();
-        let blank = told(world.hold(2, &ticket).await);
-        *world.documents.0.borrow_mut() = document;
+fn node_that_cannot_reach_the_issuer_never_reports_not_run() {
+    let cluster = cluster(3, 10);
+
+    let results = run(&cluster, async {
+        let ticket = cluster.ticket(0);
+        outcome_value(cluster.hold(0, &ticket).await).unwrap();
+        cluster.nodes[1].lifecycle.advance(Stage::Closing);
+        let closing = outcome_value(cluster.hold(1, &ticket).await);
+        cluster.set_link(0, LinkState::Closed);
+        let cut = outcome_value(cluster.hold(2, &ticket).await);
+        let document = cluster.documents.0.borrow_mut().take();
+        let blank = outcome_value(cluster.hold(2, &ticket).await);
+        *cluster.documents.0.borrow_mut() = document;
         vec![closing, cut, blank]
     });
 
@@ -162,62 +165,63 @@
     for result in &results[1..] {
         assert!(!result.as_ref().unwrap_err().is_not_run());
     }
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
 
 /// What the callers see: refusals of new tickets and requests; outcomes as ever.
 /// Order: the issuer is closing; a hold that ran is asked for, a new one is sent.
 #[test]
-fn a_closing_issuer_tells_outcomes_and_runs_nothing() {
-    let world = world(2, 10);
-
-    let (told_again, new, ticket) = run(&world, async {
-        let (ran, unused) = (world.ticket(0), world.ticket(0));
-        told(world.hold(0, &ran).await).unwrap();
-        world.nodes[0].lifecycle.advance(Stage::Closing);
-        let told_again = told(world.hold(0, &ran).await);
-        let new = told(world.hold(0, &unused).await);
-        (told_again, new, world.nodes[0].front.ticket(KEY))
+fn closing_issuer_returns_outcomes_and_runs_nothing() {
+    let cluster = cluster(2, 10);
+
+    let (outcome_again, new, ticket) = run(&cluster, async {
+        let (ran, unused) = (cluster.ticket(0), cluster.ticket(0));
+        outcome_value(cluster.hold(0, &ran).await).unwrap();
+        cluster.nodes[0].lifecycle.advance(Stage::Closing);
+        let outcome_again = outcome_value(cluster.hold(0, &ran).await);
+        let new = outcome_value(cluster.hold(0, &unused).await);
+        (outcome_again, new, cluster.nodes[0].front.ticket(KEY))
     });
 
-    assert_eq!(told_again.unwrap()["held"], 1);
+    assert_eq!(outcome_again.unwrap()["held"], 1);
     assert_eq!(new.unwrap_err(), Error::Leaving);
     assert_eq!(code(ticket), 2003);
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
 
 /// What the caller sees: no new ticket, and the time to come back; the outcomes of
 /// the others are kept. Order: the table of outcomes is full.
 /// Why: forgetting one early to make room would let its ticket run again.
 #[test]
-fn a_full_table_of_outcomes_refuses_and_forgets_nothing() {
-    let options = TicketOptions { entries: 2, ..TicketOptions::default() };
-    let world = world_with(1, 4, QueryOptions { tickets: options, ..QueryOptions::default() });
-
-    let (third, first_again, refused) = run(&world, async {
-        let tickets = [world.ticket(0), world.ticket(0), world.ticket(0)];
-        told(world.hold(0, &tickets[0]).await).unwrap();
-        told(world.hold(0, &tickets[1]).await).unwrap();
-        let third = told(world.hold(0, &tickets[2]).await);
-        let again = told(world.hold(0, &tickets[0]).await);
-        (third, again, world.nodes[0].front.ticket(KEY))
+fn full_outcome_table_refuses_requests_and_evicts_nothing() {
+    let options = TicketOptions { max_outcomes: 2, ..TicketOptions::default() };
+    let cluster = cluster_with(1, 4, QueryOptions { tickets: options, ..QueryOptions::default() });
+
+    let (third, first_again, refused) = run(&cluster, async {
+        let tickets = [cluster.ticket(0), cluster.ticket(0), cluster.ticket(0)];
+        outcome_value(cluster.hold(0, &tickets[0]).await).unwrap();
+        outcome_value(cluster.hold(0, &tickets[1]).await).unwrap();
+        let third = outcome_value(cluster.hold(0, &tickets[2]).await);
+        let again = outcome_value(cluster.hold(0, &tickets[0]).await);
+        (third, again, cluster.nodes[0].front.ticket(KEY))
     });
 
     assert!(!third.unwrap_err().is_not_run());
     assert_eq!(first_again.unwrap()["held"], 1);
     assert_eq!(code(refused), 2001);
-    assert_eq!(runs(&world), 2);
+    assert_eq!(runs(&cluster), 2);
 }
 
 #[test]
-fn a_selector_that_is_not_exclusive_takes_no_tickets() {
-    let world = world(1, 4);
+fn non_exclusive_selector_rejects_tickets() {
+    let cluster = cluster(1, 4);
 
-    let result = run(&world, async {
-        let body = ExclusiveBody { selector: SELECTOR.into(), ..hold_body(&world.ticket(0), "a") };
-        told(world.nodes[0].front.exclusive(KEY, body).await)
+    let result = run(&cluster, async {
+        let body =
+            ExclusiveBody { selector: SELECTOR.into(), ..hold_body(&cluster.ticket(0), "a") };
+        outcome_value(cluster.nodes[0].front.exclusive(KEY, body).await)
     });
 
     assert_eq!(code(result), 1001);
-    assert_eq!(runs(&world), 0);
+    assert_eq!(runs(&cluster), 0);
 }
--- a/crates/kumquatnotch-query/tests/versions.rs
+++ b/crates/kumquatnotch-query/tests/versions.rs
@@ -36,21 +36,21 @@
 /// Why: choosing the newest version that is seen anywhere would thin the answers,
 /// and waiting for the roll to end would hold callers up.
 #[test]
-fn answers_stay_full_while_a_version_rolls() {
-    let world = world_with(3, 12, without_canary());
+fn answers_stay_complete_during_a_version_rollout() {
+    let cluster = cluster_with(3, 12, without_canary());
 
-    let answers = run(&world, async {
-        let mut answers = vec![world.search(0).await.unwrap()];
+    let answers = run(&cluster, async {
+        let mut answers = vec![cluster.search(0).await.unwrap()];
         for number in 0..12 {
             let shard = shard(number);
             let both = vec![held(&shard, 1, 12), held(&shard, 2, 12)];
-            world.shards.set_versions(&shard, both);
-            answers.push(world.search(number % 3).await.unwrap());
+            cluster.shards.set_versions(&shard, both);
+            answers.push(cluster.search(number % 3).await.unwrap());
         }
         for number in 0..12 {
             let shard = shard(number);
-            world.shards.set_versions(&shard, vec![held(&shard, 2, 12)]);
-            answers.push(world.search(number % 3).await.unwrap());
+            cluster.shards.set_versions(&shard, vec![held(&shard, 2, 12)]);
+            answers.push(cluster.search(number % 3).await.unwrap());
         }
         answers
     });
@@ -68,16 +68,16 @@
 /// search is planned again. Why: going on with the rest would mix two versions or
 /// thin the answer.
 #[test]
-fn a_version_that_goes_under_a_running_search_is_planned_again() {
-    let world = world_with(3, 12, without_canary());
+fn search_is_replanned_when_its_version_is_dropped() {
+    let cluster = cluster_with(3, 12, without_canary());
 
-    let answer = run(&world, async {
-        world.search(0).await.unwrap();
+    let answer = run(&cluster, async {
+        cluster.search(0).await.unwrap();
         for number in 0..12 {
             let shard = shard(number);
-            world.shards.set_versions(&shard, vec![held(&shard, 2, 12)]);
+            cluster.shards.set_versions(&shard, vec![held(&shard, 2, 12)]);
         }
-        world.search(0).await.unwrap()
+        cluster.search(0).await.unwrap()
     });
 
     assert_one_snapshot(&answer);
@@ -91,21 +91,21 @@
 /// "gone" tells of its own shards only. Why: a plan made from that alone took the
 /// other shards as not having version 2 yet, and the answer was thin.
 #[test]
-fn a_plan_made_under_a_running_search_is_not_thin() {
-    let world = world_with(5, 40, without_canary());
+fn plan_made_during_a_search_covers_all_shards() {
+    let cluster = cluster_with(5, 40, without_canary());
 
-    let answer = run(&world, async {
-        world.search(0).await.unwrap();
-        sleep(&world.clock, ms(1_000)).await;
+    let answer = run(&cluster, async {
+        cluster.search(0).await.unwrap();
+        sleep(&cluster.clock, ms(1_000)).await;
         for number in 0..40 {
             let shard = shard(number);
-            world.shards.set_versions(&shard, vec![held(&shard, 2, 40)]);
-            world.shards.change(&shard, |state| state.delay = ms(number as u64 / 4));
+            cluster.shards.set_versions(&shard, vec![held(&shard, 2, 40)]);
+            cluster.shards.change(&shard, |state| state.delay = ms(number as u64 / 4));
         }
         for number in 1..5 {
-            world.set_way(number, common::net::Way::Slow(3 * number as u64));
+            cluster.set_link(number, common::net::LinkState::Slow(3 * number as u64));
         }
-        world.search(0).await.unwrap()
+        cluster.search(0).await.unwrap()
     });
 
     assert_one_snapshot(&answer);
@@ -118,22 +118,22 @@
 /// version under a search. Why: an answer tells of the shard asked for, which the
 /// document does not declare; only a poll of the declared ones brings the news.
 #[test]
-fn a_roll_of_repartitioned_shards_is_seen_under_a_running_search() {
-    let world = world_with(3, 2, without_canary());
+fn running_search_follows_a_rollout_of_repartitioned_shards() {
+    let cluster = cluster_with(3, 2, without_canary());
     let publish = |version: u64| {
         for number in 0..2 {
             let names = [2 * number, 2 * number + 1].map(|part| format!("s{part}-of-4"));
             let versions = names.map(|name| held(&ShardName::from(name), version, 4)).to_vec();
-            world.shards.set_versions(&shard(number), versions);
+            cluster.shards.set_versions(&shard(number), versions);
         }
     };
 
-    let answer = run(&world, async {
+    let answer = run(&cluster, async {
         publish(2);
-        world.search(0).await.unwrap();
-        sleep(&world.clock, ms(1_000)).await;
+        cluster.search(0).await.unwrap();
+        sleep(&cluster.clock, ms(1_000)).await;
         publish(3);
-        world.search(0).await.unwrap()
+        cluster.search(0).await.unwrap()
     });
 
     assert_one_snapshot(&answer);
@@ -146,14 +146,14 @@
 /// the others have version 1 alone. Why: planning again at version 2 would cover
 /// one shard in place of eleven.
 #[test]
-fn a_worse_version_is_not_planned_again() {
-    let world = world_with(3, 12, without_canary());
+fn search_is_not_replanned_at_a_version_with_less_coverage() {
+    let cluster = cluster_with(3, 12, without_canary());
 
-    let answer = run(&world, async {
-        world.search(0).await.unwrap();
+    let answer = run(&cluster, async {
+        cluster.search(0).await.unwrap();
         let shard = shard(3);
-        world.shards.set_versions(&shard, vec![held(&shard, 2, 12)]);
-        world.search(0).await.unwrap()
+        cluster.shards.set_versions(&shard, vec![held(&shard, 2, 12)]);
+        cluster.search(0).await.unwrap()
     });
 
     assert_one_snapshot(&answer);
@@ -167,8 +167,8 @@
 /// old layout goes while searches run. Why: the number of shards comes from the
 /// layout of the chosen version and not from the document, which still names two.
 #[test]
-fn a_repartitioned_collection_is_covered_in_full() {
-    let world = world_with(3, 2, without_canary());
+fn repartitioned_collection_is_covered_in_full() {
+    let cluster = cluster_with(3, 2, without_canary());
     let split = |number: usize, old: bool| {
         let new = [2 * number, 2 * number + 1]
             .map(|part| held(&ShardName::from(format!("s{part}-of-4")), 2, 4));
@@ -179,12 +179,12 @@
         versions
     };
 
-    let answers = run(&world, async {
-        let mut answers = vec![world.search(0).await.unwrap()];
+    let answers = run(&cluster, async {
+        let mut answers = vec![cluster.search(0).await.unwrap()];
         for old in [true, false] {
             for number in 0..2 {
-                world.shards.set_versions(&shard(number), split(number, old));
-                answers.push(world.search(0).await.unwrap());
+                cluster.shards.set_versions(&shard(number), split(number, old));
+                answers.push(cluster.search(0).await.unwrap());
             }
         }
         answers
@@ -202,20 +202,20 @@
 /// Order: a node has just started; its holders have not heard of any version for
 /// 100 ms. Why: "no version" at once would fail every caller of a young node.
 #[test]
-fn a_young_node_waits_for_the_first_news_of_versions() {
-    let world = world(1, 4);
+fn new_node_waits_for_the_first_version_reports() {
+    let cluster = cluster(1, 4);
     for number in 0..4 {
-        world.shards.set_versions(&shard(number), Vec::new());
+        cluster.shards.set_versions(&shard(number), Vec::new());
     }
 
-    let answer = run(&world, async {
+    let answer = run(&cluster, async {
         let publish = async {
-            sleep(&world.clock, ms(100)).await;
+            sleep(&cluster.clock, ms(100)).await;
             for number in 0..4 {
-                world.shards.set_versions(&shard(number), vec![held(&shard(number), 1, 4)]);
+                cluster.shards.set_versions(&shard(number), vec![held(&shard(number), 1, 4)]);
             }
         };
-        futures_util::future::join(world.search(0), publish).await.0.unwrap()
+        futures_util::future::join(cluster.search(0), publish).await.0.unwrap()
     });
 
     assert!(answer.coverage.is_full());
@@ -225,13 +225,13 @@
 /// Order: no holder has heard of any version, and none does.
 /// Why: an empty list would read as "nothing available".
 #[test]
-fn without_any_version_a_search_fails_and_says_so() {
-    let world = world(1, 4);
+fn search_without_any_version_fails() {
+    let cluster = cluster(1, 4);
     for number in 0..4 {
-        world.shards.set_versions(&shard(number), Vec::new());
+        cluster.shards.set_versions(&shard(number), Vec::new());
     }
 
-    let result = run(&world, world.search(0));
+    let result = run(&cluster, cluster.search(0));
 
     assert_eq!(code(result), 3005);
 }
@@ -241,20 +241,20 @@
 /// background asks holders for what it has not heard of.
 /// Why: the first search after a quiet hour would else begin with a stale plan.
 #[test]
-fn versions_are_kept_fresh_between_searches() {
-    let world = world_with(2, 4, without_canary());
+fn versions_are_refreshed_between_searches() {
+    let cluster = cluster_with(2, 4, without_canary());
 
-    let asked = run(&world, async {
-        world.search(0).await.unwrap();
-        world.nodes[0].front.start();
+    let asked = run(&cluster, async {
+        cluster.search(0).await.unwrap();
+        cluster.nodes[0].front.start();
         for number in 0..4 {
-            world.shards.set_versions(&shard(number), vec![held(&shard(number), 2, 4)]);
+            cluster.shards.set_versions(&shard(number), vec![held(&shard(number), 2, 4)]);
         }
-        sleep(&world.clock, ms(4_000)).await;
-        world.shards.asked.borrow_mut().clear();
-        world.search(0).await.unwrap();
-        world.nodes[0].lifecycle.advance(kumquatnotch_core::lifecycle::Stage::Closing);
-        world.shards.asked.borrow().clone()
+        sleep(&cluster.clock, ms(4_000)).await;
+        cluster.shards.asked.borrow_mut().clear();
+        cluster.search(0).await.unwrap();
+        cluster.nodes[0].lifecycle.advance(kumquatnotch_core::lifecycle::Stage::Closing);
+        cluster.shards.asked.borrow().clone()
     });
 
     assert!(asked.iter().all(|(_, _, version)| *version == IndexVersion(2)), "{asked:?}");
