--- a/crates/kumquatnotch-query/examples/root.rs
+++ b/crates/kumquatnotch-query/examples/root.rs
@@ -1,8 +1,9 @@
-//! What the root of a query costs, and what its canary costs callers.
+//! Benchmarks the processor time of the root of a query and the latency that the canary
+//! adds.
 //!
-//! The nodes are real roots over fakes of the network and of the holders, on a
-//! paused clock: latencies are of that clock and repeat with the seed; processor
-//! time is that of this process, with the fakes in it.
+//! The nodes are real roots with a fake network and fake holders on a paused clock.
+//! Latencies are in the time of that clock and reproducible by seed; processor time is
+//! that of this process, including the fakes.
 //!
 //! `cargo run --release -p kumquatnotch-query --example root`
 
@@ -32,7 +33,8 @@
     print_canary();
 }
 
-/// How evenly groups lie on the nodes, and how many a query of one selector meets.
+/// Prints how evenly groups are distributed over nodes, and how many groups a query of
+/// one selector uses.
 fn print_group_balance() {
     println!("groups on nodes: shards, selectors, to a group, groups, nodes: least, mean, most");
     for (shards, selectors, size, nodes) in
@@ -61,7 +63,8 @@
     }
 }
 
-/// Shards of which each selector reaches every so many-th.
+/// Returns a document of `shards` shards, distributed over `selectors` selectors in
+/// turn.
 fn selected(shards: usize, selectors: usize) -> Document {
     let mut document = Document::default();
     for number in 0..shards {
@@ -88,11 +91,12 @@
     document
 }
 
-/// Processor time of a search, fakes included.
+/// Prints the processor time of a search, including the fakes.
 fn print_cpu_time() {
     println!("processor time of a search: shards, microseconds, microseconds a shard");
     for shards in [1, 10, 50, 1_600] {
-        // One node, whose own holder answers at once: nothing waits for the clock.
+        // A single node, whose own holder answers at once, so that nothing waits for
+        // the clock.
         let cluster = cluster_with(1, shards, options(false));
         let searches = 200_000 / shards.max(10);
         let span = run(&cluster, async {
@@ -108,8 +112,8 @@
     }
 }
 
-/// Latency of searches over 50 shards, of which one is a straggler, with and
-/// without a canary, by the share of searches that were seen before.
+/// Prints the latency of searches over 50 shards, one of which is a straggler, with and
+/// without a canary, by the share of repeated searches.
 fn print_canary() {
     println!("canary: share seen before, seed: p50 and p99 in ms without, with");
     for seen in [0.0, 0.5, 0.9] {
@@ -144,7 +148,7 @@
     (at(0.5), at(0.99))
 }
 
-/// 2 to 8 ms for each shard, and 10 to 40 ms for the straggler.
+/// Sets a delay of 2 to 8 ms for each shard, and of 10 to 40 ms for the straggler.
 fn set_delays(cluster: &Cluster, random: &Random) {
     for number in 0..50 {
         let shard: ShardName = shard(number);
--- a/crates/kumquatnotch-query/src/access.rs
+++ b/crates/kumquatnotch-query/src/access.rs
@@ -1,8 +1,8 @@
-//! Who a caller is, and what its tenant may use.
+//! Authentication of callers and authorisation of their tenants.
 //!
-//! The table from digests of keys to tenants is made once for each version of
-//! the document: a search through all tenants for each request would cost more
-//! than the request.
+//! The table from key digests to tenants is built once per version of the document,
+//! since scanning all tenants for each request would take longer than the request
+//! itself.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -14,7 +14,7 @@
     ids::{ConfigVersion, SelectorName, TenantName},
 };
 
-/// The table of keys of the document in force.
+/// Cached key table of the current document.
 #[derive(Default)]
 pub(crate) struct Access {
     table: RefCell<Option<Rc<Table>>>,
@@ -26,7 +26,7 @@
 }
 
 impl Access {
-    /// The tenant that `key` belongs to under `document`.
+    /// Returns the tenant that `key` belongs to under `document`.
     pub fn tenant(&self, document: &Document, key: &str) -> Result<TenantName> {
         let digest = key_digest(key);
         self.table(document).tenants.get(&digest).cloned().ok_or(Error::Unauthorised)
@@ -48,7 +48,7 @@
         let mut tenants = HashMap::default();
         for (name, tenant) in &document.rules.tenants {
             for digest in &tenant.keys {
-                // Names come in order: as in `front::tenant_of`, the first one wins.
+                // Names are sorted: as in `front::tenant_of`, the first one wins.
                 tenants.entry(digest.clone()).or_insert_with(|| name.clone());
             }
         }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The selector of that name, if `tenant` may use it for this kind of request.
+/// Returns the selector `name` if `tenant` may use it for this kind of request.
 pub(crate) fn permitted<'a>(
     document: &'a Document,
     name: &SelectorName,
--- a/crates/kumquatnotch-query/src/answers.rs
+++ b/crates/kumquatnotch-query/src/answers.rs
@@ -1,4 +1,4 @@
-//! What a round makes of each answer of a holder.
+//! Processing of the answers of holders in a round.
 
 use kumquatnotch_core::{Error, Result, answer::GroupAnswer, ids::ShardName};
 
@@ -8,7 +8,7 @@
 };
 
 impl Gather<'_> {
-    /// Takes the answer of a part; an error ends the search.
+    /// Processes the answer of a part; an error ends the search.
     pub(crate) fn handle_answer(
         &mut self,
         part: Part,
@@ -39,7 +39,7 @@
         for fault in answer.missing {
             self.handle_fault(&part, fault.shard, fault.error, gone)?;
         }
-        // A shard that is in neither list must not vanish from the answer.
+        // A shard in neither list must not be omitted from the answer.
         for shard in part.shards {
             self.fail(shard, Error::protocol("left out of an answer"));
         }
@@ -47,13 +47,16 @@
         Ok(())
     }
 
-    /// Ends the search if a holder has refused and the rest can't be enough.
+    /// Ends the search if a holder refused its part and the rest cannot reach enough
+    /// coverage.
     ///
-    /// Run on, the other groups would spend slots on an answer that its tenant
-    /// finds too thin, and under overload leave less for the answers that could
-    /// be whole. A part may have run, so this isn't called "not run".
+    /// Otherwise the other groups would spend slots on an answer with too little
+    /// coverage for its tenant, which under overload leaves less capacity for answers
+    /// that could be complete. A part may have run, so the error must not mean "not
+    /// run".
     fn give_up_if_starved(&self, part: &Part, error: &Error) -> Result<()> {
-        // One shard that is overrun tells nothing of the rest, a group does.
+        // A single overloaded shard is no evidence about the others, but an overloaded
+        // group is.
         let &Error::Overloaded { retry_ms } = error else {
             return Ok(());
         };
@@ -66,7 +69,7 @@
         Err(Error::GivenUp { retry_ms })
     }
 
-    /// Takes that the holder answered for none of its shards.
+    /// Records that the holder answered none of its shards.
     fn handle_refusal(
         &mut self,
         part: &Part,
@@ -74,7 +77,7 @@
         error: &Error,
         gone: &mut GoneShards,
     ) -> Result<()> {
-        // A connection to a holder that breaks tells nothing of the request.
+        // A broken connection to a holder is no evidence about the request.
         if *error != Error::ConnectionLost {
             return self.handle_fault(part, shard, error.clone(), gone);
         }
@@ -90,15 +93,15 @@
         gone: &mut GoneShards,
     ) -> Result<()> {
         match &error {
-            // The one shard that the request went to failed as crash-causing
-            // requests do. Sending it to the others would crash them too.
+            // The canary shard failed as it does for a request that crashes targets.
+            // Sending the request to the other shards could crash them too.
             Error::Contained { .. } | Error::ConnectionLost
                 if part.canary && self.held_back.is_some() =>
             {
                 return Err(error);
             }
-            // Holders know it as crash-causing by now. It has run on other shards,
-            // so that "not run" would be false.
+            // Holders have identified the request as crash-causing by now. It has run
+            // on other shards, so "not run" would be false.
             Error::Contained { retry_ms } => {
                 let detail = format!("the request crashes targets; refused for {retry_ms} ms");
                 return Err(Error::TargetFailed { detail });
--- a/crates/kumquatnotch-query/src/canary.rs
+++ b/crates/kumquatnotch-query/src/canary.rs
@@ -1,8 +1,8 @@
-//! The requests that succeeded lately, by fingerprint.
+//! Canary requests, and the fingerprints of requests that succeeded recently.
 //!
-//! A request that crashes each target that runs it must not be sent to all
-//! shards at once. One that succeeded lately is known not to; any other goes to
-//! one shard first. Two sets take turns, so that forgetting costs nothing.
+//! A request that crashes every target that runs it must not be sent to all shards at
+//! once. A request that succeeded recently is known to be safe; any other goes to one
+//! shard first. Two sets are rotated, so that expiring entries takes constant time.
 
 use std::{
     cell::RefCell,
@@ -16,7 +16,7 @@
 
 use crate::plan::PlannedShard;
 
-/// The requests that succeeded lately.
+/// Requests that succeeded recently.
 pub(crate) struct ProvenRequests {
     state: RefCell<State>,
     rotation: Duration,
@@ -31,7 +31,8 @@
 }
 
 impl ProvenRequests {
-    /// Remembers for at least half of `memory` and at most `entries`.
+    /// Creates a set that keeps an entry for at least half of `memory` and holds at
+    /// most `entries`.
     pub fn new(memory: Duration, entries: usize) -> ProvenRequests {
         ProvenRequests {
             state: RefCell::default(),
@@ -40,21 +41,21 @@
         }
     }
 
-    /// Whether the request succeeded lately.
+    /// Returns whether the request succeeded recently.
     pub fn contains(&self, now: Instant, fingerprint: Fingerprint) -> bool {
         let mut state = self.state.borrow_mut();
         self.rotate(&mut state, now);
         state.current.contains(&fingerprint) || state.previous.contains(&fingerprint)
     }
 
-    /// The request succeeded.
+    /// Records that the request succeeded.
     pub fn insert(&self, now: Instant, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
         self.rotate(&mut state, now);
         state.current.insert(fingerprint);
     }
 
-    /// The request failed in a way that may be its own doing.
+    /// Records that the request failed in a way that it may have caused itself.
     pub fn remove(&self, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
         state.current.remove(&fingerprint);
@@ -75,28 +76,28 @@
     }
 }
 
-/// The shards that wait for a canary.
+/// Shards held back until a canary has answered.
 pub(crate) struct HeldBack<'a> {
     pub shards: Vec<&'a PlannedShard>,
     /// When the next step is due.
     pub due: Instant,
-    /// Whether the next step is another canary.
+    /// Whether the next step is to send another canary.
     pub send_another: bool,
-    /// The canaries that have not answered yet.
+    /// Number of canaries that have not answered yet.
     pending: usize,
     sent: usize,
 }
 
-/// The most canaries of a round.
+/// Maximum number of canaries per round.
 const MAX_CANARIES: usize = 4;
 
 impl<'a> HeldBack<'a> {
-    /// The shards that wait for the first canary.
+    /// Holds back `shards` until the first canary has answered.
     pub fn new(shards: Vec<&'a PlannedShard>, due: Instant) -> HeldBack<'a> {
         HeldBack { shards, due, send_another: true, pending: 1, sent: 1 }
     }
 
-    /// Another canary was sent, which is waited for until `until`.
+    /// Records that another canary was sent, which is awaited until `due`.
     pub fn on_sent(&mut self, due: Instant) {
         self.due = due;
         self.send_another = false;
@@ -104,7 +105,8 @@
         self.sent += 1;
     }
 
-    /// A canary failed and told nothing; the next step is due if no other is out.
+    /// Records an inconclusive canary; the next step is due if no other canary is
+    /// pending.
     pub fn on_failed(&mut self, now: Instant, end: Instant) {
         self.pending -= 1;
         if self.pending == 0 {
@@ -114,10 +116,10 @@
     }
 }
 
-/// The place in `shards` of the one that a request goes to first.
+/// Returns the index in `shards` of the canary shard.
 ///
-/// It follows from the request alone, so that the same request sent to any node
-/// meets the same holder, which recognises it.
+/// It depends only on the request. The same request sent to any node therefore reaches
+/// the same holder, which recognises it.
 pub(crate) fn first_shard(fingerprint: Fingerprint, shards: &[&PlannedShard]) -> usize {
     let names: Vec<&str> = shards.iter().map(|planned| planned.shard.as_str()).collect();
     let first = rendezvous(&fingerprint.0.to_be_bytes(), &names).first().copied();
--- a/crates/kumquatnotch-query/src/entry.rs
+++ b/crates/kumquatnotch-query/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entry advice as this node gives it.
+//! Entry advice for callers of this node.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use crate::router::Router;
 
-/// The advice for a caller that names its data centre, or not.
+/// Returns the advice for a caller that may have named its data centre.
 pub(crate) fn advise(
     policy: &dyn EntryPolicy,
     members: &dyn Members,
@@ -26,15 +26,15 @@
     let mut nodes = Vec::new();
     for record in members.known() {
         let is_local = record.name == local.name;
-        // The own stage is newer than the own record: a node that leaves stops
-        // advising itself before the others hear of it.
+        // The local stage is newer than the local record: a leaving node stops advising
+        // itself before the others learn of it.
         if is_local && stage > Stage::Serving {
             continue;
         }
-        // After a freeze a node holds its document back for at most two seconds,
-        // and asks others meanwhile. It then advises others, but does not tell
-        // them to do so: the news would spread no faster than it serves again,
-        // and whom they advise meanwhile is told when to come back.
+        // After a freeze a node withholds its document for at most two seconds while it
+        // queries other nodes. During that time it advises other nodes, but does not
+        // announce this to them: the announcement would spread no faster than the node
+        // resumes serving, and callers that are still sent to it receive a retry time.
         let serves = match is_local {
             true => stage == Stage::Serving && document.is_some(),
             false => record.serving,
@@ -52,8 +52,8 @@
         });
     }
     let centre = near.map(DataCentre::from);
-    // A caller that names no data centre, or one that isn't known, is taken to be
-    // in the region whose node it asked.
+    // A caller that names no data centre, or an unknown one, is assumed to be in the
+    // region of the node that it queried.
     let named = centre.as_ref().and_then(|centre| {
         let declared = document.and_then(|document| document.region(centre)).cloned();
         declared.or_else(|| {
--- a/crates/kumquatnotch-query/src/front.rs
+++ b/crates/kumquatnotch-query/src/front.rs
@@ -1,4 +1,4 @@
-//! The front: what callers reach, apart from any protocol.
+//! The front: the service for callers, independent of any protocol.
 
 use std::{
     rc::Rc,
@@ -39,10 +39,10 @@
     tickets::{TICKETS, TicketService},
 };
 
-/// A node where requests wait this long is advised as if it were farther away.
+/// Queueing delay at which the entry advice ranks a node as if it were farther away.
 const BUSY_NODE_WAIT: Duration = Duration::from_millis(50);
 
-/// What a node does for callers.
+/// Serves the requests of callers.
 pub struct FrontService {
     options: FrontOptions,
     clock: Rc<dyn Clock>,
@@ -62,7 +62,7 @@
 }
 
 impl FrontService {
-    /// A front over the services in `registry`.
+    /// Creates a front that uses the services in `registry`.
     pub fn try_new(options: FrontOptions, registry: &Registry) -> Result<Rc<FrontService>> {
         let clock: Rc<dyn Clock> = registry.find(services::CLOCK)?;
         let random: Random = registry.find(services::RANDOM)?;
@@ -86,7 +86,7 @@
         }))
     }
 
-    /// Starts the background work; this must run inside a runtime.
+    /// Starts the background tasks; must be called inside a runtime.
     pub fn start(self: &Rc<Self>) {
         let front = self.clone();
         monoio::spawn(async move {
@@ -100,12 +100,12 @@
         });
     }
 
-    /// How many requests of callers run on this node.
+    /// Returns the number of caller requests running on this node.
     pub fn running(&self) -> usize {
         self.admission.running() + self.tickets.running()
     }
 
-    /// The state of the root as text for the status page.
+    /// Returns the state of the root as text for the status page.
     pub fn status_text(&self) -> String {
         let now = self.clock.now();
         let waits = Class::ALL
@@ -120,11 +120,11 @@
         )
     }
 
-    /// The document, if this node serves.
+    /// Returns the document if this node accepts requests.
     fn serving(&self) -> Result<Rc<Document>> {
         match self.lifecycle.stage() {
             Stage::Starting => Err(Error::NotReady),
-            // Callers keep the advice for a while: a leaving node still serves.
+            // Callers cache the entry advice, so a leaving node still serves.
             Stage::Serving | Stage::Leaving => self.documents.current().ok_or(Error::NotReady),
             Stage::Closing => Err(Error::Leaving),
         }
@@ -205,7 +205,7 @@
         result
     }
 
-    /// The body as text and the deadline, if both are within bounds.
+    /// Returns the serialized body and the deadline if both are within their limits.
     fn check(&self, spec: &SelectorSpec, request: &SearchRequest) -> Result<(String, Duration)> {
         let body = request.query.to_string();
         if body.len() > self.options.body_limit {
@@ -231,9 +231,9 @@
     }
 
     async fn handle_exclusive(&self, key: &str, body: ExclusiveBody) -> Result<Outcome> {
-        // Any refusal here that says "not run" might be false: an earlier copy of
-        // the request, sent through another node, may have run. Only the issuer
-        // knows. So a node that can't ask it tells the caller to ask again.
+        // A "not run" error returned here might be false: a copy of the request sent
+        // through another node may have run, and only the issuer knows. If this node
+        // cannot reach the issuer, it tells the caller to retry.
         let Some(document) = self.documents.current() else {
             return Err(Error::IssuerUnreachable);
         };
@@ -277,7 +277,8 @@
     }
 }
 
-/// Holders answer a margin before the root does, and partially another one before.
+/// Computes the deadlines: holders finish one margin before the root, and return
+/// partial answers at least one margin before that.
 fn deadlines(patience: Instant, root: Instant, margin: Duration) -> Deadlines {
     let holder = root - margin;
     Deadlines { partial: patience.min(holder - margin), holder, root }
@@ -303,10 +304,11 @@
     }
 }
 
-/// The share of shards beyond which a request counts as starved.
+/// Share of shards refused for lack of capacity above which a request counts as
+/// starved.
 const STARVED_SHARE: f64 = 0.1;
 
-/// Whether a request got too little of what it asked for, for want of capacity.
+/// Returns whether a request failed or lost coverage for lack of capacity.
 fn is_starved(result: &Result<Answer>) -> bool {
     let answer = match result {
         Ok(answer) => answer,
@@ -318,7 +320,8 @@
     starved as f64 > STARVED_SHARE * f64::from(coverage.asked)
 }
 
-/// Whether a target was lost under a request, which may be the request's doing.
+/// Returns whether a target was lost while running the request, which may have caused
+/// it.
 fn may_have_crashed_target(result: &Result<Answer>) -> bool {
     let lost = Error::ConnectionLost.code();
     match result {
@@ -330,7 +333,7 @@
     }
 }
 
-/// Counts a request as running until it is dropped, be it because its caller left.
+/// Counts a request as running until it is dropped, also when its caller disconnects.
 struct Running<'a> {
     admission: &'a dyn Admission,
     admission_request: AdmissionRequest,
--- a/crates/kumquatnotch-query/src/gather.rs
+++ b/crates/kumquatnotch-query/src/gather.rs
@@ -1,8 +1,8 @@
-//! One round of a search: the fan-out over groups and the gathering of answers.
+//! One round of a search: sends requests to the groups and gathers their answers.
 //!
-//! Every shard asked for is in exactly one place at any time: still open, late,
-//! covered or failed. What is open or late when the round ends is listed as
-//! missing, so that the numbers of the answer always add up.
+//! At any time, every requested shard is in exactly one of four states: waiting, late,
+//! covered or failed. Shards that are still waiting or late when the round ends are
+//! listed as missing, so that the counts of the answer always add up.
 
 use std::{collections::BTreeMap, rc::Rc, time::Instant};
 
@@ -30,38 +30,38 @@
     search::Search,
 };
 
-/// How a round ended.
+/// Result of a round.
 pub(crate) enum Round {
-    /// With the hits and what they cover.
+    /// The round is complete, with its hits and their coverage.
     Done(Vec<Hit>, Coverage),
-    /// Shards do not have the version any more, and this other plan is better;
-    /// `covered` tells how many shards ran the request meanwhile.
+    /// Shards no longer have the version, and `plan` is better; `covered` is the number
+    /// of shards that ran the request in this round.
     Gone { plan: Rc<Plan>, covered: u32 },
 }
 
-/// The shards of one request to a holder.
+/// Shards of one request to a holder.
 pub(crate) struct Part {
     pub(crate) group: GroupId,
     pub(crate) shards: Vec<ShardName>,
     pub(crate) canary: bool,
 }
 
-/// What a round waits for.
+/// Event that a round waits for.
 pub(crate) enum Event {
-    /// A holder has answered for its part.
+    /// A holder answered its part, or the request failed.
     Answered(Part, Result<GroupAnswer>),
-    /// The holders have told the versions of their shards again.
+    /// The versions of the shards were refreshed.
     Refreshed,
 }
 
-/// The state of a round.
+/// State of a round.
 pub(crate) struct Gather<'a> {
     pub(crate) search: &'a Search<'a>,
     pub(crate) plan: &'a Plan,
     pub(crate) pending: FuturesUnordered<LocalFuture<'a, Event>>,
     pub(crate) held_back: Option<HeldBack<'a>>,
     pub(crate) waiting: HashSet<ShardName>,
-    /// The shards that holders gave up because partial answers were wanted.
+    /// Shards that holders gave up at the deadline for partial answers.
     pub(crate) late: Vec<(ShardName, Error)>,
     pub(crate) covered: u32,
     pub(crate) faults: Vec<(ShardName, Error)>,
@@ -72,7 +72,7 @@
 }
 
 impl<'a> Gather<'a> {
-    /// A round over `plan` that has not begun; no other follows if it `is_last`.
+    /// Creates a round over `plan`; no other follows if it `is_last`.
     pub fn new(search: &'a Search<'a>, plan: &'a Plan, is_last: bool) -> Gather<'a> {
         Gather {
             search,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Runs the round to its end; `gone` takes shards without the version.
+    /// Runs the round to its end and adds the shards that lack the version to `gone`.
     pub async fn run(mut self, canary: bool, gone: &mut GoneShards) -> Result<Round> {
         self.fan_out(canary);
         let search = self.search;
@@ -129,11 +129,11 @@
         }
     }
 
-    /// Asks for versions again before another plan is thought of.
+    /// Refreshes the versions before the search is planned again.
     ///
-    /// The first shard without the version tells its own news only. A plan made
-    /// from that would take the other shards as not having the new version yet,
-    /// and be a thin one.
+    /// The first shard that lacks the version reports only its own versions. A plan
+    /// made from that report alone would assume that the other shards do not have the
+    /// new version yet, and its coverage would be low.
     fn refresh(&mut self) {
         let search = self.search;
         if self.is_last || self.refreshing || !search.may_replan() {
@@ -165,7 +165,7 @@
         timers.into_iter().flatten().filter(|at| *at > now).min().unwrap_or(search.deadlines.root)
     }
 
-    /// Sends the parts, or the canary's first.
+    /// Sends all parts, or only the canary.
     fn fan_out(&mut self, canary: bool) {
         let mut shards: Vec<&'a PlannedShard> = self.plan.shards.iter().collect();
         if !canary || shards.is_empty() {
@@ -179,7 +179,7 @@
         self.held_back = Some(HeldBack::new(shards, until));
     }
 
-    /// Sends the one of `shards` that the request meets first, and takes it out.
+    /// Sends the request to its canary shard and removes that shard from `shards`.
     fn send_canary(&mut self, shards: &mut Vec<&'a PlannedShard>) {
         meters::canary();
         let first = shards.swap_remove(first_shard(self.search.fingerprint, shards));
@@ -209,7 +209,7 @@
         }));
     }
 
-    /// Sends what waited for the canary, as it has answered.
+    /// Sends the request to the shards that were held back for the canary.
     fn release(&mut self) {
         let Some(held) = self.held_back.take() else {
             return;
@@ -219,12 +219,12 @@
         }
     }
 
-    /// Takes the next step after a canary, which `ran` or failed otherwise than by a
-    /// crash.
+    /// Handles the result of a part; a canary that failed without a crash may be
+    /// followed by another.
     ///
-    /// A shard that is lost, draining or of another version tells nothing of the
-    /// request. To fan out then would crash a replica of each shard, so another
-    /// canary is sent, a few times at most, since many shards may be refusing.
+    /// A shard that is lost, draining or at another version gives no evidence about the
+    /// request. Fanning out then could crash a replica of each shard, so another canary
+    /// is sent. The number of canaries is limited, since many shards may refuse.
     pub(crate) fn on_canary_result(&mut self, canary: bool, ran: bool) {
         let Some(held) = self.held_back.as_mut().filter(|_| canary && !ran) else {
             return self.release();
@@ -232,16 +232,16 @@
         held.on_failed(self.search.clock.now(), self.search.canary_end());
     }
 
-    /// Takes the next step if the canary is slow.
+    /// Sends another canary, or the held back shards, if the canary is slow.
     ///
-    /// It may have met a straggler. It may also be crashing one replica after the
-    /// other, which its holder needs a while to find out; fanning out meanwhile
-    /// would crash a replica of each shard. So one other shard is tried, which
-    /// tells the two apart, and only half of the patience ends the wait.
+    /// The canary may have hit a straggler. It may also be crashing one replica after
+    /// another, which its holder needs some time to detect; fanning out meanwhile would
+    /// crash a replica of each shard. A second canary to another shard distinguishes
+    /// the two cases, and the wait ends only after half of the patience.
     fn release_due(&mut self) {
         let search = self.search;
         let now = search.clock.now();
-        // While versions are asked for again, a canary may meet the old one only.
+        // While versions are being refreshed, a canary may only reach the old one.
         let is_due = |held: &mut HeldBack<'_>| now >= held.due && !self.refreshing;
         let Some(mut held) = self.held_back.take_if(is_due) else {
             return;
@@ -261,11 +261,11 @@
         search.follow_up && !self.followed_up && now + search.margin < search.deadlines.holder
     }
 
-    /// Asks once more for shards that were late, if the coverage is not enough.
+    /// Retries the late shards once if the coverage is insufficient.
     ///
-    /// Holders cut them off when partial answers were wanted, which was right for
-    /// a tenant whose coverage is enough by then. If it is not, the rest of the
-    /// deadline is theirs.
+    /// Holders abandoned these shards at the deadline for partial answers. That is
+    /// correct for a tenant whose coverage is sufficient by then. Otherwise the shards
+    /// get the rest of the deadline.
     fn follow_up(&mut self, now: Instant) -> bool {
         if self.late.is_empty() || !self.may_follow_up(now) {
             return false;
@@ -286,7 +286,7 @@
         true
     }
 
-    /// Lists what is still open, and checks that something was covered.
+    /// Lists the unanswered shards as missing; fails if no shard was covered.
     fn finish(mut self, is_over: bool) -> Result<Round> {
         let is_cut = !self.waiting.is_empty() || !self.late.is_empty();
         self.faults.extend(self.waiting.drain().map(|shard| (shard, Error::TimedOut)));
--- a/crates/kumquatnotch-query/src/groups.rs
+++ b/crates/kumquatnotch-query/src/groups.rs
@@ -1,9 +1,9 @@
 //! Groups of shards, and the nodes that hold them.
 //!
-//! A group is held by few nodes, so that the slots of a replica are one queue or
-//! two and not one on each node. Every node computes groups and holders for
-//! itself from the document and the members it sees; where two nodes disagree
-//! for a while, a replica has more holders for that while, and nothing is lost.
+//! A group is held by few nodes, so that the slots of a replica are managed in one or
+//! two queues instead of one on each node. Every node computes groups and holders
+//! independently from the document and its own view of the members. While two nodes
+//! disagree, a replica has more holders, and no request is lost.
 
 use std::{
     cell::RefCell,
@@ -19,29 +19,29 @@
     member::{Members, NodeRecord, NodeState},
 };
 
-/// The count of groups for `shards` shards with about `size` to a group.
+/// Returns the number of groups for `shards` shards with about `size` shards each.
 ///
-/// A power of two, so that a shard that comes or goes seldom regroups the rest.
+/// It is a power of two, so that adding or removing a shard seldom regroups the others.
 pub fn group_count(shards: usize, size: usize) -> usize {
     shards.div_ceil(size.max(1)).max(1).next_power_of_two()
 }
 
-/// A group of shards.
+/// Identifier of a group of shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
 
-/// The group of each declared shard of a document.
+/// Maps each declared shard of a document to its group.
 ///
-/// Shards that the same selectors reach are grouped together. Were they grouped
-/// by hashing alone, a query for a third of the shards would meet every group
-/// and send each a message for a third of its shards.
+/// Shards that are reached by the same selectors are grouped together. If they were
+/// grouped by their hash alone, a query for a third of the shards would reach every
+/// group and send each of them a message for a third of its shards.
 #[derive(Clone, Debug, Default)]
 pub struct GroupTable {
     groups: HashMap<ShardName, GroupId>,
 }
 
 impl GroupTable {
-    /// The groups of `document` with about `size` shards to each.
+    /// Computes the groups of `document` with about `size` shards each.
     pub fn new(document: &Document, size: usize) -> GroupTable {
         let mut by_selectors: BTreeMap<Vec<&str>, Vec<&ShardName>> = BTreeMap::new();
         for (shard, selectors) in selectors_of(document) {
@@ -61,14 +61,14 @@
         GroupTable { groups }
     }
 
-    /// The group of `shard`; one that is not declared has a group of its own.
+    /// Returns the group of `shard`; an undeclared shard has its own group.
     pub fn group(&self, shard: &ShardName) -> GroupId {
         let own = || GroupId(stable_hash(&[shard.as_bytes()]));
         self.groups.get(shard).copied().unwrap_or_else(own)
     }
 }
 
-/// The selectors that reach each declared shard.
+/// Returns the selectors that reach each declared shard.
 fn selectors_of(document: &Document) -> BTreeMap<&ShardName, BTreeSet<&str>> {
     let mut reached: BTreeMap<&ShardName, BTreeSet<&str>> = BTreeMap::new();
     for target in document.targets.values() {
@@ -82,7 +82,7 @@
     reached
 }
 
-/// The groups and their holders in rank, kept until the members or the document change.
+/// Groups and their ranked holders, cached until the members or the document change.
 #[derive(Default)]
 pub(crate) struct Ranks {
     cache: RefCell<Cache>,
@@ -91,7 +91,7 @@
 #[derive(Default)]
 struct Cache {
     generation: Option<u64>,
-    /// The members of that generation, by tier.
+    /// Members of that generation, each with its tier.
     tiers: Vec<(u8, NodeRecord)>,
     ranks: HashMap<GroupId, Rc<[NodeRecord]>>,
     version: Option<ConfigVersion>,
@@ -99,7 +99,7 @@
 }
 
 impl Ranks {
-    /// The groups under `document`.
+    /// Returns the groups under `document`.
     pub fn table(&self, document: &Document, size: usize) -> Rc<GroupTable> {
         let mut cache = self.cache.borrow_mut();
         if cache.version != Some(document.version) {
@@ -110,10 +110,12 @@
         cache.table.clone()
     }
 
-    /// The first `length` nodes in rank to hold `group`, the first one first.
+    /// Returns the first `length` nodes ranked to hold `group`, the preferred one
+    /// first.
     ///
-    /// A query asks for this once for each group, so it must not grow with the
-    /// members: at 1,900 nodes whole ranks took more than four cores of a node.
+    /// A query calls this once per group, so its cost must not grow with the number of
+    /// members: with 1,900 nodes, ranking all of them used more than four cores of a
+    /// node.
     pub fn rank(&self, group: GroupId, length: usize, members: &dyn Members) -> Rc<[NodeRecord]> {
         let generation = members.generation();
         let mut cache = self.cache.borrow_mut();
@@ -127,14 +129,14 @@
     }
 }
 
-/// The tiers of nodes that serve; those that don't have as many after them.
+/// Number of tiers of serving nodes; as many tiers of other nodes follow.
 const SERVING_TIERS: u8 = 3;
 
-/// The nodes that are not gone, each with its tier: up in the own region, up
-/// elsewhere, doubtful.
+/// Returns the nodes that are not gone, each with its tier: up in the local region, up
+/// in another region, doubtful.
 ///
-/// Those that do not serve yet come after all that do: a group sent to one would
-/// be refused and lose a round trip, and each root would learn so for itself.
+/// Nodes that do not serve yet come after all serving ones: they would refuse a group
+/// and add a round trip, and each root would discover this independently.
 fn tiers_of(members: &dyn Members) -> Vec<(u8, NodeRecord)> {
     let local = members.local();
     let known = members.known().into_iter().filter(|node| node.state != NodeState::Gone);
@@ -148,7 +150,7 @@
     known.map(|node| (tier(&node), node)).collect()
 }
 
-/// The first nodes by tier, and inside a tier by rendezvous hashing.
+/// Returns the first nodes by tier, and within a tier by rendezvous hashing.
 fn rank(group: GroupId, length: usize, tiers: &[(u8, NodeRecord)]) -> Rc<[NodeRecord]> {
     let key = group.0.to_be_bytes();
     let mut order: Vec<(u8, Reverse<u64>, &NodeRecord)> = tiers
--- a/crates/kumquatnotch-query/src/health.rs
+++ b/crates/kumquatnotch-query/src/health.rs
@@ -1,9 +1,9 @@
-//! What this node has seen of its peers as holders.
+//! Health of peers as observed by this node.
 //!
-//! A frozen holder keeps its connections open and says nothing. Membership finds
-//! that within seconds; until then each query would wait out a hedge delay. So a
-//! peer that has requests open and has not said a word for a while is asked last,
-//! and is tried again now and then. It is never taken as dead here.
+//! A frozen holder keeps its connections open without replying. The membership detects
+//! this within seconds; until then each query would wait for a hedge delay. A peer that
+//! has had requests in flight without a reply for some time is therefore tried last,
+//! and probed at intervals. It is never treated as dead here.
 
 use std::{
     cell::RefCell,
@@ -12,13 +12,13 @@
 
 use kumquatnotch_core::{collections::HashMap, ids::NodeName};
 
-/// The weight of a new wait in the smoothed one.
+/// Weight of a new sample in the moving average of the queueing delay.
 const WAIT_WEIGHT: f64 = 0.2;
 
-/// After this time without a request what was known of a peer counts no more.
+/// Idle time after which earlier evidence about a peer is discarded.
 const IDLE: Duration = Duration::from_secs(2);
 
-/// What is known of each peer.
+/// Observed health of each peer.
 #[derive(Default)]
 pub(crate) struct Health {
     peers: RefCell<HashMap<NodeName, Peer>>,
@@ -34,11 +34,12 @@
 }
 
 impl Health {
-    /// A request to `name` was sent.
+    /// Records that a request to `name` was sent.
     pub fn request_sent(&self, name: &NodeName, now: Instant) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name.clone()).or_default();
-        // What was not answered long ago says nothing about the peer of today.
+        // An unanswered request of long ago is no evidence about the current state of
+        // the peer.
         let last = peer.sent.replace(now);
         if peer.open == 0 && last.is_none_or(|last| now - last > IDLE) {
             peer.silent_since = None;
@@ -47,17 +48,18 @@
         peer.silent_since.get_or_insert(now);
     }
 
-    /// `name` said something, be it an error.
+    /// Records a reply from `name`, including an error.
     pub fn reply_received(&self, name: &NodeName) {
         if let Some(peer) = self.peers.borrow_mut().get_mut(name) {
             peer.silent_since = None;
         }
     }
 
-    /// A request to `name` is over.
+    /// Records that a request to `name` has ended.
     ///
-    /// One that was given up keeps its evidence: hedges win long before a silence
-    /// can be told from a slow answer, and each would wipe out what the last left.
+    /// A cancelled request keeps its evidence of silence. Hedges win long before
+    /// silence can be distinguished from a slow answer, and each would otherwise erase
+    /// that evidence.
     pub fn request_closed(&self, name: &NodeName, now: Instant) {
         let mut peers = self.peers.borrow_mut();
         let Some(peer) = peers.get_mut(name) else {
@@ -69,22 +71,22 @@
         }
     }
 
-    /// The way to `name` is known to be mute: no need to wait for more evidence.
+    /// Marks `name` as silent at once, as its connection is known to have failed.
     pub fn mark_silent(&self, name: &NodeName, now: Instant, silence: Duration) {
         if let Some(peer) = self.peers.borrow_mut().get_mut(name) {
             peer.silent_since = now.checked_sub(silence).or(peer.silent_since);
         }
     }
 
-    /// How long `name` has left requests without a word.
+    /// Returns how long `name` has left requests without a reply.
     pub fn silence(&self, name: &NodeName, now: Instant) -> Duration {
         let peers = self.peers.borrow();
         let since = peers.get(name).and_then(|peer| peer.silent_since);
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// Whether `name` has been silent for `silence`; once per `probe_interval` it gets
-    /// another chance.
+    /// Returns whether `name` has been silent for `silence`; once per `probe_interval`
+    /// returns false, so that the peer is probed.
     pub fn is_silent(
         &self,
         name: &NodeName,
@@ -110,20 +112,20 @@
         !due
     }
 
-    /// `name` says that requests wait this long there.
+    /// Records the queueing delay that `name` reports.
     pub fn record_wait(&self, name: &NodeName, wait: Duration) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name.clone()).or_default();
         peer.wait_us += WAIT_WEIGHT * (wait.as_micros() as f64 - peer.wait_us);
     }
 
-    /// How long requests wait at `name`, as far as is known.
+    /// Returns the average queueing delay at `name`, if known.
     pub fn wait(&self, name: &NodeName) -> Option<Duration> {
         let peers = self.peers.borrow();
         peers.get(name).map(|peer| Duration::from_micros(peer.wait_us.max(0.0) as u64))
     }
 
-    /// Forgets peers that `keep` does not name.
+    /// Removes idle peers for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&NodeName) -> bool) {
         self.peers.borrow_mut().retain(|name, peer| peer.open > 0 || keep(name));
     }
--- a/crates/kumquatnotch-query/src/latency.rs
+++ b/crates/kumquatnotch-query/src/latency.rs
@@ -1,8 +1,7 @@
-//! Recent spans of time and their quantiles.
+//! Quantiles of recent latencies.
 //!
-//! Two histograms take turns: the older half of what is known is dropped at a
-//! time, so that a change of load shows after a few seconds without a sample
-//! being stored by itself.
+//! Two histograms are rotated: the older one is dropped as a whole, so that a change of
+//! load takes effect after a few seconds without storing individual samples.
 
 use std::{
     cell::RefCell,
@@ -11,15 +10,15 @@
 
 use hdrhistogram::Histogram;
 
-/// After this time or this many samples the older histogram is dropped.
+/// Age or number of samples at which the histograms are rotated.
 const ROTATE_AFTER: Duration = Duration::from_secs(10);
 const ROTATE_SAMPLES: u64 = 4_000;
-/// Fewer samples than this tell nothing about a quantile.
+/// Minimum number of samples for a meaningful quantile.
 const MIN_SAMPLES: u64 = 32;
-/// The longest span kept, in microseconds.
+/// Longest recorded latency, in microseconds.
 const MAX_US: u64 = 60_000_000;
 
-/// Recent spans of time.
+/// Recent latencies.
 pub(crate) struct Latency {
     state: RefCell<State>,
 }
@@ -43,7 +42,7 @@
 }
 
 impl Latency {
-    /// Takes a span that was observed.
+    /// Records a latency.
     pub fn record(&self, now: Instant, span: Duration) {
         let mut state = self.state.borrow_mut();
         let since = *state.since.get_or_insert(now);
@@ -55,10 +54,10 @@
         state.current.saturating_record(span.as_micros().clamp(1, MAX_US as u128) as u64);
     }
 
-    /// The quantile of recent spans; `None` while too few are known.
+    /// Returns a quantile of the recent latencies; `None` if there are too few samples.
     pub fn quantile(&self, quantile: f64) -> Option<Duration> {
         let state = self.state.borrow();
-        // The current histogram alone, once it tells enough; before, the last one.
+        // The current histogram if it has enough samples, or else the previous one.
         let has_enough = |histogram: &&Histogram<u32>| histogram.len() >= MIN_SAMPLES;
         let histogram = [&state.current, &state.previous].into_iter().find(has_enough)?;
         Some(Duration::from_micros(histogram.value_at_quantile(quantile)))
--- a/crates/kumquatnotch-query/src/lib.rs
+++ b/crates/kumquatnotch-query/src/lib.rs
@@ -1,10 +1,10 @@
-//! The root of a query: what a node does for callers.
+//! Root of queries: the service of a node for callers.
 //!
-//! Any node is the root of the queries that callers send it. [`FrontService`]
-//! checks a request, plans it over one snapshot of the index, sends each group
-//! of shards to the node that holds it, and merges the partial answers.
-//! [`TicketService`] runs non-idempotent requests at most once. [`Router`] is
-//! the way of both to the holders, and [`install`] puts the three together.
+//! Any node is the root of the queries that callers send to it. [`FrontService`] checks
+//! a request, plans it over one snapshot of the index, sends each group of shards to
+//! the node that holds it, and merges the partial answers. [`TicketService`] runs
+//! non-idempotent requests at most once. Both reach the holders through [`Router`], and
+//! [`install`] assembles the three services.
 
 #![forbid(unsafe_code)]
 
@@ -50,7 +50,7 @@
     view::VersionView,
 };
 
-/// Puts the services of the root together and registers each under its name.
+/// Creates the services of the root and registers each under its name.
 pub fn install(options: QueryOptions, registry: &Registry) -> Result<Rc<FrontService>> {
     let router = Router::try_new(options.router, registry)?;
     registry.register(ROUTER, router);
--- a/crates/kumquatnotch-query/src/options.rs
+++ b/crates/kumquatnotch-query/src/options.rs
@@ -1,40 +1,40 @@
-//! The options of the root's services, with their defaults.
+//! Options of the root's services, with their defaults.
 
 use std::time::Duration;
 
-/// The options of all services of this crate.
+/// Options of all services of this crate.
 #[derive(Clone, Debug, Default)]
 pub struct QueryOptions {
-    /// Of the front.
+    /// Options of the front.
     pub front: FrontOptions,
-    /// Of the tickets.
+    /// Options of the ticket service.
     pub tickets: TicketOptions,
-    /// Of the way to holders.
+    /// Options of the router.
     pub router: RouterOptions,
 }
 
 /// Options of [`crate::Router`].
 #[derive(Clone, Debug)]
 pub struct RouterOptions {
-    /// About how many shards make a group; the count of groups is a power of two.
+    /// Approximate number of shards per group; the number of groups is a power of two.
     pub group_shards: usize,
-    /// How many nodes hold a group.
+    /// Number of nodes that hold a group.
     pub holders: usize,
-    /// How many holders a group's request is sent to at most.
+    /// Maximum number of holders to which a group's request is sent.
     pub max_attempts: usize,
-    /// The hedge delay until enough answers of holders were seen.
+    /// Hedge delay until enough answers of holders have been observed.
     pub hedge_initial: Duration,
-    /// The least hedge delay.
+    /// Minimum hedge delay.
     pub hedge_min: Duration,
-    /// The share of requests that may be sent to a second holder because the first is late.
+    /// Share of requests that may be hedged because their first holder is late.
     ///
-    /// A copy of a request runs all of its shards again, on top of the copies that
-    /// holders make of late calls, so the two shares together are the extra load.
-    /// Holders already rescue calls from slow replicas; this is for slow holders.
+    /// A hedged request runs all of its shards again, in addition to the hedged calls
+    /// that holders send to targets, so the extra load is the sum of both shares.
+    /// Holders already handle slow replicas; this hedge is for slow holders.
     pub hedge_share: f64,
-    /// A peer with requests open and no reply for this long is asked last.
+    /// Time without a reply after which a peer with requests in flight is tried last.
     pub silence: Duration,
-    /// How often a silent peer is asked first again.
+    /// Interval at which a silent peer is tried first again.
     pub probe_interval: Duration,
 }
 
@@ -56,38 +56,41 @@
 /// Options of [`crate::FrontService`].
 #[derive(Clone, Debug)]
 pub struct FrontOptions {
-    /// The largest query taken, in bytes of JSON.
+    /// Maximum size of a query, in bytes of JSON.
     pub body_limit: usize,
-    /// The most hits that a caller may ask for.
+    /// Maximum number of hits that a caller may request.
     pub max_hits: u32,
-    /// The shortest deadline a caller may ask for.
+    /// Shortest deadline that a caller may request.
     pub min_deadline: Duration,
-    /// The time kept back for merging and for the way of the last answer.
+    /// Time reserved for merging and for the transfer of the last answer.
     pub margin: Duration,
-    /// How often a query is planned again because its version went away.
+    /// Maximum number of plans of a query, which is planned again if its version is
+    /// dropped.
     pub max_plans: usize,
-    /// Whether a tenant's stop rule ends its queries; if not, every shard is waited for.
+    /// Whether a tenant's stop rule ends its queries; otherwise they wait for every
+    /// shard.
     pub stop_early: bool,
-    /// Whether shards that were late for the stop rule are asked once more if
-    /// the coverage is not enough.
+    /// Whether shards that were late for the stop rule are retried once if the coverage
+    /// is insufficient.
     pub follow_up: bool,
-    /// Whether a request unknown here goes to one shard first.
+    /// Whether a request that has not succeeded recently goes to one shard first.
     pub canary: bool,
-    /// How long a request that succeeded needs no canary.
+    /// Time during which a request that succeeded needs no canary.
     pub canary_ttl: Duration,
-    /// How many requests that succeeded are remembered.
+    /// Maximum number of successful requests that are remembered.
     pub canary_entries: usize,
-    /// How long the canary is waited for until answers of groups were seen.
+    /// Time to wait for a canary until enough answers of groups have been observed.
     pub canary_initial: Duration,
     /// Whether requests are refused early under overload.
     pub admission: bool,
-    /// How long a caller may keep the entry advice.
+    /// Time during which a caller may cache the entry advice.
     pub advice_valid: Duration,
-    /// Whether advice spreads callers; if not, the nearest node always comes first.
+    /// Whether the advice spreads callers over nodes; otherwise the nearest node always
+    /// comes first.
     pub advice_spread: bool,
-    /// The age at which what is known of versions is asked for again.
+    /// Age at which reports of versions are refreshed.
     pub version_age: Duration,
-    /// How long holders have to tell the versions of their shards.
+    /// Timeout for requests for the versions of shards.
     pub version_timeout: Duration,
 }
 
@@ -117,23 +120,23 @@
 /// Options of [`crate::TicketService`].
 #[derive(Clone, Debug)]
 pub struct TicketOptions {
-    /// How long a request may be sent under a ticket and its outcome asked for.
+    /// Time during which a request may be sent under a ticket and its outcome queried.
     pub valid: Duration,
-    /// The same for tickets that a leaving node issues.
+    /// The same for tickets issued by a leaving node.
     pub leaving_valid: Duration,
-    /// How many outcomes are kept at most.
+    /// Maximum number of stored outcomes.
     pub max_outcomes: usize,
-    /// How many runs go on at once at most.
+    /// Maximum number of concurrent runs.
     pub max_runs: usize,
-    /// How many times a request that certainly did not run is sent on.
+    /// Maximum number of attempts for a request that is known not to have run.
     pub max_attempts: usize,
-    /// How long after the deadline the reply of a request that left is waited for.
+    /// Time after the deadline during which the reply to a sent request is awaited.
     pub grace: Duration,
-    /// The time kept back for the way of a reply.
+    /// Time reserved for the transfer of a reply.
     pub margin: Duration,
-    /// How long this node must have run before an unknown issuer is taken as gone.
+    /// Minimum uptime of this node before an unknown issuer counts as gone.
     pub settle_time: Duration,
-    /// The largest request taken, in bytes of JSON.
+    /// Maximum size of a request, in bytes of JSON.
     pub body_limit: usize,
 }
 
--- a/crates/kumquatnotch-query/src/outcomes.rs
+++ b/crates/kumquatnotch-query/src/outcomes.rs
@@ -1,9 +1,9 @@
-//! The outcomes of exclusive requests, kept by the issuer of their tickets.
+//! Outcomes of exclusive requests, stored by the issuer of their tickets.
 //!
-//! An entry is made before the request leaves and stays at least as long as its
-//! ticket could run anything, so that no ticket runs twice. A refusal that says
-//! "not run" is kept like any other outcome: its caller may go on with a new
-//! ticket, and a late copy of the request must then find it refused.
+//! An entry is created before the request is sent and kept at least as long as its
+//! ticket is valid for a run, so that no ticket runs twice. A refusal that says "not
+//! run" is stored like any other outcome: the caller may continue with a new ticket,
+//! and a late copy of the request must then find the refusal.
 
 use std::{
     cell::RefCell,
@@ -14,22 +14,22 @@
 use futures_channel::oneshot;
 use kumquatnotch_core::{Error, collections::HashMap, ticket::Outcome};
 
-/// How many copies of a request wait for the one run at most.
+/// Maximum number of copies of a request that wait for the same run.
 const MAX_WAITERS: usize = 64;
 
-/// What a ticket's number stands for.
+/// Result of looking up the serial number of a ticket.
 pub(crate) enum Lookup {
-    /// Nothing yet.
+    /// There is no entry.
     Absent,
-    /// Another request than the one that asks.
+    /// The entry belongs to another request.
     OtherRequest,
-    /// It has ended.
+    /// The request has ended.
     Ended(Outcome),
-    /// It runs; this receives its outcome.
+    /// The request is running; the receiver gets its outcome.
     Running(oneshot::Receiver<Outcome>),
 }
 
-/// The outcomes by the numbers of tickets.
+/// Outcomes by the serial numbers of tickets.
 pub(crate) struct Outcomes {
     state: RefCell<State>,
     ttl: Duration,
@@ -39,13 +39,13 @@
 #[derive(Default)]
 struct State {
     entries: HashMap<u64, Entry>,
-    /// The numbers in the order in which they are forgotten.
+    /// Serial numbers in order of expiry.
     order: VecDeque<(Instant, u64)>,
     running: usize,
 }
 
 struct Entry {
-    /// By which the request is recognised.
+    /// Hash that identifies the request.
     request: u64,
     stage: EntryStage,
 }
@@ -56,12 +56,13 @@
 }
 
 impl Outcomes {
-    /// Keeps each outcome for `keep`, and `max_entries` of them.
+    /// Creates a store that keeps each outcome for `ttl`, and at most `max_entries` of
+    /// them.
     pub fn new(ttl: Duration, max_entries: usize) -> Outcomes {
         Outcomes { state: RefCell::default(), ttl, max_entries }
     }
 
-    /// What `serial` stands for, asked by `request`.
+    /// Looks up `serial` for the request with the hash `request`.
     pub fn find(&self, now: Instant, serial: u64, request: u64) -> Lookup {
         let mut state = self.state.borrow_mut();
         state.remove_expired(now);
@@ -76,7 +77,8 @@
             EntryStage::Running(waiters) => {
                 waiters.retain(|waiter| !waiter.is_canceled());
                 let (sender, receiver) = oneshot::channel();
-                // One more than the bound gets a closed channel: still running.
+                // Beyond the limit the receiver is closed at once, which the caller
+                // reports as still running.
                 if waiters.len() < MAX_WAITERS {
                     waiters.push(sender);
                 }
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Makes the entry of a request that is about to run; false if there is no room.
+    /// Creates the entry of a request that is about to run; false if the store is full.
     pub fn begin(&self, now: Instant, serial: u64, request: u64) -> bool {
         let mut state = self.state.borrow_mut();
         state.remove_expired(now);
@@ -98,7 +100,7 @@
         true
     }
 
-    /// Ends a request that runs; a second end changes nothing.
+    /// Stores the outcome of a running request; has no effect if it has already ended.
     pub fn end(&self, serial: u64, outcome: Outcome) {
         let waiters = {
             let mut state = self.state.borrow_mut();
@@ -116,12 +118,12 @@
             waiters
         };
         for waiter in waiters {
-            // A waiter that has gone away asks again or not; the outcome is kept.
+            // A waiter that has disconnected may retry; the outcome is stored.
             let _ = waiter.send(outcome.clone());
         }
     }
 
-    /// How many requests run, and how many outcomes are kept.
+    /// Returns the numbers of running requests and of stored outcomes.
     pub fn counts(&self) -> (usize, usize) {
         let state = self.state.borrow();
         (state.running, state.entries.len())
@@ -129,7 +131,7 @@
 }
 
 impl State {
-    /// Drops entries whose time is over; one that still runs is kept.
+    /// Removes expired entries, except those that are still running.
     fn remove_expired(&mut self, now: Instant) {
         while let Some((at, serial)) = self.order.front().copied() {
             if at > now {
@@ -146,11 +148,11 @@
     }
 }
 
-/// When an entry that still runs is looked at again.
+/// Time after which the expiry of a running entry is checked again.
 const RUNNING_RECHECK: Duration = Duration::from_secs(10);
 
-/// Ends a run as "outcome unknown" if it is dropped before its end, so that
-/// nobody waits for a run that has been lost to a fault.
+/// Ends a run as "outcome unknown" if it is dropped before its end, so that no caller
+/// waits for a run that was lost to a fault.
 pub(crate) struct RunGuard<'a> {
     pub outcomes: &'a Outcomes,
     pub serial: u64,
--- a/crates/kumquatnotch-query/src/plan.rs
+++ b/crates/kumquatnotch-query/src/plan.rs
@@ -1,9 +1,10 @@
-//! The choice of one snapshot for a whole answer.
+//! Selection of a single snapshot for a whole answer.
 //!
-//! The layout of a version - the collections, how many shards each has, and
-//! which were seen - decides how many shards an answer must be asked for. So a
-//! shard that nobody has seen at that version still counts, and is listed as
-//! missing, and a repartitioned collection is neither counted twice nor thinned.
+//! The layout of a version consists of its collections, their numbers of shards, and
+//! the shards that were reported. It determines how many shards an answer must include.
+//! A shard that no holder has reported at that version therefore still counts and is
+//! listed as missing, and a repartitioned collection is neither counted twice nor
+//! covered in part.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,33 +17,33 @@
 
 use crate::view::VersionView;
 
-/// What an answer is taken from and which shards are asked.
+/// Snapshot of an answer and the shards that belong to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// The snapshot.
+    /// Version of the index.
     pub version: IndexVersion,
-    /// The shards that can be asked.
+    /// Shards to which the request can be sent.
     pub shards: Vec<PlannedShard>,
-    /// The shards that belong to the snapshot but can't be asked.
+    /// Shards that belong to the snapshot but cannot be reached.
     pub absent: Vec<Missing>,
 }
 
-/// A shard that can be asked.
+/// Shard to which a request can be sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlannedShard {
-    /// The shard, by its name at the snapshot.
+    /// Name of the shard at the snapshot.
     pub shard: ShardName,
-    /// The declared shard whose replicas hold it, which decides its group.
+    /// Declared shard whose replicas hold it; determines its group.
     pub declared: ShardName,
 }
 
 impl Plan {
-    /// How many shards the answer must be asked for.
+    /// Returns the number of shards that the answer must account for.
     pub fn asked(&self) -> u32 {
         (self.shards.len() + self.absent.len()) as u32
     }
 
-    /// This plan with what is in `gone` listed as missing.
+    /// Returns this plan with the shards in `gone` listed as missing.
     pub(crate) fn without(&self, gone: &GoneShards) -> Plan {
         let error = Error::VersionGone { version: self.version.0 };
         let lost = |e: &&PlannedShard| gone.contains(&(self.version, e.shard.clone()));
@@ -53,25 +54,25 @@
         Plan { version: self.version, shards: left.into_iter().cloned().collect(), absent }
     }
 
-    /// Whether this plan reaches a larger share of its shards than `other`.
+    /// Returns whether this plan covers a larger share of its shards than `other`.
     pub fn is_better(&self, other: &Plan) -> bool {
         let (own, others) = (self.shards.len() as u64, other.shards.len() as u64);
         own * u64::from(other.asked()) > others * u64::from(self.asked())
     }
 }
 
-/// Shards that turned out not to have a version while a query ran.
+/// Shards that were found to lack a version while a query was running.
 pub(crate) type GoneShards = BTreeSet<(IndexVersion, ShardName)>;
 
 /// Plans an answer over the declared `shards`.
 ///
-/// The newest version that every shard has is taken, else the one with the best
-/// coverage, the newest first.
+/// Selects the newest version that every shard has. Without one, it selects the version
+/// with the best coverage, and the newest among equals.
 pub fn plan(view: &VersionView, shards: &[ShardName]) -> Result<Plan> {
     plan_without(view, shards, &GoneShards::new())
 }
 
-/// As [`plan`], not counting on what is in `gone`.
+/// Like [`plan`], but treats the shards in `gone` as unavailable.
 pub(crate) fn plan_without(
     view: &VersionView,
     shards: &[ShardName],
@@ -88,7 +89,7 @@
     best.filter(|plan| !plan.shards.is_empty()).ok_or(Error::NoSnapshot)
 }
 
-/// The layouts of all versions that were seen.
+/// Layouts of all reported versions.
 #[derive(Default)]
 struct Layouts {
     versions: BTreeSet<IndexVersion>,
@@ -96,23 +97,24 @@
     unknown: Vec<UnknownShard>,
 }
 
-/// One collection at one version.
+/// Layout of one collection at one version.
 #[derive(Clone, Default)]
 struct Layout {
     total: u32,
-    /// The shards that were seen, with the declared shard that holds each.
+    /// Reported shards, each with the declared shard whose replicas hold it.
     shards: BTreeMap<ShardName, ShardName>,
-    /// The shards that are there by their reports but not in truth.
+    /// Shards that were reported but found to lack this version.
     gone: BTreeSet<ShardName>,
 }
 
 impl Layout {
-    /// Whether the shards that were seen stand under their declared names.
+    /// Returns whether all reported shards have their declared names.
     fn is_declared(&self) -> bool {
         self.shards.iter().all(|(shard, declared)| shard == declared)
     }
 
-    /// The shard is held by replicas declared for `declared`; its own come first.
+    /// Adds a shard held by the replicas of `declared`; a shard's own replicas take
+    /// precedence.
     fn add(&mut self, shard: &ShardName, declared: &ShardName) {
         let known = self.shards.entry(shard.clone()).or_insert_with(|| declared.clone());
         if shard == declared {
@@ -121,10 +123,10 @@
     }
 }
 
-/// A declared shard whose replicas hold nothing, as far as is known.
+/// Declared shard whose replicas are not known to hold any version.
 struct UnknownShard {
     shard: ShardName,
-    /// The collections it was seen in before.
+    /// Collections in which it was previously reported.
     collections: BTreeSet<String>,
 }
 
@@ -158,10 +160,11 @@
         layouts
     }
 
-    /// Drops declared shards that replicas of another one hold by now.
+    /// Removes declared shards that are now held by the replicas of another shard.
     ///
-    /// They are in a layout already. Listed as unknown as well, such a shard would
-    /// take the place of one that nobody has seen, and the plan would be thin.
+    /// They already belong to a layout. If such a shard were also listed as unknown, it
+    /// would take the slot of one that was never reported, and the plan would omit a
+    /// shard.
     fn drop_moved(&mut self) {
         let unknown = std::mem::take(&mut self.unknown);
         let layouts = || self.collections.values().flat_map(BTreeMap::values);
@@ -188,8 +191,9 @@
                     declared: declared.clone(),
                 }));
             }
-            // What is left of the collection can't be asked. The slots get the
-            // names of shards that are known to belong to it, as far as they go.
+            // The remaining shards of the collection cannot be reached. Their slots get
+            // the names of shards known to belong to the collection, as far as there
+            // are any.
             let mut lost: BTreeSet<&ShardName> = layout.gone.iter().collect();
             for (_, other) in versions.iter().filter(|(_, other)| other.total == layout.total) {
                 lost.extend(other.shards.keys());
@@ -206,7 +210,7 @@
         names.add_remaining(&mut plan.absent);
         plan.shards.sort();
         plan.shards.dedup_by(|a, b| a.shard == b.shard);
-        // Collections that share the name of a shard share the shard.
+        // Collections with a shard of the same name share that shard.
         let mut names: HashSet<ShardName> =
             plan.shards.iter().map(|planned| planned.shard.clone()).collect();
         plan.absent.retain(|missing| names.insert(missing.shard.clone()));
@@ -214,19 +218,20 @@
     }
 }
 
-/// The layout at `version`, else the nearest one before, else after it.
+/// Returns the layout at `version`, or else the nearest one before it, or else after
+/// it.
 fn nearest(versions: &BTreeMap<IndexVersion, Layout>, version: IndexVersion) -> (&Layout, bool) {
     if let Some(layout) = versions.get(&version) {
         return (layout, true);
     }
     let before = versions.range(..version).next_back();
     let nearest = before.or_else(|| versions.range(version..).next());
-    // A collection is in the map because one version of it was seen.
+    // A collection is only inserted together with a version.
     let (_, layout) = nearest.expect("a collection has a version");
     (layout, false)
 }
 
-/// Names for shards that belong to a snapshot but were not seen at it.
+/// Names for shards that belong to a snapshot but were not reported at it.
 struct MissingNames<'a> {
     unknown: Vec<&'a UnknownShard>,
     known: BTreeSet<String>,
@@ -237,11 +242,11 @@
         MissingNames { unknown: unknown.iter().collect(), known: BTreeSet::new() }
     }
 
-    /// Lists `unassigned` shards of `collection` as missing, under the names of declared
-    /// shards if the layout is `named` by them.
+    /// Lists `unassigned` shards of `collection` as missing, under the names of
+    /// declared shards if the layout is `named` by them.
     ///
-    /// After a repartitioning it is not, and a declared name would be that of a
-    /// shard which is not part of the snapshot.
+    /// After a repartitioning the layout has other names, and a declared name would
+    /// refer to a shard that is not part of the snapshot.
     fn fill(
         &mut self,
         collection: &str,
@@ -250,8 +255,8 @@
     ) {
         self.known.insert(collection.to_owned());
         for number in 0..unassigned {
-            // First a shard that was seen in this collection, then one that was
-            // never seen anywhere and may belong to it.
+            // Prefer a shard that was reported in this collection, then one that was
+            // never reported and may belong to it.
             let seen = self.unknown.iter().position(|u| u.collections.contains(collection));
             let place = seen.or_else(|| self.unknown.iter().position(|u| u.collections.is_empty()));
             let unknown = place.map(|place| self.unknown.remove(place).shard.clone());
@@ -262,10 +267,10 @@
         }
     }
 
-    /// Lists what is left and not accounted for by a collection that is known.
+    /// Lists the remaining shards that no known collection accounts for.
     ///
-    /// A shard never heard of may belong to a collection that is down as a
-    /// whole: leaving it out would make a thin answer look whole.
+    /// A shard that was never reported may belong to a collection that is entirely
+    /// down. If it were omitted, an incomplete answer would appear complete.
     fn add_remaining(self, absent: &mut Vec<Missing>) {
         for unknown in self.unknown {
             if unknown.collections.is_disjoint(&self.known) {
--- a/crates/kumquatnotch-query/src/planner.rs
+++ b/crates/kumquatnotch-query/src/planner.rs
@@ -1,7 +1,7 @@
-//! Plans by selector, and the asking of holders for versions.
+//! Plans per selector, and requests for the versions that holders have.
 //!
-//! A plan is kept until the document or what is known of versions changes, so
-//! that planning costs nothing while neither does.
+//! A plan is cached until the document or the known versions change, so that repeated
+//! queries need no planning.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,12 +28,12 @@
     view::VersionView,
 };
 
-/// How often holders are asked again while no version at all is known.
+/// Interval between requests for versions while none is known.
 const VERSION_RETRY: Duration = Duration::from_millis(50);
-/// For how long after its last query the versions of a selector are kept fresh.
+/// Time after its last query during which the versions of a selector are refreshed.
 const SELECTOR_IDLE: Duration = Duration::from_secs(60);
 
-/// Plans queries over what is known of versions.
+/// Plans queries from the known versions.
 pub(crate) struct Planner {
     clock: Rc<dyn Clock>,
     router: Rc<Router>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Plans a query of `selector`, asking holders for versions if none is known.
+    /// Plans a query of a selector; requests versions from holders if none is known.
     pub async fn plan(
         &self,
         document: &Document,
@@ -72,8 +72,9 @@
         if shards.is_empty() {
             return Err(Error::NoTarget);
         }
-        // Right after its start a node knows nothing. Answering "no version" at
-        // once would fail the first callers, so it asks and waits a little.
+        // A node knows no versions right after its start. Failing at once with "no
+        // version" would reject its first callers, so it requests them and waits for a
+        // short time.
         while self.view.has_no_versions(&shards) {
             self.refresh(document, &shards, deadline).await;
             if !self.view.has_no_versions(&shards) {
@@ -102,7 +103,7 @@
         Ok(made)
     }
 
-    /// Plans again without what turned out to be gone; `None` if that is no better.
+    /// Plans again without the shards in `gone`; `None` if the new plan is not better.
     pub fn replan(
         &self,
         document: &Document,
@@ -116,7 +117,7 @@
         (new.version != old.version && new.is_better(&rest)).then(|| Rc::new(new))
     }
 
-    /// The shards that the targets of a selector are declared for, sorted.
+    /// Returns the shards that the targets of a selector are declared for, sorted.
     fn shards(
         &self,
         document: &Document,
@@ -140,7 +141,8 @@
         cached.shards.clone()
     }
 
-    /// Asks for what was not heard of for `age`, of one selector.
+    /// Requests the versions of a selector's shards that have no report newer than
+    /// `age`.
     pub async fn refresh_stale(
         &self,
         document: &Document,
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Asks holders for the versions of `shards`.
+    /// Requests the versions of `shards` from their holders.
     pub async fn refresh(&self, document: &Document, shards: &[ShardName], deadline: Instant) {
         let now = self.clock.now();
         self.view.mark_requested(now, shards);
@@ -191,7 +193,8 @@
         None
     }
 
-    /// Asks for what was not heard of for `age`, of the selectors in use.
+    /// Requests the versions that have no report newer than `age`, for all selectors in
+    /// use.
     pub async fn keep_fresh(&self, document: &Document, age: Duration) {
         let now = self.clock.now();
         let stale: Vec<ShardName> = {
--- a/crates/kumquatnotch-query/src/refusal.rs
+++ b/crates/kumquatnotch-query/src/refusal.rs
@@ -1,16 +1,16 @@
-//! The error of a search that got nothing.
+//! Error of a search without any results.
 
 use std::time::Duration;
 
 use kumquatnotch_core::{Error, ids::ShardName};
 
-/// The time to come back if holders refused and did not say when.
+/// Retry time if holders refused without giving one.
 const RETRY: Duration = Duration::from_millis(100);
 
-/// The error of a search that no shard answered.
+/// Returns the error of a search that no shard answered.
 ///
-/// If each shard was refused for want of capacity, the caller is told when to
-/// come back; a lost search is never an empty success.
+/// If every shard refused for lack of capacity, the error contains a retry time. A
+/// failed search is never reported as an empty success.
 pub(crate) fn nothing_covered(faults: &[(ShardName, Error)]) -> Error {
     if faults.is_empty() || !faults.iter().all(|(_, error)| is_starved(error)) {
         return Error::NothingCovered;
@@ -19,7 +19,7 @@
     Error::overloaded(retry.unwrap_or(RETRY))
 }
 
-/// Whether a shard did not run the request for want of capacity.
+/// Returns whether a shard did not run the request for lack of capacity.
 fn is_starved(error: &Error) -> bool {
     matches!(error, Error::Overloaded { .. } | Error::Shed { .. } | Error::ExpiredInQueue)
 }
--- a/crates/kumquatnotch-query/src/router.rs
+++ b/crates/kumquatnotch-query/src/router.rs
@@ -1,9 +1,9 @@
-//! The way from a root to the holders of groups.
+//! Routing of requests from a root node to the holders of groups.
 //!
-//! A group's request goes to its first holder. The next one in rank gets it if
-//! the first is dead, refuses it, or is late; the first answer wins and the
-//! others are dropped, which cancels them. Only searches are sent twice: an
-//! exclusive call goes through [`Router::send`], once.
+//! A group's request goes to its first holder. The next holder in rank is tried if the
+//! first is dead, refuses the request or is late. The first answer wins, and the other
+//! attempts are cancelled by dropping them. Only searches are sent to several holders
+//! this way; an exclusive request goes through [`Router::send`], which sends it once.
 
 use std::{
     cell::Cell,
@@ -38,22 +38,22 @@
     meters,
 };
 
-/// The name under which the [`Router`] is registered, an `Rc<Router>`.
+/// Name under which the [`Router`] is registered, as an `Rc<Router>`.
 pub const ROUTER: &str = "router";
 
-/// The quantile of answers after which a holder counts as late.
+/// Quantile of the answer latency after which a holder counts as late.
 const HEDGE_QUANTILE: f64 = 0.99;
-/// The quantile of answers up to which a canary is waited for.
+/// Quantile of the answer latency for which a canary is awaited.
 const CANARY_QUANTILE: f64 = 0.95;
-/// How many nodes are kept in rank after the holders of a group.
+/// Number of nodes ranked after the holders of a group.
 ///
-/// They take over from holders that are dead or silent, until the membership
-/// has found it; a data centre of a region that is lost at once takes a few.
+/// They take over from dead or silent holders until the membership has detected the
+/// failure. If a whole data centre of a region is lost at once, several are needed.
 const SPARE_HOLDERS: usize = 8;
-/// The most hedges that can be saved up.
+/// Maximum number of hedge tokens that can accumulate.
 const MAX_HEDGE_TOKENS: f64 = 10.0;
 
-/// The way to holders.
+/// Sends requests to the holders of groups.
 pub struct Router {
     clock: Rc<dyn Clock>,
     random: Random,
@@ -68,19 +68,19 @@
     pruned_generation: Cell<u64>,
 }
 
-/// When the parts of a query end.
+/// Deadlines of the stages of a query.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deadlines {
-    /// When holders should answer with what they have.
+    /// When holders return a partial answer.
     pub partial: Instant,
-    /// When holders should give up.
+    /// When holders give up.
     pub holder: Instant,
     /// When the root gives up.
     pub root: Instant,
 }
 
 impl Router {
-    /// A router over the services in `registry`.
+    /// Creates a router that uses the services in `registry`.
     pub fn try_new(options: RouterOptions, registry: &Registry) -> Result<Rc<Router>> {
         Ok(Rc::new(Router {
             clock: registry.find(services::CLOCK)?,
@@ -97,12 +97,12 @@
         }))
     }
 
-    /// The group of `shard` under `document`.
+    /// Returns the group of `shard` under `document`.
     pub(crate) fn group(&self, document: &Document, shard: &ShardName) -> GroupId {
         self.ranks.table(document, self.options.group_shards).group(shard)
     }
 
-    /// The holders of `group` in the order in which they should be asked.
+    /// Returns the holders of `group` in the order in which they are tried.
     pub(crate) fn holders(&self, group: GroupId) -> Vec<NodeRecord> {
         self.prune();
         let length = self.options.holders + SPARE_HOLDERS;
@@ -112,8 +112,8 @@
             let first = self.random.below(spread);
             holders[..spread].rotate_left(first);
         }
-        // A holder that has gone silent comes last, so that queries do not wait
-        // out a hedge delay each until membership has found it.
+        // Silent holders come last. Otherwise each query would wait for a hedge delay
+        // until the membership has detected the failure.
         let now = self.clock.now();
         let local = self.members.local().name;
         holders.sort_by_cached_key(|node| node.name != local && self.is_silent(&node.name, now));
@@ -124,7 +124,7 @@
         self.health.is_silent(name, now, self.options.silence, self.options.probe_interval)
     }
 
-    /// Forgets peers that are gone, once for each change of the members.
+    /// Removes peers that are no longer members, once per change of the membership.
     fn prune(&self) {
         let generation = self.members.generation();
         if self.pruned_generation.replace(generation) == generation {
@@ -133,12 +133,13 @@
         self.health.retain(|name| self.members.find(name).is_some());
     }
 
-    /// How long requests wait at a node, as far as is known.
+    /// Returns the queueing delay at a node, if known.
     pub(crate) fn wait_at(&self, name: &NodeName) -> Option<Duration> {
         self.health.wait(name)
     }
 
-    /// How long a canary is waited for; `start` until answers were seen.
+    /// Returns how long to wait for a canary; `start` until enough answers have been
+    /// observed.
     pub(crate) fn canary_delay(&self, class: Class, start: Duration) -> Duration {
         self.latencies[class as usize].quantile(CANARY_QUANTILE).unwrap_or(start)
     }
@@ -148,7 +149,7 @@
         learned.unwrap_or(self.options.hedge_initial).max(self.options.hedge_min)
     }
 
-    /// Sends `message` to `node`, be it this one, and waits for its reply.
+    /// Sends `message` to `node`, which may be the local one, and waits for its reply.
     pub(crate) async fn send(
         &self,
         node: &NodeRecord,
@@ -176,8 +177,8 @@
         let _open = InFlight::new(self, &node.name);
         let sent = self.clock.now();
         let sending = self.peers.send(node.peer, message, deadline);
-        // The way to peers should keep the deadline itself. If it does not, the
-        // query must still end.
+        // The transport should enforce the deadline. If it does not, the query must
+        // still end.
         let reply = timeout_at(&*self.clock, deadline, sending).await.and_then(|reply| reply);
         match &reply {
             Ok(_) => self.health.reply_received(&node.name),
@@ -186,7 +187,8 @@
         reply
     }
 
-    /// Tells membership of a peer that did not answer, and of no other failure.
+    /// Reports a peer that did not answer to the membership; other failures are not
+    /// reported.
     fn note_failure(&self, name: &NodeName, error: &Error, sent: Instant) {
         let waited = self.clock.now().saturating_duration_since(sent);
         match error {
@@ -197,17 +199,17 @@
                 self.health.mark_silent(name, self.clock.now(), self.options.silence);
                 self.members.report_silent(name);
             }
-            // A deadline of few milliseconds that passes is no evidence.
+            // A timeout after a few milliseconds is no evidence of a failed peer.
             Error::TimedOut if waited >= self.options.silence => self.members.report_silent(name),
             Error::TimedOut => {}
             _ => self.health.reply_received(name),
         }
     }
 
-    /// Asks the holders of `group`; the first answer wins.
+    /// Sends a request to the holders of `group` and returns the first answer.
     ///
-    /// Without `hedged` a late holder is waited for as long as it is not silent: a
-    /// request that may crash targets must not run through two holders at once.
+    /// Without `hedged`, a late holder is awaited unless it is silent: a request that
+    /// may crash targets must not run through two holders at once.
     pub(crate) async fn query_group(
         &self,
         group: GroupId,
@@ -230,7 +232,8 @@
             match select(open.next(), timer).await {
                 Either::Left((Some(Ok(answer)), _)) => return Ok(answer),
                 Either::Left((Some(Err(error)), _)) => {
-                    // A dead holder, or one that can't serve: the next one, at once.
+                    // The holder is dead or cannot serve the request: try the next one
+                    // at once.
                     let next = if may_try_next_holder(&error) { waiting.next() } else { None };
                     match next {
                         Some(next) => open.push(self.attempt(next, request, deadlines, false)),
@@ -256,10 +259,11 @@
         }
     }
 
-    /// Whether a peer that has requests open has said nothing for too long.
+    /// Returns whether a peer with requests in flight has been silent for too long.
     ///
-    /// Then the next holder is asked whatever the budget: a frozen holder of many
-    /// groups uses it up at once, and its groups would wait for their deadline.
+    /// The next holder is then tried regardless of the hedge budget. A frozen holder of
+    /// many groups exhausts the budget at once, and its groups would wait until their
+    /// deadline.
     fn has_gone_silent(&self, name: &NodeName) -> bool {
         self.health.silence(name, self.clock.now()) >= self.options.silence
     }
@@ -298,8 +302,8 @@
         let PeerReply::Group(answer) = reply else {
             return Err(Error::protocol("not an answer for a group"));
         };
-        // An answer that names other shards than asked for belongs to another
-        // request. It must not reach this caller: the holder counts as failed.
+        // An answer for shards that were not requested belongs to another request. It
+        // must not reach this caller, so the attempt counts as failed.
         if !answer.covered.iter().all(|shard| shards.contains(shard)) {
             return Err(Error::protocol("an answer for other shards"));
         }
@@ -309,7 +313,7 @@
         Ok(*answer)
     }
 
-    /// The state of the way to holders as text for the status page.
+    /// Returns the state of the router as text for the status page.
     pub fn status_text(&self) -> String {
         let delays =
             Class::ALL.map(|class| format!("{} {:?}", class.as_str(), self.hedge_delay(class)));
@@ -317,11 +321,11 @@
     }
 }
 
-/// Whether `error` is the holder's own and another one may do better.
+/// Returns whether another holder may succeed after `error`.
 ///
-/// A refusal for want of capacity is not: the next holder has slots of its own
-/// for the same replicas, and would overload them. Nor is the refusal of a
-/// request that crashes targets: the next holder may not have heard of it yet.
+/// This is not the case for a refusal for lack of capacity: the next holder has its own
+/// slots for the same replicas and would overload them. Nor is it for the refusal of a
+/// request that crashes targets: the next holder may not know of the crashes yet.
 fn may_try_next_holder(error: &Error) -> bool {
     !matches!(
         error,
@@ -333,7 +337,7 @@
     )
 }
 
-/// Counts a request to a peer as open until it is dropped.
+/// Counts a request to a peer as in flight until it is dropped.
 struct InFlight<'a> {
     router: &'a Router,
     name: &'a NodeName,
--- a/crates/kumquatnotch-query/src/runner.rs
+++ b/crates/kumquatnotch-query/src/runner.rs
@@ -1,4 +1,4 @@
-//! The run of one exclusive request, from its shard to a certain or unknown outcome.
+//! Execution of an exclusive request, from the choice of its shard to its outcome.
 
 use std::{
     rc::Rc,
@@ -19,7 +19,7 @@
 
 use crate::{TicketOptions, router::Router};
 
-/// The pause before a request that was refused is sent on again.
+/// Delay before a refused request is sent again.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 /// Runs exclusive requests through the holders of their shards.
@@ -43,11 +43,11 @@
         Runner { clock, random, router, max_attempts, grace, margin }
     }
 
-    /// Runs `request` once.
+    /// Runs `request` at most once.
     ///
-    /// It is sent on again only after a reply that is certain: nothing ran. A
-    /// connection that breaks after sending leaves the outcome unknown, and the
-    /// request is not sent again.
+    /// It is sent again only after a reply that guarantees that nothing ran. If a
+    /// connection breaks after sending, the outcome is unknown and the request is not
+    /// sent again.
     pub async fn run(
         &self,
         document: &Document,
@@ -61,7 +61,7 @@
         let mut last = Error::ExpiredInQueue;
         for attempt in 0..self.max_attempts {
             if self.clock.now() + MIN_CALL_TIME > deadline {
-                // It waited here and never left.
+                // The request waited here and was never sent.
                 return Outcome::Failed(Error::ExpiredInQueue);
             }
             let holders = self.router.holders(group);
@@ -72,7 +72,7 @@
             match self.relay(holder, document, request, &shard, deadline).await {
                 Ok(reply) => return Outcome::Done(reply.result),
                 Err(error) if error.is_not_run() => last = error,
-                // It ran and failed: that is known for certain.
+                // The request certainly ran and failed.
                 Err(error @ Error::TargetFailed { .. }) => return Outcome::Failed(error),
                 Err(_) => return Outcome::Failed(Error::OutcomeUnknown),
             }
@@ -83,7 +83,7 @@
         Outcome::Failed(caller_error(last))
     }
 
-    /// Waits until the request may be sent on again; false if there is no time for it.
+    /// Waits until the request may be sent again; false if not enough time is left.
     async fn pause(&self, error: &Error, deadline: Instant) -> bool {
         let pause = error.retry_after().unwrap_or(RETRY_PAUSE);
         if self.clock.now() + pause + MIN_CALL_TIME > deadline {
@@ -116,8 +116,8 @@
         let deadline_ms = (left - self.margin.min(left / 10)).as_millis() as u64;
         let relay = RelayCall { selector: request.selector.clone(), call, deadline_ms };
         let message = PeerMessage::Relay(Box::new(relay));
-        // The reply is waited for beyond the deadline: the caller can still ask
-        // for the outcome, and a late reply is better than none.
+        // The reply is awaited beyond the deadline: the caller can still query the
+        // outcome, and a late reply is better than none.
         match self.router.send(holder, &message, deadline + self.grace).await? {
             PeerReply::Relay(reply) => Ok(*reply),
             _ => Err(Error::protocol("not a reply of a target")),
@@ -125,7 +125,8 @@
     }
 }
 
-/// The shard of a request: the first in rank for its key, whichever node asks.
+/// Returns the shard of a request: the first in rank for its key, independent of the
+/// node.
 fn shard_of(document: &Document, request: &ExclusiveRequest) -> Option<ShardName> {
     let spec = document.rules.selectors.get(&request.selector)?;
     let mut shards: Vec<&str> =
@@ -135,13 +136,13 @@
     rendezvous(request.key.as_bytes(), &shards).first().map(|shard| ShardName::from(*shard))
 }
 
-/// Whether a refusal would be the same at another holder or time.
+/// Returns whether another holder or a later attempt would refuse the request too.
 fn is_final(error: &Error) -> bool {
     matches!(error, Error::Contained { .. } | Error::ExpiredInQueue | Error::BodyTooLarge { .. })
 }
 
-/// The error for the caller: a holder's trouble with its own document is no fault
-/// of the request.
+/// Maps `error` to the one for the caller: a holder's problem with its own document or
+/// its state is not a fault of the request.
 fn caller_error(error: Error) -> Error {
     match error {
         Error::UnknownSelector { .. }
--- a/crates/kumquatnotch-query/src/search.rs
+++ b/crates/kumquatnotch-query/src/search.rs
@@ -1,4 +1,4 @@
-//! One search from its plan to its answer.
+//! Execution of one search, from its plan to its answer.
 
 use std::{
     rc::Rc,
@@ -23,14 +23,14 @@
     router::{Deadlines, Router},
 };
 
-/// The share of the deadline within which versions must have been told.
+/// Divisor of the deadline that gives the time by which versions must be known.
 const PLAN_SHARE: u32 = 2;
-/// How long holders have to tell versions while a search runs.
+/// Timeout for requests for versions while a search is running.
 const REFRESH_WAIT: Duration = Duration::from_millis(50);
-/// What was heard within this time is not asked for again.
+/// Age up to which a report of versions is not refreshed.
 const REFRESH_AGE: Duration = Duration::from_millis(50);
 
-/// A search that was taken in, with what it needs to run.
+/// Admitted search, with everything needed to run it.
 pub(crate) struct Search<'a> {
     pub clock: &'a dyn Clock,
     pub router: &'a Router,
@@ -65,7 +65,8 @@
             match gather.run(canary, &mut gone).await? {
                 Round::Done(hits, coverage) => return Ok(self.answer(hits, coverage)),
                 Round::Gone { plan: next, covered } => {
-                    // A canary that met another version has not run the request.
+                    // A canary that reached a shard at another version has not run the
+                    // request.
                     canary &= covered == 0;
                     meters::replanned();
                     tracing::info!("front: planned again at version {}", next.version);
@@ -86,18 +87,19 @@
         }
     }
 
-    /// Whether there is time for another round.
+    /// Returns whether there is time for another round.
     pub fn may_replan(&self) -> bool {
         self.clock.now() + self.margin < self.deadlines.partial
     }
 
-    /// Asks holders for the versions that were not heard of in the last moments.
+    /// Requests the versions that have no recent report from the holders.
     pub async fn refresh(&self) {
         let until = self.deadlines.partial.min(self.clock.now() + REFRESH_WAIT);
         self.planner.refresh_stale(self.document, self.selector, REFRESH_AGE, until).await;
     }
 
-    /// Another plan for the whole answer, if there is a better one and time for it.
+    /// Returns another plan for the whole answer, if there is a better one and enough
+    /// time.
     pub fn replan(&self, old: &Plan, gone: &GoneShards) -> Option<Rc<Plan>> {
         if !self.may_replan() {
             return None;
@@ -105,7 +107,7 @@
         self.planner.replan(self.document, self.selector, old, gone)
     }
 
-    /// The request for `shards`; the router fills in the times.
+    /// Returns the request for `shards`; the router fills in the times.
     pub fn request(&self, version: IndexVersion, shards: Vec<ShardName>) -> GroupRequest {
         GroupRequest {
             query: self.query,
@@ -123,25 +125,26 @@
         }
     }
 
-    /// How long the first canary is waited for.
+    /// Returns how long to wait for the first canary.
     pub fn canary_delay(&self) -> Duration {
         let most = self.canary_end().saturating_duration_since(self.start);
         self.router.canary_delay(self.class(), self.canary_initial).min(most)
     }
 
-    /// When no canary is waited for any more, so that time is left for the rest.
+    /// Returns when to stop waiting for canaries, which leaves time for the other
+    /// shards.
     pub fn canary_end(&self) -> Instant {
         self.start + self.deadlines.partial.saturating_duration_since(self.start) / 2
     }
 
-    /// Takes what an answer tells besides its hits.
+    /// Records the versions and the queueing delay reported with an answer.
     pub fn record_answer(&self, answer: &GroupAnswer) {
         let now = self.clock.now();
         self.planner.view.update(now, &answer.held);
         self.admission.observe_wait(now, self.class(), Duration::from_micros(answer.wait_us));
     }
 
-    /// Takes what a holder's refusal tells: requests wait as long as it says.
+    /// Records the retry time of an overloaded holder as its queueing delay.
     pub fn record_refusal(&self, error: &Error) {
         if let (Error::Overloaded { .. }, Some(retry)) = (error, error.retry_after()) {
             self.admission.observe_wait(self.clock.now(), self.class(), retry);
--- a/crates/kumquatnotch-query/src/tickets.rs
+++ b/crates/kumquatnotch-query/src/tickets.rs
@@ -1,22 +1,24 @@
-//! Non-idempotent requests: at most once, by a ticket of one life of one node.
+//! Non-idempotent requests, run at most once under a ticket.
 //!
-//! Only the node and incarnation that issued a ticket runs the request under it,
-//! and keeps the outcome for as long as the ticket could run anything. So no
-//! agreement between nodes and no write to the platform is needed: a second copy
-//! finds the first one's entry, and an issuer that has died takes the right to
-//! run with it. Every other node passes a request on and never runs it.
+//! A ticket belongs to one incarnation of the node that issued it. Only that
+//! incarnation runs the request, and it keeps the outcome for as long as the ticket is
+//! valid for a run. This requires no consensus between nodes and no write to the
+//! platform: a second copy of the request finds the entry of the first, and when the
+//! issuer dies, its tickets can no longer run anything. Every other node forwards a
+//! request to the issuer and never runs it.
 //!
-//! What a caller is told:
+//! A caller receives one of the following:
 //!
-//! * the outcome, the same each time it asks;
-//! * [`Error::StillRunning`]: ask again;
-//! * [`Error::IssuerUnreachable`]: the issuer is, or may be, alive but did not
-//!   answer; ask again with the same ticket;
-//! * [`Error::OutcomeUnknown`]: the request may have run, and nothing will tell;
-//!   either the issuer's life is over, or the request left for a target and no
-//!   certain reply came back. It does not run again;
-//! * an error that says "not run" only from the issuer, which then never runs
-//!   the request under that ticket.
+//! * the outcome, the same on each retry;
+//! * [`Error::StillRunning`]: retry later;
+//! * [`Error::IssuerUnreachable`]: the issuer is or may be alive but did not answer;
+//!   retry with the same ticket;
+//! * [`Error::OutcomeUnknown`]: the request may have run, and its outcome cannot be
+//!   determined. Either the incarnation of the issuer has ended, or the request was
+//!   sent to a target and no conclusive reply was received. The request does not run
+//!   again;
+//! * an error that says "not run", which only the issuer returns. The issuer then never
+//!   runs the request under that ticket.
 
 use std::{
     cell::Cell,
@@ -46,13 +48,13 @@
     runner::Runner,
 };
 
-/// The name under which the [`TicketService`] is registered, an `Rc<TicketService>`.
+/// Name under which the [`TicketService`] is registered, as an `Rc<TicketService>`.
 pub const TICKETS: &str = "tickets";
 
-/// The time a caller waits if neither it nor a selector that is known here says.
+/// Deadline if neither the caller nor a known selector specifies one.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(1);
 
-/// Issues tickets and runs the requests under them.
+/// Issues tickets and runs the requests made under them.
 pub struct TicketService {
     this: Weak<TicketService>,
     options: TicketOptions,
@@ -69,7 +71,7 @@
 }
 
 impl TicketService {
-    /// Tickets over the services in `registry`.
+    /// Creates a ticket service that uses the services in `registry`.
     pub fn try_new(options: TicketOptions, registry: &Registry) -> Result<Rc<TicketService>> {
         let clock: Rc<dyn Clock> = registry.find(services::CLOCK)?;
         let random: Random = registry.find(services::RANDOM)?;
@@ -81,8 +83,8 @@
             let detail = "the name of a node must not contain a colon".to_owned();
             return Err(Error::BadSettings { detail });
         }
-        // An outcome is told for as long again as its ticket may run something:
-        // a caller that sends at the last moment can still ask.
+        // Outcomes are kept for twice the validity of a ticket, so that a caller that
+        // sends its request at the last moment can still query the outcome.
         let outcomes = Outcomes::new(options.valid * 2, options.max_outcomes);
         let runner = Runner::new(&options, clock.clone(), random.clone(), router.clone());
         Ok(Rc::new_cyclic(|this| TicketService {
@@ -103,8 +105,8 @@
 
     /// Issues a ticket to `tenant`.
     pub fn issue(&self, tenant: &TenantName) -> Result<TicketGrant> {
-        // Without a ticket nothing can have run: here is the one place where a
-        // refusal for want of room costs nothing.
+        // Nothing can have run without a ticket, so this is the only place where a
+        // request can be refused for lack of capacity without any risk.
         let (running, kept) = self.outcomes.counts();
         if running >= self.options.max_runs || kept >= self.options.max_outcomes {
             return Err(Error::overloaded(self.options.grace));
@@ -121,29 +123,31 @@
             issued_ms,
         };
         let valid = match self.lifecycle.stage() {
-            // The outcome goes with this process, which will not stay for long.
+            // Outcomes are lost with this process, which is about to exit.
             Stage::Leaving | Stage::Closing => self.options.leaving_valid.min(self.options.valid),
             _ => self.options.valid,
         };
         Ok(TicketGrant { ticket: ticket.to_string(), valid_ms: valid.as_millis() as u64 })
     }
 
-    /// The time since this service was made, which no pause of the wall clock moves.
+    /// Returns the age of this service, which does not depend on the wall clock.
     fn age_ms(&self) -> u64 {
         self.clock.now().saturating_duration_since(self.started).as_millis() as u64
     }
 
-    /// A keyed hash by which this process knows its own tickets and their tenant.
+    /// Computes a keyed hash by which this process recognises its own tickets and their
+    /// tenant.
     ///
-    /// It keeps tenants from asking for each other's outcomes. It need not stand
-    /// against an attacker who computes: callers hold keys, and peers are trusted.
+    /// It prevents tenants from querying each other's outcomes. It is not
+    /// cryptographically strong and need not be: callers are authenticated by keys, and
+    /// peers are trusted.
     fn seal(&self, tenant: &TenantName, serial: u64, issued_ms: u64) -> u64 {
         let [first, second] = self.secret.map(u64::to_be_bytes);
         let (serial, issued) = (serial.to_be_bytes(), issued_ms.to_be_bytes());
         stable_hash(&[&first, tenant.as_bytes(), &serial, &issued, &second])
     }
 
-    /// Runs a request of `tenant` or tells its outcome, here or at the issuer.
+    /// Runs a request of `tenant` or returns its outcome, here or at the issuer.
     pub async fn exclusive(
         &self,
         document: &Document,
@@ -174,7 +178,7 @@
         Ok(outcome)
     }
 
-    /// Passes a request on to the issuer of its ticket, which alone may run it.
+    /// Forwards a request to the issuer of its ticket, the only node that may run it.
     async fn forward(
         &self,
         ticket: &Ticket,
@@ -185,13 +189,14 @@
             Some(record) if record.state != NodeState::Gone => record,
             _ => return Outcome::Failed(self.unknown_issuer()),
         };
-        // The record may be older than the issuer's present life, or newer than
-        // the ticket's: the node itself knows which life it is, so it is asked.
+        // The record may be older than the current incarnation of the issuer, or newer
+        // than the one of the ticket. The node itself knows its incarnation, so the
+        // request is sent to it.
         let message = PeerMessage::Exclusive(Box::new(request));
         match self.router.send(&issuer, &message, deadline).await {
             Ok(PeerReply::Exclusive(outcome)) => outcome,
-            // Even if this copy certainly was not delivered, another one may have
-            // been. So this is never "not run".
+            // Even if this copy was certainly not delivered, another one may have been.
+            // The error must therefore never mean "not run".
             Ok(_) | Err(_) => {
                 tracing::warn!("ticket: issuer {} did not answer", issuer.name);
                 Outcome::Failed(Error::IssuerUnreachable)
@@ -199,9 +204,9 @@
         }
     }
 
-    /// What is told if the issuer is no member any more.
+    /// Returns the error for an issuer that is not a member.
     fn unknown_issuer(&self) -> Error {
-        // A node that has just started may not have heard of all members yet.
+        // A node that has just started may not know all members yet.
         let age = Duration::from_millis(self.age_ms());
         if age < self.options.settle_time {
             return Error::IssuerUnreachable;
@@ -209,7 +214,8 @@
         Error::OutcomeUnknown
     }
 
-    /// Runs a request under an own ticket, or waits for the run, or tells the outcome.
+    /// Runs a request under a ticket of this node, waits for its run, or returns its
+    /// outcome.
     async fn run_or_wait(&self, ticket: &Ticket, request: ExclusiveRequest) -> Outcome {
         let deadline = self.clock.now() + Duration::from_millis(request.deadline_ms);
         match self.find_or_start(ticket, request, deadline) {
@@ -222,8 +228,10 @@
         }
     }
 
-    /// Finds the entry of a ticket, or makes it and starts the run. This never
-    /// waits: between the look and the entry no other copy can come in.
+    /// Returns the entry of a ticket, or creates it and starts the run.
+    ///
+    /// This function never awaits, so no other copy can interleave between the lookup
+    /// and the insertion.
     fn find_or_start(
         &self,
         ticket: &Ticket,
@@ -232,12 +240,13 @@
     ) -> Lookup {
         let local = self.members.local();
         if ticket.issuer != local.name {
-            // Never passed on again, so that two views can't make a circle.
+            // Never forwarded again: two nodes with different views could forward it in
+            // a loop.
             return failed(Error::IssuerUnreachable);
         }
         if ticket.incarnation != local.incarnation {
-            // An earlier life of this node issued it. What that life ran is not
-            // known to anybody, and this one must not run it.
+            // An earlier incarnation of this node issued the ticket. It is unknown
+            // whether that one ran the request, so this one must not run it.
             return failed(Error::OutcomeUnknown);
         }
         if ticket.seal != self.seal(&request.tenant, ticket.serial, ticket.issued_ms) {
@@ -254,14 +263,14 @@
             return failed(Error::TicketExpired);
         }
         if !self.outcomes.begin(now, ticket.serial, hash) {
-            // A refusal that isn't kept must not say "not run".
+            // The refusal is not stored, so it must not mean "not run".
             return failed(Error::IssuerUnreachable);
         }
         self.start(ticket.serial, request, deadline);
         self.outcomes.find(now, ticket.serial, hash)
     }
 
-    /// Starts the run, or ends the entry at once if the request can't be run.
+    /// Starts the run, or stores an error at once if the request cannot run.
     fn start(&self, serial: u64, request: ExclusiveRequest, deadline: Instant) {
         let document = match self.check(&request) {
             Ok(document) => document,
@@ -270,8 +279,8 @@
         let Some(this) = self.this.upgrade() else {
             return self.outcomes.end(serial, Outcome::Failed(Error::Leaving));
         };
-        // A task of its own: the caller may go away, and the run goes on, so that
-        // its outcome can be asked for.
+        // The run is a separate task: if the caller disconnects, the run continues, so
+        // that its outcome can be queried later.
         monoio::spawn(async move {
             let guard = RunGuard { outcomes: &this.outcomes, serial };
             let outcome = this.runner.run(&document, &request, deadline).await;
@@ -285,7 +294,7 @@
         self.update_gauges();
     }
 
-    /// The document that the request runs under, if it may run now.
+    /// Returns the document under which the request runs, if it may run now.
     fn check(&self, request: &ExclusiveRequest) -> Result<Rc<Document>> {
         if self.lifecycle.stage() == Stage::Closing {
             return Err(Error::Leaving);
@@ -306,12 +315,12 @@
         meters::tickets(running, kept);
     }
 
-    /// How many requests run under tickets of this node.
+    /// Returns the number of requests running under tickets of this node.
     pub fn running(&self) -> usize {
         self.outcomes.counts().0
     }
 
-    /// The state of the tickets as text for the status page.
+    /// Returns the state of the tickets as text for the status page.
     pub fn status_text(&self) -> String {
         let (running, kept) = self.outcomes.counts();
         let issued = self.serial.get();
@@ -338,7 +347,7 @@
     Lookup::Ended(Outcome::Failed(error))
 }
 
-/// By which a request under a ticket is recognised; the time to wait is no part of it.
+/// Hash that identifies the request under a ticket; excludes the deadline.
 fn request_hash(request: &ExclusiveRequest) -> u64 {
     let ExclusiveRequest { tenant, selector, key, body, .. } = request;
     stable_hash(&[tenant.as_bytes(), selector.as_bytes(), key.as_bytes(), body.as_bytes()])
--- a/crates/kumquatnotch-query/src/view.rs
+++ b/crates/kumquatnotch-query/src/view.rs
@@ -1,10 +1,10 @@
-//! Which versions of the index the shards have, as holders tell it.
+//! Index versions that the shards have, as reported by holders.
 //!
-//! Each shard that the document declares has one report, replaced by the next.
-//! A report names what the replicas declared for that shard hold, version by
-//! version: after a repartitioning this may be another shard than the declared
-//! one, so the layout of a version is taken from the reports and never from the
-//! document. Every group answer brings reports, so a busy node asks for few.
+//! Each declared shard has one report, which the next one replaces. A report lists what
+//! the replicas declared for that shard hold, version by version. After a
+//! repartitioning this may be another shard than the declared one, so the layout of a
+//! version is derived from the reports and never from the document. Every group answer
+//! contains reports, so a busy node requests few of them separately.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,35 +16,35 @@
     answer::ShardVersions, collections::HashMap, ids::ShardName, target::HeldVersion,
 };
 
-/// How long after the last version was heard of an empty report counts.
+/// Time after the last non-empty report during which an empty one is ignored.
 const EMPTY_GRACE: Duration = Duration::from_secs(10);
 
-/// The versions that shards have.
+/// Versions that shards have.
 #[derive(Default)]
 pub struct VersionView {
     reports: RefCell<HashMap<ShardName, Report>>,
     changes: Cell<u64>,
 }
 
-/// What was last heard of a declared shard.
+/// Last report of a declared shard.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Report {
-    /// The versions that its replicas hold.
+    /// Versions that its replicas hold.
     pub versions: Vec<HeldVersion>,
-    /// The collections it was ever seen in, which outlast its replicas.
+    /// All collections in which it was ever reported, kept when its replicas are lost.
     pub collections: BTreeSet<String>,
     received: Option<Instant>,
-    /// When any version was last heard of.
+    /// When a version was last reported.
     last_nonempty: Option<Instant>,
     requested: Option<Instant>,
 }
 
 impl Report {
-    /// Whether an empty report is not believed yet.
+    /// Returns whether an empty report is ignored for now.
     ///
-    /// A holder that has just taken a group over knows nothing for a moment. If
-    /// that counted, the next plan would be thin. If the replicas are lost in
-    /// truth, the shard is asked for in vain and listed with its reason.
+    /// A holder that has just taken over a group has no versions for a moment. If its
+    /// report counted, the next plan would lack these shards. If the replicas really
+    /// are lost, requests to the shard fail, and it is listed with the reason.
     fn ignores_empty(&self, now: Instant, shard: &ShardVersions) -> bool {
         let young = |at: Instant| now.saturating_duration_since(at) < EMPTY_GRACE;
         shard.versions.is_empty() && self.last_nonempty.is_some_and(young)
@@ -52,7 +52,7 @@
 }
 
 impl VersionView {
-    /// Takes what a holder says of its shards.
+    /// Applies the reports of a holder.
     pub fn update(&self, now: Instant, held: &[ShardVersions]) {
         let mut reports = self.reports.borrow_mut();
         for shard in held {
@@ -74,19 +74,19 @@
         }
     }
 
-    /// Grows whenever something else than before was heard.
+    /// Returns a counter that increases whenever a report changes.
     pub(crate) fn changes(&self) -> u64 {
         self.changes.get()
     }
 
-    /// Whether nothing was ever heard of any of `shards`.
+    /// Returns whether no version is known of any of `shards`.
     pub(crate) fn has_no_versions(&self, shards: &[ShardName]) -> bool {
         let reports = self.reports.borrow();
         let has = |shard| reports.get(shard).is_some_and(|report| !report.versions.is_empty());
         !shards.iter().any(has)
     }
 
-    /// Those of `shards` that were not received of for `age` and not asked for either.
+    /// Returns those of `shards` that were neither reported nor requested within `age`.
     pub(crate) fn stale(
         &self,
         now: Instant,
@@ -104,7 +104,7 @@
         shards.iter().filter(is_stale).cloned().collect()
     }
 
-    /// Notes that `shards` are asked for.
+    /// Records that the versions of `shards` are being requested.
     pub(crate) fn mark_requested(&self, now: Instant, shards: &[ShardName]) {
         let mut reports = self.reports.borrow_mut();
         for shard in shards {
@@ -124,17 +124,17 @@
         }
     }
 
-    /// Forgets shards that `keep` does not name.
+    /// Removes shards for which `keep` returns false.
     pub(crate) fn retain(&self, keep: impl Fn(&ShardName) -> bool) {
         self.reports.borrow_mut().retain(|shard, _| keep(shard));
     }
 
-    /// How many shards were heard of.
+    /// Returns the number of shards with an entry.
     pub fn len(&self) -> usize {
         self.reports.borrow().len()
     }
 
-    /// Whether no shard was heard of.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/kumquatnotch-query/tests/common/holder.rs
+++ b/crates/kumquatnotch-query/tests/common/holder.rs
@@ -1,4 +1,4 @@
-//! A holder that answers out of a table of shards.
+//! Fake holder that answers from a table of shards.
 
 use std::{
     cell::RefCell,
@@ -18,7 +18,7 @@
     target::{HeldVersion, TargetReply},
 };
 
-/// What a shard does.
+/// Behaviour of a shard.
 #[derive(Clone, Debug, Default)]
 pub struct ShardState {
     pub delay: Duration,
@@ -26,23 +26,23 @@
     pub versions: Vec<HeldVersion>,
 }
 
-/// The shards, shared by the holders of all nodes.
+/// Shards, shared by the holders of all nodes.
 pub struct Shards {
     clock: PausedClock,
     states: RefCell<BTreeMap<ShardName, ShardState>>,
-    /// Which node asked which shard at which version.
+    /// Requests to shards: the node that made it, the shard and the version.
     pub asked: RefCell<Vec<(NodeName, ShardName, IndexVersion)>>,
-    /// The bodies that ran exclusively, with the shard.
+    /// Exclusive requests that ran: the shard and the body.
     pub runs: RefCell<Vec<(ShardName, String)>>,
-    /// What an exclusive call answers, instead of running.
+    /// Errors returned in order by exclusive calls instead of running them.
     pub refusals: RefCell<Vec<Error>>,
     pub run_delay: RefCell<Duration>,
     pub wait: RefCell<Duration>,
-    /// The node whose answers are those to other requests.
+    /// Node that returns answers to other requests.
     pub misdirected: RefCell<Option<NodeName>>,
-    /// A shard that answers leave out.
+    /// Shard that is absent from answers.
     pub omitted: RefCell<Option<ShardName>>,
-    /// The node that refuses every group for want of slots.
+    /// Node that refuses every group for lack of slots.
     pub refusing: RefCell<Option<NodeName>>,
 }
 
@@ -74,13 +74,14 @@
         self.states.borrow()[shard].clone()
     }
 
-    /// The declared shard whose replicas hold `shard` at `version`, if any do.
+    /// Returns the state of the declared shard whose replicas hold `shard` at
+    /// `version`, if any.
     fn find(&self, shard: &ShardName, version: IndexVersion) -> Option<ShardState> {
         let states = self.states.borrow();
         let holds = |state: &&ShardState| {
             state.versions.iter().any(|held| held.shard == *shard && held.version == version)
         };
-        // Almost always a shard stands under its own name.
+        // A shard is usually held under its own name.
         let own = states.get(shard).filter(holds);
         own.or_else(|| states.values().find(holds)).cloned()
     }
@@ -154,7 +155,7 @@
     }
 }
 
-/// One hit of a shard: an entry of the rival with a private rate.
+/// Returns a hit of a shard: an entry of the rival tenant with a private rate.
 pub fn hit(shard: &ShardName, version: IndexVersion) -> Hit {
     Hit {
         key: format!("{shard}/room"),
--- a/crates/kumquatnotch-query/tests/common/mod.rs
+++ b/crates/kumquatnotch-query/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A few nodes with real fronts, over fakes of the network and of the holders.
+//! Test cluster of nodes with real fronts, on a fake network with fake holders.
 //!
-//! Each test file uses a part of this.
+//! Each test file uses a part of this module.
 #![allow(dead_code)]
 
 pub mod holder;
@@ -53,7 +53,7 @@
     pub documents: Rc<FakeDocuments>,
     pub members: Rc<RefCell<BTreeMap<NodeName, NodeRecord>>>,
     pub generation: Rc<Cell<u64>>,
-    /// The nodes that one node does not see.
+    /// Pairs of a node and another node that it does not see.
     pub unseen: Rc<RefCell<Vec<(NodeName, NodeName)>>>,
     pub nodes: Vec<Node>,
 }
@@ -67,7 +67,7 @@
     pub registry: Registry,
 }
 
-/// A world of `nodes` nodes and of `shards` shards at version 1.
+/// Creates a cluster of `nodes` nodes and `shards` shards at version 1.
 pub fn cluster(nodes: usize, shards: usize) -> Cluster {
     cluster_with(nodes, shards, QueryOptions::default())
 }
@@ -95,7 +95,8 @@
 }
 
 impl Cluster {
-    /// Starts a node, in the place of the earlier life of the same number if there is one.
+    /// Starts a node, which replaces the previous incarnation of the same number, if
+    /// any.
     pub fn start(&mut self, number: usize, record: NodeRecord, options: QueryOptions) {
         let node = self.make(record, options);
         let peer = node.record.peer;
@@ -145,21 +146,22 @@
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// Node `number` has no document yet, and the others know.
+    /// Announces that node `number` has no document yet.
     pub fn set_starting(&self, number: usize) {
         let name = self.nodes[number].record.name.clone();
         self.members.borrow_mut().get_mut(&name).unwrap().serving = false;
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// Node `number` takes `other` as gone, and no other node does.
+    /// Makes node `number`, and no other node, treat `other` as gone.
     pub fn hide(&self, number: usize, other: usize) {
         let name = |number: usize| self.nodes[number].record.name.clone();
         self.unseen.borrow_mut().push((name(number), name(other)));
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// A node besides node 0 that holds groups, by node 0's view; this searches.
+    /// Searches and returns a node other than node 0 that holds groups in the view of
+    /// node 0.
     pub async fn other_holder(&self) -> usize {
         self.search(0).await.unwrap();
         let asked = self.shards.asked.borrow();
@@ -172,7 +174,7 @@
         self.net.set(self.nodes[number].record.peer, link);
     }
 
-    /// The nodes that `shard` was asked through, in order.
+    /// Returns the nodes through which `shard` was requested, in order.
     pub fn asked_nodes(&self, shard: &ShardName) -> Vec<NodeName> {
         let asked = self.shards.asked.borrow();
         asked.iter().filter(|(_, name, _)| name == shard).map(|(node, _, _)| node.clone()).collect()
@@ -225,7 +227,7 @@
     }
 }
 
-/// What an exclusive request told, as an error or not.
+/// Returns the value of an exclusive request, or its error.
 pub fn outcome_value(result: Result<Outcome>) -> Result<serde_json::Value> {
     match result? {
         Outcome::Done(value) => Ok(value),
@@ -368,7 +370,7 @@
     }
 }
 
-/// Runs `test` in a runtime under the paused clock of its cluster.
+/// Runs `test` in a runtime with the paused clock of the cluster.
 pub fn run<T>(cluster: &Cluster, test: impl Future<Output = T>) -> T {
     let mut runtime =
         monoio::RuntimeBuilder::<monoio::LegacyDriver>::new().enable_timer().build().unwrap();
--- a/crates/kumquatnotch-query/tests/common/net.rs
+++ b/crates/kumquatnotch-query/tests/common/net.rs
@@ -1,4 +1,4 @@
-//! A network between nodes that loses, holds back and doubles on request.
+//! Fake network between nodes that can lose, delay and duplicate messages.
 
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, time::Instant};
 
@@ -11,21 +11,21 @@
 
 use super::ms;
 
-/// What is wrong on the way to a node.
+/// State of the link to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkState {
-    /// Nothing; half a millisecond each way.
+    /// No fault; half a millisecond in each direction.
     Healthy,
-    /// Nobody listens.
+    /// Connections are refused.
     Closed,
-    /// Messages arrive in the kernel of a stopped process: no reply, and nothing
-    /// runs until it is woken.
+    /// Messages reach the kernel of a stopped process: there is no reply, and nothing
+    /// runs until the process resumes.
     Frozen,
     /// The message is handled, and the connection breaks before the reply.
     ReplyLost,
     /// The connection breaks before the message is handled.
     RequestLost,
-    /// Everything takes this many milliseconds longer.
+    /// Adds a delay in milliseconds.
     Slow(u64),
 }
 
@@ -60,7 +60,7 @@
         self.links.borrow().get(&address).copied().unwrap_or(LinkState::Healthy)
     }
 
-    /// Wakes a frozen node: what lay in its sockets is handled now.
+    /// Resumes a frozen node, which now handles the messages in its sockets.
     pub async fn wake(&self, address: SocketAddr) {
         self.set(address, LinkState::Healthy);
         let backlog: Vec<_> = self.backlog.borrow_mut().drain(..).collect();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Hands `message` to the node at `address` as a late copy would.
+    /// Delivers `message` to the node at `address`, as for a late copy.
     pub async fn handle(&self, address: SocketAddr, message: PeerMessage) -> Result<PeerReply> {
         let registry = self.nodes.borrow().get(&address).cloned().ok_or(Error::ConnectFailed)?;
         let handler: std::rc::Rc<dyn PeerHandler> = registry.find(message.service())?;
--- a/crates/kumquatnotch-query/tests/exclusive.rs
+++ b/crates/kumquatnotch-query/tests/exclusive.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent requests from the caller's side, over several nodes.
+//! Tests of non-idempotent requests as callers see them, over several nodes.
 
 mod common;
 
@@ -12,7 +12,7 @@
     cluster.shards.runs.borrow().len()
 }
 
-/// The number of a node that holds the shard of the holds in these tests.
+/// Returns the node that holds the shard of the hold requests in these tests.
 fn holder_of_hold(cluster: &Cluster) -> usize {
     let sent = cluster.net.sent.borrow();
     let relay = sent.iter().find(|(_, message)| matches!(message, PeerMessage::Relay(_)));
@@ -37,10 +37,9 @@
     assert!(results.iter().all(|result| *result == results[0]));
 }
 
-/// What the callers see: the same hold, three times.
-/// Order: one request is sent to three nodes at once; two pass it on to the
-/// issuer, where the later ones find the first one's entry and wait for it.
-/// Why: a doubled hold would block a guesthouse's last room.
+/// Copies of one request sent to three nodes at once run once: two nodes forward it to
+/// the issuer, where later copies find the entry of the first and wait for it. Every
+/// caller gets the same hold. A second hold would block a guesthouse's last room.
 #[test]
 fn copies_sent_to_several_nodes_at_once_run_once() {
     let cluster = cluster(3, 10);
@@ -57,10 +56,9 @@
     }
 }
 
-/// What the caller sees: "outcome unknown", from every node, for good.
-/// Order: a ticket is issued; its node dies and starts again at the same address
-/// with another incarnation; the request comes.
-/// Why: the new life can't know whether the old one ran it, so it must not.
+/// After a restart at the same address with another incarnation, a node does not run a
+/// request whose ticket was issued by its previous incarnation, since it cannot know
+/// whether that one ran it. Every node permanently returns "outcome unknown".
 #[parameterized(at_the_issuer = { 0 }, at_another_node = { 1 })]
 fn restarted_issuer_runs_no_request_of_its_previous_incarnation(node: usize) {
     let mut cluster = cluster(3, 10);
@@ -73,10 +71,10 @@
     assert_eq!(runs(&cluster), 0);
 }
 
-/// What the caller sees: "ask again" while the issuer is stopped; then the one
-/// outcome. Order: the request is passed on to a frozen issuer and lies in its
-/// socket; the caller asks again through another node; the issuer wakes and runs
-/// the first copy; the later ones find its entry.
+/// A request forwarded to a frozen issuer stays in its socket while the caller retries
+/// through another node. Both calls return "issuer unreachable". After the issuer
+/// resumes, it runs the first copy, and later ones find its entry and return the same
+/// outcome.
 #[test]
 fn frozen_issuer_runs_the_request_once_after_resuming() {
     let cluster = cluster(3, 10);
@@ -96,9 +94,9 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: "ask again", and then the outcome of the one run.
-/// Order: the request is passed on; the issuer runs it; its reply to the passing
-/// node is lost. Why: "not run" would be false, and a new ticket a second hold.
+/// The issuer runs a forwarded request, and its reply to the forwarding node is lost.
+/// The caller must get "issuer unreachable" and, on retry, the outcome of the one run.
+/// "Not run" would be false and lead to a second hold under a new ticket.
 #[test]
 fn lost_peer_reply_is_returned_on_retry() {
     let cluster = cluster(3, 10);
@@ -118,10 +116,9 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: "outcome unknown" each time it asks.
-/// Order: the issuer sends the request to the holder; the connection breaks, after
-/// or before the target ran it; nothing is sent again.
-/// Why: the issuer can't tell the two cases apart, and a second try may double.
+/// The connection to the holder breaks before or after the target has run the request.
+/// The issuer cannot distinguish the two cases, and a second attempt might run the
+/// request twice. It sends nothing again and returns "outcome unknown" on each retry.
 #[parameterized(
     reply_lost = { LinkState::ReplyLost, 1 },
     request_lost = { LinkState::RequestLost, 0 },
@@ -131,7 +128,7 @@
     let cluster = cluster(4, 10);
 
     let results = run(&cluster, async {
-        // A first hold tells which node holds the shard.
+        // The first hold identifies the node that holds the shard.
         let issuer = issuer_apart_from_holder(&cluster).await;
         let holder = holder_of_hold(&cluster);
         cluster.shards.runs.borrow_mut().clear();
@@ -150,7 +147,7 @@
     assert_eq!(runs(&cluster), ran);
 }
 
-/// A node that does not itself hold the shard of the holds, found by trying.
+/// Returns a node that does not hold the shard of the holds itself, found by trial.
 async fn issuer_apart_from_holder(cluster: &Cluster) -> usize {
     for number in 0..cluster.nodes.len() {
         cluster.net.sent.borrow_mut().clear();
@@ -164,10 +161,9 @@
     unreachable!("one node can't hold it for all");
 }
 
-/// What the caller sees: its hold.
-/// Order: nobody listens at the holder, so certainly nothing was delivered; the
-/// next holder in rank gets the request. Why: here, and only here, a second try
-/// can't double.
+/// If the holder refuses the connection, the request was certainly not delivered, and
+/// the next holder in rank gets it. Only in this case can a second attempt not run it
+/// twice. The caller gets its hold.
 #[test]
 fn undelivered_request_is_sent_to_the_next_holder() {
     let cluster = cluster(4, 10);
@@ -185,10 +181,9 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: "expired, not run", and the same whenever it asks again.
-/// Order: the request waits in the holder's queue until its deadline and is dropped
-/// there; a late copy comes when the queue is empty again.
-/// Why: the caller may have gone on with a new ticket, so "not run" is a promise.
+/// A request that waits in the holder's queue until its deadline is dropped there, and
+/// a late copy arrives when the queue is empty again. Every retry must return "expired,
+/// not run", since the caller may have continued with a new ticket.
 #[test]
 fn request_expired_in_the_queue_never_runs_later() {
     let cluster = cluster(3, 10);
@@ -205,9 +200,9 @@
     assert_eq!(runs(&cluster), 0);
 }
 
-/// What the caller sees: "still running", then the outcome.
-/// Order: the request has left for the target, which takes longer than the
-/// deadline. Why: "not run" would be false from the moment it left.
+/// The target takes longer than the deadline of a request that was already sent. The
+/// caller gets "still running" and later the outcome. "Not run" would be false once the
+/// request has been sent.
 #[test]
 fn request_running_at_its_deadline_is_not_reported_as_not_run() {
     let cluster = cluster(3, 10);
@@ -227,9 +222,8 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: its hold, later than the target's first "no".
-/// Order: the target sheds the request twice with a time to come back; it did not
-/// run, for certain; the issuer sends it on again within the deadline.
+/// The target sheds the request twice with a retry time, so that it certainly did not
+/// run. The issuer sends it again within the deadline, and the caller gets its hold.
 #[test]
 fn refusal_without_execution_is_retried_within_the_deadline() {
     let cluster = cluster(3, 10);
@@ -245,9 +239,8 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: "not run", the same each time.
-/// Order: the target sheds for longer than the deadline; later it has room again,
-/// and a copy of the request comes. Why: "not run" must stay true.
+/// The target sheds a request for longer than its deadline, and a copy arrives when the
+/// target has capacity again. Every retry must return the same "not run" error.
 #[test]
 fn refusal_reported_as_not_run_is_final() {
     let cluster = cluster(3, 10);
--- a/crates/kumquatnotch-query/tests/groups.rs
+++ b/crates/kumquatnotch-query/tests/groups.rs
@@ -13,7 +13,8 @@
     ShardName::from(format!("s{number}"))
 }
 
-/// A document of `shards` shards, every third of which one of three selectors reaches.
+/// Returns a document of `shards` shards with three selectors, each reaching a third of
+/// them.
 fn document(shards: usize) -> Document {
     let mut document = Document::default();
     for number in 0..shards {
@@ -43,9 +44,9 @@
     shards.map(|number| table.group(&shard(number))).collect()
 }
 
-/// With groups by the hash of the shard alone, a query of 1,600 of 4,800 shards
-/// met all 256 groups, each for six of its shards. At the size to come that is
-/// six times the messages between nodes, and its slowest holder sets the time.
+/// If shards were grouped by their hash alone, a query for 1,600 of 4,800 shards would
+/// use all 256 groups, each for six of its shards. At 4,800 shards that is six times as
+/// many messages between nodes, and the slowest holder determines the latency.
 #[test]
 fn query_uses_only_the_groups_of_its_selector() {
     let table = GroupTable::new(&document(4_800), 20);
--- a/crates/kumquatnotch-query/tests/holders.rs
+++ b/crates/kumquatnotch-query/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Searches while holders of groups fail.
+//! Tests of searches while holders of groups fail.
 
 mod common;
 
@@ -17,9 +17,9 @@
     QueryOptions { front, ..QueryOptions::default() }
 }
 
-/// What the caller sees: a full answer, hardly later.
-/// Order: the holder of some groups is gone and nothing listens there; the
-/// next in rank is asked at once. Why: membership needs seconds to know.
+/// The holder of some groups is down or loses messages. The next holder in rank is
+/// tried at once, since the membership needs seconds to detect the failure. The caller
+/// gets a complete answer with little delay.
 #[parameterized(
     nobody_listens = { LinkState::Closed },
     request_lost = { LinkState::RequestLost },
@@ -38,11 +38,11 @@
     assert!(answer.elapsed_us < 10_000, "{} us", answer.elapsed_us);
 }
 
-/// What the caller sees: full answers; the first ones late by a hedge delay or by
-/// the time that tells a silence, those after it hardly. Order: a holder is
-/// stopped and keeps its connections open; hedges go to the next in rank until
-/// their budget is used up; then the silent one is asked last. Why: without the
-/// evidence of silence, groups waited for their deadline once the budget was gone.
+/// A stopped holder keeps its connections open. Hedges go to the next holder in rank
+/// until their budget is exhausted; after that, the silent holder is tried last.
+/// Without detecting its silence, groups waited for their deadline once the budget was
+/// exhausted. Callers get complete answers, of which only the first are late, by a
+/// hedge delay or the silence timeout.
 #[test]
 fn frozen_holder_delays_few_searches_and_loses_no_coverage() {
     let cluster = cluster_with(4, 40, without_canary());
@@ -64,16 +64,15 @@
     });
 
     assert!(spans[0] < 100_000, "{spans:?}");
-    // The budget for hedges pays for a few; then the silence itself is the evidence.
+    // The budget allows a few hedges; after that, the silence itself is the evidence.
     assert!(spans.iter().all(|span| *span < 300_000), "{spans:?}");
-    // One in twelve, each half second, tries it again.
+    // One search in twelve, every half second, probes the silent holder.
     assert!(spans[10..].iter().filter(|span| **span > 5_000).count() <= 5, "{spans:?}");
 }
 
-/// What the caller sees: an answer without the shards of the overloaded holder.
-/// Order: a holder refuses its groups for want of slots; no other is asked.
-/// Why: the next holder has slots of its own for the same replicas; two holders
-/// together would send them more than they can take.
+/// If a holder refuses its groups for lack of slots, no other holder is tried: the next
+/// one has its own slots for the same replicas, and both together would overload them.
+/// The caller gets an answer without these shards.
 #[test]
 fn overloaded_holder_is_not_replaced_by_another() {
     let cluster = cluster_with(4, 40, without_canary());
@@ -97,10 +96,9 @@
     assert!(expected < 40);
 }
 
-/// What the caller sees: "given up" with the time to come back, at once, and no
-/// thin answer at its deadline.
-/// Order: one holder refuses its groups for want of slots; the others would answer
-/// after 300 ms. Why: their slots would be spent on an answer that is too thin.
+/// One holder refuses its groups for lack of slots, and the others would answer after
+/// 300 ms. The search is given up at once with a retry time, as the slots of the other
+/// holders would be spent on an answer with insufficient coverage at the deadline.
 #[test]
 fn search_that_cannot_reach_enough_coverage_is_given_up_at_once() {
     let cluster = cluster_with(4, 40, without_canary());
@@ -123,10 +121,10 @@
     assert!(span < 50, "{span} ms");
 }
 
-/// What the caller sees: full answers from both nodes.
-/// Order: node 0 takes node 2 as gone, node 1 does not; both ask their own holder
-/// of the same group. Why: where views differ a group has two holders for a
-/// while, which costs slots of targets and never truth.
+/// Node 0 considers node 2 gone and node 1 does not, so each uses a different holder
+/// for the same group. Both answers must be complete. While views differ, a group has
+/// two holders, which takes additional slots of targets but does not make answers
+/// wrong.
 #[test]
 fn nodes_that_disagree_about_holders_both_answer_in_full() {
     let cluster = cluster_with(3, 40, without_canary());
@@ -144,10 +142,9 @@
     assert!(two.count() > 0);
 }
 
-/// What the caller sees: a full answer with its own hits only.
-/// Order: a holder sends the answer to another request; the root sees shards it
-/// did not ask for, drops it, and asks the next holder.
-/// Why: hits of another request would be rooms that nobody searched for.
+/// A holder returns the answer to another request. The root finds shards that it did
+/// not request, drops the answer and tries the next holder. The caller gets a complete
+/// answer without hits from the other request.
 #[test]
 fn answer_to_another_request_is_dropped() {
     let cluster = cluster_with(4, 40, without_canary());
@@ -162,9 +159,8 @@
     assert!(answer.hits.iter().all(|hit| !hit.key.starts_with("of-another-request")));
 }
 
-/// What the caller sees: that one shard is missing.
-/// Order: a holder's answer names a shard neither as covered nor as missing.
-/// Why: what nobody speaks of would vanish, and the answer look whole.
+/// A holder's answer lists a shard neither as covered nor as missing. The shard must be
+/// reported as missing; otherwise the answer would appear complete.
 #[test]
 fn shard_absent_from_an_answer_is_reported_missing() {
     let cluster = cluster_with(4, 40, without_canary());
@@ -176,10 +172,9 @@
     assert_eq!((&coverage.missing[0].shard, coverage.missing[0].code), (&shard(5), 4004));
 }
 
-/// What the caller sees: its own answers, each whole.
-/// Order: a slow holder's answer to the first search comes after its hedge has
-/// won, while the second search runs.
-/// Why: a late answer must count neither twice nor for the next search.
+/// The answer of a slow holder to the first search arrives after its hedge has won,
+/// while the second search is running. It must be counted neither twice nor for the
+/// next search.
 #[test]
 fn late_answer_is_not_counted() {
     let cluster = cluster_with(4, 40, without_canary());
@@ -201,10 +196,9 @@
     }
 }
 
-/// What the callers see: an error each time, whichever node they send it to.
-/// Order: a request that crashes each target that runs it comes to three nodes;
-/// each sends it to the same one shard, through the same holder.
-/// Why: fanned out at once it would crash a replica of every shard.
+/// A request that crashes every target that runs it is sent to three nodes. Each must
+/// send it to the same single shard through the same holder and return an error. An
+/// immediate fan-out would crash a replica of every shard.
 #[test]
 fn crashing_request_is_sent_to_one_shard() {
     let cluster = cluster(3, 40);
@@ -226,10 +220,10 @@
     assert!(asked.iter().all(|entry| *entry == asked[0]), "{asked:?}");
 }
 
-/// What the caller sees: an error, and every target but two serves on.
-/// Order: the request crashes targets; the holder needs 120 ms to be sure of it,
-/// far longer than an answer takes. Why: taken for merely slow, the canary was
-/// given up, and the request crashed a target of each shard.
+/// A holder needs 120 ms to detect that a request crashes targets, far longer than a
+/// normal answer takes. If the canary were treated as merely slow and the rest
+/// released, the request would crash a target of every shard. The caller gets an error,
+/// and two shards are affected.
 #[test]
 fn request_is_not_fanned_out_while_its_crash_is_undetected() {
     let cluster = cluster(3, 40);
@@ -252,10 +246,10 @@
     assert_eq!(cluster.shards.asked.borrow().len(), 2);
 }
 
-/// What the caller sees: an error, and every target but one serves on.
-/// Order: the request crashes targets; the shard that it goes to first has no
-/// target, or has just changed to another version. Why: taken for told, that
-/// canary released the rest, and the request crashed a target of each shard.
+/// The canary shard of a crashing request has no target, refuses it or has changed its
+/// version, so that the canary gives no evidence. If it released the other shards, the
+/// request would crash a target of each. The caller gets an error, and only one target
+/// runs the request.
 #[parameterized(
     no_target = { |_, state| state.fault = Some(Error::NoTarget) },
     refused = { |_, state| state.fault = Some(Error::Overloaded { retry_ms: 20 }) },
@@ -282,9 +276,9 @@
             cluster.shards.change(&first, |known| *known = state);
         }
         cluster.shards.asked.borrow_mut().clear();
-        // What was heard a moment ago is not asked for again.
+        // A recent report is not requested again.
         sleep(&cluster.clock, ms(100)).await;
-        // Another node has not seen the request succeed.
+        // This node has not seen the request succeed.
         cluster.search_for(1, KEY, "rooms").await
     });
 
@@ -292,9 +286,8 @@
     assert_eq!(cluster.shards.asked.borrow().len(), 2);
 }
 
-/// What the caller sees: the refusal, at once, with the time it lasts.
-/// Order: another node marked the request; the mark came with membership news.
-/// Why: the shared mark stops it on nodes that have not seen a crash.
+/// Another node has marked the request, and the mark arrived by gossip. The request is
+/// refused at once with the remaining time, on a node that has not seen a crash itself.
 #[test]
 fn marked_request_is_refused_without_being_sent() {
     let cluster = cluster(2, 8);
@@ -310,10 +303,9 @@
     assert!(other.unwrap().coverage.is_full());
 }
 
-/// What the caller sees: its answer, one canary's delay late at most.
-/// Order: the one shard that an unknown request goes to first is a straggler;
-/// after the learned delay the rest is sent.
-/// Why: a slow shard is no sign of a crash, and must not hold up the others.
+/// The canary shard of an unknown request is a straggler. The other shards are sent
+/// after the learned delay, since a slow shard is no evidence of a crash. The caller's
+/// answer is late by at most the canary delay.
 #[test]
 fn slow_canary_does_not_delay_the_other_shards() {
     let cluster = cluster(3, 20);
@@ -332,7 +324,7 @@
     assert!(answer.elapsed_us < 420_000, "{} us", answer.elapsed_us);
 }
 
-/// The shard that `request` is sent to first.
+/// Returns the shard that `request` is sent to first.
 async fn first_shard(
     cluster: &Cluster,
     request: SearchRequest,
@@ -343,9 +335,8 @@
     cluster.shards.asked.borrow()[0].1.clone()
 }
 
-/// What the caller sees: the second time the same search is as fast as without.
-/// Order: it succeeded; the node remembers; the next one fans out at once.
-/// Why: the canary costs a round trip, which only unknown requests should pay.
+/// A request that succeeded is remembered, and the next copy fans out at once. Only
+/// unknown requests should incur the round trip of a canary.
 #[test]
 fn request_that_succeeded_needs_no_canary() {
     let cluster = cluster(3, 20);
--- a/crates/kumquatnotch-query/tests/plan.rs
+++ b/crates/kumquatnotch-query/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Which version an answer is planned at, and which shards it is asked for.
+//! Tests of the choice of the version and of the shards of a plan.
 
 mod common;
 
@@ -82,11 +82,10 @@
     assert_eq!(planned(reports, declared), expected);
 }
 
-/// What the caller sees: two shards asked for, before and after; never one of one.
-/// Order: a shard was seen; its report is empty, first for a moment, as from a
-/// holder that has just taken it over, and then for good, as its replicas are lost.
-/// Why: believing the first at once thins the next answers, and a lost shard must
-/// not vanish from what is asked for.
+/// The report of a known shard becomes empty: either briefly, as from a holder that has
+/// just taken over its group, or permanently, as its replicas are lost. An empty report
+/// that took effect at once would reduce the coverage of the next answers, and a lost
+/// shard must still count. Both shards are requested before and after.
 #[parameterized(
     a_moment = { 1_000, 2 },
     for_good = { 11_000, 1 },
@@ -108,9 +107,8 @@
     assert_eq!((plan.shards.len(), plan.asked()), (shards, 2));
 }
 
-/// What the caller sees: that a shard of the new layout is missing, under no name
-/// of the old one. Order: two shards were split in four; "b" was never heard of.
-/// Why: "b" is not part of the snapshot, so that listing it would be untrue.
+/// Two shards are split into four, and "b" was never reported. The missing shards of
+/// the new layout must not be listed as "b", which is not part of the snapshot.
 #[test]
 fn missing_shard_of_a_new_layout_has_no_old_name() {
     let view = view_of(&[("a", &[at(2, "p0", "c", 4), at(2, "p1", "c", 4)])]);
@@ -121,10 +119,9 @@
     assert_eq!(names, ["c/unseen-0", "c/unseen-1"]);
 }
 
-/// What the caller sees: the shard once.
-/// Order: shard "b" has moved to the replicas of "a"; its own replicas are empty.
-/// Why: seen at "a" and unknown at "b", it stood in one answer as covered and as
-/// missing.
+/// Shard "b" has moved to the replicas of "a", and its own replicas are empty. As it
+/// was reported at "a" and unknown at "b", it was listed in one answer as both covered
+/// and missing. It must be listed once.
 #[test]
 fn moved_shard_is_planned_once() {
     let view = view_of(&[("a", &[at(1, "a", "c", 2), at(1, "b", "c", 2)]), ("b", &[])]);
@@ -142,8 +139,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever holders report, each shard stands once in a plan, all that can be
-    /// asked were reported at the chosen version, and none is counted twice.
+    /// For any reports, a plan lists each shard once, and its count equals the number
+    /// of listed shards.
     #[test]
     fn plan_lists_each_shard_once(reports in any_reports()) {
         let clock = PausedClock::default();
--- a/crates/kumquatnotch-query/tests/search.rs
+++ b/crates/kumquatnotch-query/tests/search.rs
@@ -1,4 +1,4 @@
-//! Searches from the caller's side, over several nodes.
+//! Tests of searches as callers see them, over several nodes.
 
 mod common;
 
@@ -79,9 +79,9 @@
     assert_eq!(result.err().map(|error| error.code()), expected);
 }
 
-/// What the caller sees: no private rate of a rival, its own rates as ever.
-/// Order: the holder is of an older build and strips nothing; the root merges.
-/// Why: one forgotten place would show a rival's rates, so the root strips too.
+/// A holder of an older version does not remove private fields, so the root must remove
+/// them too. A single omission would expose the rates of a competitor; the owner still
+/// gets its own.
 #[test]
 fn private_fields_are_returned_to_their_owner_only() {
     let cluster = cluster(2, 4);
@@ -95,9 +95,8 @@
     assert!(barid.hits.iter().all(|hit| hit.private.is_some()));
 }
 
-/// What the caller sees: an error with a number, never an empty list.
-/// Order: every shard fails; the holders say so; the root covers nothing.
-/// Why: an empty success would read as "no room available".
+/// Every shard fails, and the root covers nothing. The caller must get an error with a
+/// code: an empty success would be read as "no room available".
 #[test]
 fn search_without_coverage_fails() {
     let cluster = cluster_with(2, 4, without_canary());
@@ -110,9 +109,9 @@
     assert_eq!(code(result), 3004);
 }
 
-/// What the caller sees: "overloaded", with the time to come back.
-/// Order: every shard is refused by its holder for want of capacity.
-/// Why: "nothing covered" would not say that coming back later helps.
+/// Every shard is refused by its holder for lack of capacity. The caller must get
+/// "overloaded" with a retry time; "nothing covered" would not indicate that a later
+/// retry helps.
 #[test]
 fn search_refused_by_every_holder_returns_a_retry_time() {
     let cluster = cluster_with(2, 4, without_canary());
@@ -126,11 +125,10 @@
     assert_eq!(result.unwrap_err(), Error::Overloaded { retry_ms: 103 });
 }
 
-/// What the caller sees: Siam gets its answer at half of the deadline and is told
-/// what is missing; Barid waits, and gets every shard.
-/// Order: one shard of twenty takes 700 of 1,000 ms; holders answer partially at
-/// each tenant's patience. Why: the slowest shard must not set Siam's latency,
-/// and a thin answer strands Barid's load.
+/// One shard of twenty takes 700 of 1,000 ms, and holders return partial answers at the
+/// tenant's patience. Siam gets its answer at half of the deadline with the missing
+/// shard listed, so that the slowest shard does not determine its latency. Barid waits
+/// and gets every shard, since an incomplete answer would strand its load.
 #[parameterized(
     siam = { KEY, 19, true, 500..=520 },
     barid = { RIVAL_KEY, 20, false, 700..=720 },
@@ -156,10 +154,10 @@
     assert!(span_ms.contains(&span), "{span} ms");
 }
 
-/// What the caller sees: all that can be had by the deadline, within it.
-/// Order: a third of the shards take 700 ms; at patience two thirds are there,
-/// which is not enough for Siam; the late ones are asked once more, to the end.
-/// Why: holders cut them off at patience, so waiting alone would bring nothing.
+/// A third of the shards take 420 ms, so that two thirds are covered at Siam's patience
+/// of 400 ms, which is insufficient. Holders abandoned the late shards at that point,
+/// so waiting alone would not help: they are retried until the deadline, and the caller
+/// gets every shard.
 #[test]
 fn insufficient_coverage_retries_the_late_shards() {
     let cluster = cluster_with(3, 9, without_canary());
@@ -178,9 +176,9 @@
     assert!(answer.elapsed_us < 1_000_000);
 }
 
-/// What the caller sees: an answer without two shards, and that they waited in vain.
-/// Order: the holder's queue for two of twenty shards is full until patience.
-/// Why: "timed out" would hide that more load is the cause.
+/// The holder's queue for two of twenty shards is full until the tenant's patience
+/// ends. The answer must list them as expired in the queue: "timed out" would hide that
+/// load is the cause.
 #[test]
 fn shards_expired_in_the_queue_are_reported_as_such() {
     let cluster = cluster_with(3, 20, without_canary());
@@ -195,9 +193,8 @@
     assert_eq!(codes, [2005, 2005]);
 }
 
-/// What the caller sees: an answer with the shards that made it, at its deadline.
-/// Order: half of the shards never answer; the deadline passes.
-/// Why: a shard that is open at the end is missing, with its reason.
+/// Half of the shards never answer. At the deadline the caller gets the other half, and
+/// each unanswered shard is listed as missing with its reason.
 #[test]
 fn search_returns_partial_results_at_its_deadline() {
     let cluster = cluster_with(3, 8, without_canary());
@@ -213,9 +210,9 @@
     assert!(answer.elapsed_us <= 1_000_000, "{} us", answer.elapsed_us);
 }
 
-/// What the caller sees: a refusal at once, with the time to come back.
-/// Order: holders report a wait far beyond the patience; the next search comes.
-/// Why: taken in, it would be given up at its deadline after a long wait.
+/// Holders report a queueing delay far beyond the tenant's patience. The next search
+/// must be refused at once with a retry time; if admitted, it would fail at its
+/// deadline after a long wait.
 #[test]
 fn search_is_refused_at_once_under_overload() {
     let cluster = cluster(1, 4);
@@ -239,9 +236,9 @@
     assert_eq!(span, 0);
 }
 
-/// What the caller sees: everything as before, once the pressure is gone.
-/// Order: overload; everything is refused, so no answer brings news of the wait.
-/// Why: the known wait fades by itself, else the class would stay shut for good.
+/// Under overload every search is refused, so that no answer updates the queueing
+/// delay. The known delay must decay by itself, or the class would be refused
+/// permanently. The caller gets complete answers again once the overload has ended.
 #[test]
 fn admission_recovers_after_overload() {
     let cluster = cluster(1, 4);
@@ -272,10 +269,10 @@
     assert!(!after.contains(&cluster.nodes[1].record.entry));
 }
 
-/// What the caller sees: no refusal with 2004 by a node that has just started, and
-/// no search that loses a round trip to one. Order: a node joins and is up; the
-/// platform hangs, so it has no document for long; callers ask and search.
-/// Why: it answers its peers before it can serve, and being up was all that counted.
+/// A node joins and is up, but a hanging platform leaves it without a document for a
+/// long time. It answers its peers before it can serve. If only being up counted,
+/// callers would be sent to it and refused with 2004, and searches would lose a round
+/// trip to it.
 #[test]
 fn node_that_does_not_serve_yet_gets_no_callers_and_no_groups() {
     let cluster = cluster_with(3, 40, without_canary());
@@ -291,9 +288,9 @@
     assert!(cluster.shards.asked.borrow().iter().all(|(asked, _, _)| asked != name));
 }
 
-/// What the callers see: while a node holds its document back after a freeze it
-/// advises the others and not itself. It is not told to the others, as it serves
-/// again within two seconds.
+/// While a node withholds its document after a freeze, it advises the other nodes and
+/// not itself. It does not announce this to them, as it serves again within two
+/// seconds.
 #[test]
 fn node_without_a_document_advises_other_nodes() {
     let cluster = cluster(3, 2);
--- a/crates/kumquatnotch-query/tests/tickets.rs
+++ b/crates/kumquatnotch-query/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets: whom they serve, how long, and what is kept under them.
+//! Tests of the ownership and validity of tickets, and of the stored outcomes.
 
 mod common;
 
@@ -17,8 +17,8 @@
     cluster.shards.runs.borrow().len()
 }
 
-/// What the caller sees: "bad ticket", and nothing of the other's outcome.
-/// Order: a ticket is used again with another request, or by another tenant.
+/// A ticket that is reused with another request or by another tenant is refused as a
+/// bad ticket, and reveals nothing of the original outcome.
 #[test]
 fn ticket_is_valid_for_one_request_of_one_tenant() {
     let cluster = cluster(2, 10);
@@ -51,9 +51,9 @@
     assert_eq!(runs(&cluster), 0);
 }
 
-/// What the caller sees: "expired" if nothing was sent in time; the outcome if it
-/// was. Order: two tickets, one used; both grow old; both are sent again.
-/// Why: an expired ticket may have been forgotten, so running it may double.
+/// Of two expired tickets, the used one still returns its outcome and the unused one
+/// "expired". The entry of an expired ticket may have been removed, so running its
+/// request could run it twice.
 #[test]
 fn expired_ticket_never_runs() {
     let options = TicketOptions { valid: ms(60_000), ..TicketOptions::default() };
@@ -77,9 +77,9 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: "ask again" from a node that has just started, "outcome
-/// unknown" from one that has run for long. Order: the issuer is gone from the
-/// members. Why: a young node may not have heard of it yet.
+/// The issuer is no longer a member. A node that has just started may not know the
+/// issuer yet and returns "issuer unreachable"; one that has run for longer returns
+/// "outcome unknown".
 #[test]
 fn missing_issuer_leaves_the_outcome_unknown() {
     let cluster = cluster(3, 10);
@@ -96,9 +96,9 @@
     assert_eq!(settled.unwrap_err(), Error::OutcomeUnknown);
 }
 
-/// What the caller sees: the outcome, on asking again.
-/// Order: the caller goes away while its request runs; the run goes on in a task
-/// of its own. Why: cancelling it would leave the outcome unknown for no reason.
+/// The caller disconnects while its request is running. The run continues in a separate
+/// task and the caller gets its outcome on retry; cancelling it would leave the outcome
+/// unknown without need.
 #[test]
 fn disconnected_caller_can_retry() {
     let cluster = cluster(2, 10);
@@ -118,10 +118,9 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: the one hold, before and after.
-/// Order: a ticket is issued; the request runs; the document moves the shards
-/// elsewhere and drains targets; the request is sent again.
-/// Why: another shard would not know of the first hold.
+/// After a request has run, the document moves the shards, drains the targets and
+/// withdraws the selector. The same request, sent again, must return the first outcome:
+/// another shard would not know of the first hold.
 #[test]
 fn changed_document_does_not_rerun_a_request() {
     let cluster = cluster(3, 10);
@@ -141,9 +140,9 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: "ask again" or the outcome, and never a false "not run".
-/// Order: a hold ran; the caller asks again through a node that can't serve.
-/// Why: that node's own "not run" would speak of its copy only.
+/// After a hold has run, the caller retries through nodes that cannot serve or cannot
+/// reach the issuer. They return the outcome or a retryable error, never "not run",
+/// which would be true only of their own copy.
 #[test]
 fn node_that_cannot_reach_the_issuer_never_reports_not_run() {
     let cluster = cluster(3, 10);
@@ -168,8 +167,8 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the callers see: refusals of new tickets and requests; outcomes as ever.
-/// Order: the issuer is closing; a hold that ran is asked for, a new one is sent.
+/// A closing issuer refuses new tickets and new requests, but still returns the
+/// outcomes of requests that have run.
 #[test]
 fn closing_issuer_returns_outcomes_and_runs_nothing() {
     let cluster = cluster(2, 10);
@@ -189,9 +188,9 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// What the caller sees: no new ticket, and the time to come back; the outcomes of
-/// the others are kept. Order: the table of outcomes is full.
-/// Why: forgetting one early to make room would let its ticket run again.
+/// When the table of outcomes is full, new tickets are refused with a retry time, and
+/// existing outcomes are kept. If an outcome were evicted early, its ticket could run
+/// again.
 #[test]
 fn full_outcome_table_refuses_requests_and_evicts_nothing() {
     let options = TicketOptions { max_outcomes: 2, ..TicketOptions::default() };
--- a/crates/kumquatnotch-query/tests/versions.rs
+++ b/crates/kumquatnotch-query/tests/versions.rs
@@ -1,4 +1,5 @@
-//! One snapshot for each answer, while versions roll and collections are repartitioned.
+//! Tests that each answer comes from one snapshot while versions are rolled out and
+//! collections are repartitioned.
 
 mod common;
 
@@ -15,7 +16,7 @@
     QueryOptions { front, ..QueryOptions::default() }
 }
 
-/// The versions that the hits of `answer` were taken from.
+/// Returns the versions from which the hits of `answer` were taken.
 fn hit_versions(answer: &Answer) -> Vec<u64> {
     let mut versions: Vec<u64> =
         answer.hits.iter().filter_map(|hit| hit.fields["version"].as_u64()).collect();
@@ -30,11 +31,10 @@
     assert_eq!(coverage.asked as usize, coverage.covered as usize + coverage.missing.len());
 }
 
-/// What the callers see: full answers throughout, each from one version.
-/// Order: a new version is published shard by shard, then the old one is dropped
-/// shard by shard, while searches run one after the other.
-/// Why: choosing the newest version that is seen anywhere would thin the answers,
-/// and waiting for the roll to end would hold callers up.
+/// A new version is published and the old one dropped, shard by shard, while searches
+/// run one after another. Every answer must be complete and from one version. Choosing
+/// the newest version reported anywhere would reduce the coverage, and waiting for the
+/// rollout to finish would delay callers.
 #[test]
 fn answers_stay_complete_during_a_version_rollout() {
     let cluster = cluster_with(3, 12, without_canary());
@@ -62,11 +62,10 @@
     assert_eq!(answers.last().unwrap().coverage.version, IndexVersion(2));
 }
 
-/// What the caller sees: a full answer from version 2, within its deadline.
-/// Order: the node knows of version 1 only; all shards drop it for version 2 while
-/// the search is on its way; the first "gone" brings the news, and the whole
-/// search is planned again. Why: going on with the rest would mix two versions or
-/// thin the answer.
+/// The node knows only version 1, and all shards replace it with version 2 while a
+/// search is running. The first "version gone" error triggers a refresh, and the whole
+/// search is planned again. Otherwise the answer would mix two versions or be
+/// incomplete. The caller gets a complete answer from version 2 within its deadline.
 #[test]
 fn search_is_replanned_when_its_version_is_dropped() {
     let cluster = cluster_with(3, 12, without_canary());
@@ -86,10 +85,9 @@
     assert!(answer.elapsed_us < 20_000, "{} us", answer.elapsed_us);
 }
 
-/// What the caller sees: a full answer from version 2, though many groups roll.
-/// Order: as before, with five groups that answer one after the other; the first
-/// "gone" tells of its own shards only. Why: a plan made from that alone took the
-/// other shards as not having version 2 yet, and the answer was thin.
+/// As above, with five groups that answer one after another. The first "version gone"
+/// error reports only its own shards; a plan made from it alone assumed that the others
+/// did not have version 2, and the answer was incomplete.
 #[test]
 fn plan_made_during_a_search_covers_all_shards() {
     let cluster = cluster_with(5, 40, without_canary());
@@ -113,10 +111,10 @@
     assert_eq!(answer.coverage.version, IndexVersion(2));
 }
 
-/// What the caller sees: a full answer of version 3.
-/// Order: shards that stand under other names than declared roll to the next
-/// version under a search. Why: an answer tells of the shard asked for, which the
-/// document does not declare; only a poll of the declared ones brings the news.
+/// Shards with other names than declared change to the next version during a search. An
+/// answer reports the requested shard, which the document does not declare, so only a
+/// request for the declared ones returns the new versions. The caller gets a complete
+/// answer from version 3.
 #[test]
 fn running_search_follows_a_rollout_of_repartitioned_shards() {
     let cluster = cluster_with(3, 2, without_canary());
@@ -141,10 +139,9 @@
     assert_eq!(answer.coverage.version, IndexVersion(3));
 }
 
-/// What the caller sees: an answer from version 1 that lists the one shard.
-/// Order: one shard of twelve has dropped version 1 early and has version 2 alone;
-/// the others have version 1 alone. Why: planning again at version 2 would cover
-/// one shard in place of eleven.
+/// One shard of twelve has already replaced version 1 with version 2; the others have
+/// only version 1. Planning again at version 2 would cover one shard instead of eleven.
+/// The caller gets an answer from version 1 that lists the one shard as missing.
 #[test]
 fn search_is_not_replanned_at_a_version_with_less_coverage() {
     let cluster = cluster_with(3, 12, without_canary());
@@ -162,10 +159,10 @@
     assert_eq!(answer.coverage.missing[0].code, 4006);
 }
 
-/// What the callers see: full answers, of two shards and then of four.
-/// Order: two shards are split in four under new names, on the same replicas; the
-/// old layout goes while searches run. Why: the number of shards comes from the
-/// layout of the chosen version and not from the document, which still names two.
+/// Two shards are split into four with new names on the same replicas, and the old
+/// layout is dropped while searches run. The number of shards must come from the layout
+/// of the chosen version, as the document still declares two. Answers are complete,
+/// first with two shards and then with four.
 #[test]
 fn repartitioned_collection_is_covered_in_full() {
     let cluster = cluster_with(3, 2, without_canary());
@@ -198,9 +195,8 @@
     assert_eq!((asked[0], asked[4]), (2, 4));
 }
 
-/// What the first caller sees: its answer, a little late.
-/// Order: a node has just started; its holders have not heard of any version for
-/// 100 ms. Why: "no version" at once would fail every caller of a young node.
+/// The holders of a new node know no version for its first 100 ms. A "no version" error
+/// would fail every early caller, so the search waits, and the caller gets its answer.
 #[test]
 fn new_node_waits_for_the_first_version_reports() {
     let cluster = cluster(1, 4);
@@ -221,9 +217,8 @@
     assert!(answer.coverage.is_full());
 }
 
-/// What the caller sees: error 3005, at half of its deadline.
-/// Order: no holder has heard of any version, and none does.
-/// Why: an empty list would read as "nothing available".
+/// No holder ever knows a version. The caller must get error 3005 at half of its
+/// deadline: an empty list would be read as "nothing available".
 #[test]
 fn search_without_any_version_fails() {
     let cluster = cluster(1, 4);
@@ -236,10 +231,9 @@
     assert_eq!(code(result), 3005);
 }
 
-/// What the callers see: full answers again, without a search having failed.
-/// Order: a new version comes while nobody searches, and the old one goes; the
-/// background asks holders for what it has not heard of.
-/// Why: the first search after a quiet hour would else begin with a stale plan.
+/// A new version replaces the old one while no search is running. The background task
+/// requests reports that are out of date; otherwise the first search after an idle hour
+/// would start with a stale plan.
 #[test]
 fn versions_are_refreshed_between_searches() {
     let cluster = cluster_with(2, 4, without_canary());
