--- a/crates/kumquatnotch-query/examples/root.rs
+++ b/crates/kumquatnotch-query/examples/root.rs
@@ -45,7 +45,7 @@
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut held: BTreeMap<&str, usize> = names.iter().map(|name| (*name, 0)).collect();
         let groups: BTreeSet<GroupId> = (0..shards).map(|n| table.group(&shard(n))).collect();
-        let met: BTreeSet<GroupId> =
+        let used: BTreeSet<GroupId> =
             (0..shards).step_by(selectors).map(|n| table.group(&shard(n))).collect();
         for group in &groups {
             let first = rendezvous(&group.0.to_be_bytes(), &names)[0];
@@ -58,7 +58,7 @@
              a query of {} shards meets {} groups",
             groups.len(),
             shards / selectors,
-            met.len(),
+            used.len(),
         );
     }
 }
--- a/crates/kumquatnotch-query/src/canary.rs
+++ b/crates/kumquatnotch-query/src/canary.rs
@@ -120,7 +120,7 @@
 ///
 /// It depends only on the request. The same request sent to any node therefore reaches
 /// the same holder, which recognises it.
-pub(crate) fn first_shard(fingerprint: Fingerprint, shards: &[&PlannedShard]) -> usize {
+pub(crate) fn canary_shard(fingerprint: Fingerprint, shards: &[&PlannedShard]) -> usize {
     let names: Vec<&str> = shards.iter().map(|planned| planned.shard.as_str()).collect();
     let first = rendezvous(&fingerprint.0.to_be_bytes(), &names).first().copied();
     shards.iter().position(|planned| Some(planned.shard.as_str()) == first).unwrap_or(0)
--- a/crates/kumquatnotch-query/src/front.rs
+++ b/crates/kumquatnotch-query/src/front.rs
@@ -121,7 +121,7 @@
     }
 
     /// Returns the document if this node accepts requests.
-    fn serving(&self) -> Result<Rc<Document>> {
+    fn serving_document(&self) -> Result<Rc<Document>> {
         match self.lifecycle.stage() {
             Stage::Starting => Err(Error::NotReady),
             // Callers cache the entry advice, so a leaving node still serves.
@@ -131,10 +131,10 @@
     }
 
     async fn handle_search(&self, key: &str, request: SearchRequest) -> Result<Answer> {
-        let document = self.serving()?;
+        let document = self.serving_document()?;
         let tenant = self.access.tenant(&document, key)?;
         let spec = permitted(&document, &request.selector, &tenant, false)?;
-        let result = self.search_as(&document, &tenant, spec, request).await;
+        let result = self.run_search(&document, &tenant, spec, request).await;
         match &result {
             Ok(answer) => {
                 let span = Duration::from_micros(answer.elapsed_us);
@@ -145,7 +145,7 @@
         result
     }
 
-    async fn search_as(
+    async fn run_search(
         &self,
         document: &Document,
         tenant: &TenantName,
@@ -225,7 +225,7 @@
     }
 
     fn issue_ticket(&self, key: &str) -> Result<TicketGrant> {
-        let document = self.serving()?;
+        let document = self.serving_document()?;
         let tenant = self.access.tenant(&document, key)?;
         self.tickets.issue(&tenant)
     }
--- a/crates/kumquatnotch-query/src/gather.rs
+++ b/crates/kumquatnotch-query/src/gather.rs
@@ -21,7 +21,7 @@
 use kumquatnotch_policy::stop::Progress;
 
 use crate::{
-    canary::{HeldBack, first_shard},
+    canary::{HeldBack, canary_shard},
     groups::GroupId,
     meters,
     plan::{GoneShards, Plan, PlannedShard},
@@ -36,7 +36,7 @@
     Done(Vec<Hit>, Coverage),
     /// Shards no longer have the version, and `plan` is better; `covered` is the number
     /// of shards that ran the request in this round.
-    Gone { plan: Rc<Plan>, covered: u32 },
+    Replan { plan: Rc<Plan>, covered: u32 },
 }
 
 /// Shards of one request to a holder.
@@ -120,7 +120,7 @@
                 Either::Left((Some(Event::Refreshed), _)) => {
                     self.refreshing = false;
                     if let Some(next) = search.replan(self.plan, gone) {
-                        return Ok(Round::Gone { plan: next, covered: self.covered });
+                        return Ok(Round::Replan { plan: next, covered: self.covered });
                     }
                     self.release_due();
                 }
@@ -182,7 +182,7 @@
     /// Sends the request to its canary shard and removes that shard from `shards`.
     fn send_canary(&mut self, shards: &mut Vec<&'a PlannedShard>) {
         meters::canary();
-        let first = shards.swap_remove(first_shard(self.search.fingerprint, shards));
+        let first = shards.swap_remove(canary_shard(self.search.fingerprint, shards));
         for mut part in self.parts(&[first]) {
             part.canary = true;
             self.send(part, self.search.deadlines);
--- a/crates/kumquatnotch-query/src/plan.rs
+++ b/crates/kumquatnotch-query/src/plan.rs
@@ -234,12 +234,12 @@
 /// Names for shards that belong to a snapshot but were not reported at it.
 struct MissingNames<'a> {
     unknown: Vec<&'a UnknownShard>,
-    known: BTreeSet<String>,
+    known_collections: BTreeSet<String>,
 }
 
 impl<'a> MissingNames<'a> {
     fn new(unknown: &'a [UnknownShard]) -> MissingNames<'a> {
-        MissingNames { unknown: unknown.iter().collect(), known: BTreeSet::new() }
+        MissingNames { unknown: unknown.iter().collect(), known_collections: BTreeSet::new() }
     }
 
     /// Lists `unassigned` shards of `collection` as missing, under the names of
@@ -253,7 +253,7 @@
         (unassigned, named): (usize, bool),
         absent: &mut Vec<Missing>,
     ) {
-        self.known.insert(collection.to_owned());
+        self.known_collections.insert(collection.to_owned());
         for number in 0..unassigned {
             // Prefer a shard that was reported in this collection, then one that was
             // never reported and may belong to it.
@@ -273,7 +273,7 @@
     /// down. If it were omitted, an incomplete answer would appear complete.
     fn add_remaining(self, absent: &mut Vec<Missing>) {
         for unknown in self.unknown {
-            if unknown.collections.is_disjoint(&self.known) {
+            if unknown.collections.is_disjoint(&self.known_collections) {
                 absent.push(Missing::new(unknown.shard.clone(), &Error::NoTarget));
             }
         }
--- a/crates/kumquatnotch-query/src/search.rs
+++ b/crates/kumquatnotch-query/src/search.rs
@@ -64,7 +64,7 @@
             let gather = Gather::new(self, &plan, round + 1 >= self.max_plans);
             match gather.run(canary, &mut gone).await? {
                 Round::Done(hits, coverage) => return Ok(self.answer(hits, coverage)),
-                Round::Gone { plan: next, covered } => {
+                Round::Replan { plan: next, covered } => {
                     // A canary that reached a shard at another version has not run the
                     // request.
                     canary &= covered == 0;
--- a/crates/kumquatnotch-query/tests/groups.rs
+++ b/crates/kumquatnotch-query/tests/groups.rs
@@ -51,11 +51,11 @@
 fn query_uses_only_the_groups_of_its_selector() {
     let table = GroupTable::new(&document(4_800), 20);
 
-    let met = groups(&table, (0..4_800).step_by(3));
+    let used = groups(&table, (0..4_800).step_by(3));
     let others = groups(&table, (0..4_800).filter(|number| number % 3 != 0));
 
-    assert!(met.len() <= 128, "{}", met.len());
-    assert!(met.is_disjoint(&others));
+    assert!(used.len() <= 128, "{}", used.len());
+    assert!(used.is_disjoint(&others));
 }
 
 #[test]
--- a/crates/kumquatnotch-query/tests/holders.rs
+++ b/crates/kumquatnotch-query/tests/holders.rs
@@ -21,7 +21,7 @@
 /// tried at once, since the membership needs seconds to detect the failure. The caller
 /// gets a complete answer with little delay.
 #[parameterized(
-    nobody_listens = { LinkState::Closed },
+    not_listening = { LinkState::Closed },
     request_lost = { LinkState::RequestLost },
     reply_lost = { LinkState::ReplyLost },
 )]
--- a/crates/kumquatnotch-query/tests/plan.rs
+++ b/crates/kumquatnotch-query/tests/plan.rs
@@ -26,7 +26,7 @@
     view
 }
 
-fn at(version: u64, shard: &str, collection: &str, total: u32) -> HeldVersion {
+fn held_version(version: u64, shard: &str, collection: &str, total: u32) -> HeldVersion {
     HeldVersion {
         version: IndexVersion(version),
         shard: shard.into(),
@@ -43,35 +43,35 @@
 
 #[parameterized(
     newest_that_all_have = {
-        &[("a", &[at(1, "a", "c", 2), at(2, "a", "c", 2)]), ("b", &[at(1, "b", "c", 2)])],
+        &[("a", &[held_version(1, "a", "c", 2), held_version(2, "a", "c", 2)]), ("b", &[held_version(1, "b", "c", 2)])],
         &["a", "b"], (1, 2, 2)
     },
     best_coverage_else = {
-        &[("a", &[at(3, "a", "c", 3)]), ("b", &[at(2, "b", "c", 3)]), ("d", &[at(2, "d", "c", 3)])],
+        &[("a", &[held_version(3, "a", "c", 3)]), ("b", &[held_version(2, "b", "c", 3)]), ("d", &[held_version(2, "d", "c", 3)])],
         &["a", "b", "d"], (2, 2, 3)
     },
     newest_of_equals = {
-        &[("a", &[at(3, "a", "c", 2)]), ("b", &[at(2, "b", "c", 2)])],
+        &[("a", &[held_version(3, "a", "c", 2)]), ("b", &[held_version(2, "b", "c", 2)])],
         &["a", "b"], (3, 1, 2)
     },
-    never_heard_fills_the_layout = {
-        &[("a", &[at(1, "a", "c", 2)])], &["a", "b"], (1, 1, 2)
+    unreported_shard_fills_the_layout = {
+        &[("a", &[held_version(1, "a", "c", 2)])], &["a", "b"], (1, 1, 2)
     },
-    never_heard_beyond_the_layout = {
-        &[("a", &[at(1, "a", "c", 1)])], &["a", "b"], (1, 1, 2)
+    unreported_shard_beyond_the_layout = {
+        &[("a", &[held_version(1, "a", "c", 1)])], &["a", "b"], (1, 1, 2)
     },
     undeclared_part_of_the_layout = {
-        &[("a", &[at(1, "a", "c", 3)])], &["a"], (1, 1, 3)
+        &[("a", &[held_version(1, "a", "c", 3)])], &["a"], (1, 1, 3)
     },
     merged_halves = {
-        &[("a", &[at(1, "a", "c", 2), at(2, "ab", "c", 1)]), ("b", &[at(1, "b", "c", 2)])],
+        &[("a", &[held_version(1, "a", "c", 2), held_version(2, "ab", "c", 1)]), ("b", &[held_version(1, "b", "c", 2)])],
         &["a", "b"], (2, 1, 1)
     },
-    moved_shard_takes_no_other_place = {
-        &[("a", &[at(1, "a", "c", 3), at(1, "b", "c", 3)]), ("b", &[])], &["a", "b"], (1, 2, 3)
+    moved_shard_takes_no_other_slot = {
+        &[("a", &[held_version(1, "a", "c", 3), held_version(1, "b", "c", 3)]), ("b", &[])], &["a", "b"], (1, 2, 3)
     },
     other_collection_counts = {
-        &[("a", &[at(2, "a", "c", 1)]), ("x", &[at(1, "x", "d", 2)])], &["a", "x"], (2, 1, 3)
+        &[("a", &[held_version(2, "a", "c", 1)]), ("x", &[held_version(1, "x", "d", 2)])], &["a", "x"], (2, 1, 3)
     },
 )]
 fn layout_determines_the_requested_shards(
@@ -87,19 +87,19 @@
 /// that took effect at once would reduce the coverage of the next answers, and a lost
 /// shard must still count. Both shards are requested before and after.
 #[parameterized(
-    a_moment = { 1_000, 2 },
-    for_good = { 11_000, 1 },
+    briefly = { 1_000, 2 },
+    permanently = { 11_000, 1 },
 )]
-fn empty_report_does_not_shrink_a_plan(span: u64, shards: usize) {
+fn empty_report_does_not_shrink_a_plan(elapsed_ms: u64, shards: usize) {
     let clock = PausedClock::default();
     let view = VersionView::default();
     let report = |shard: &str, versions: Vec<HeldVersion>| {
         let report = ShardVersions { shard: shard.into(), versions };
         view.update(clock.now(), &[report]);
     };
-    report("a", vec![at(1, "a", "c", 1)]);
-    report("b", vec![at(1, "b", "d", 1)]);
-    clock.advance(ms(span));
+    report("a", vec![held_version(1, "a", "c", 1)]);
+    report("b", vec![held_version(1, "b", "d", 1)]);
+    clock.advance(ms(elapsed_ms));
     report("b", Vec::new());
 
     let plan = plan(&view, &["a".into(), "b".into()]).unwrap();
@@ -111,7 +111,7 @@
 /// the new layout must not be listed as "b", which is not part of the snapshot.
 #[test]
 fn missing_shard_of_a_new_layout_has_no_old_name() {
-    let view = view_of(&[("a", &[at(2, "p0", "c", 4), at(2, "p1", "c", 4)])]);
+    let view = view_of(&[("a", &[held_version(2, "p0", "c", 4), held_version(2, "p1", "c", 4)])]);
 
     let plan = plan(&view, &["a".into(), "b".into()]).unwrap();
 
@@ -124,7 +124,10 @@
 /// and missing. It must be listed once.
 #[test]
 fn moved_shard_is_planned_once() {
-    let view = view_of(&[("a", &[at(1, "a", "c", 2), at(1, "b", "c", 2)]), ("b", &[])]);
+    let view = view_of(&[
+        ("a", &[held_version(1, "a", "c", 2), held_version(1, "b", "c", 2)]),
+        ("b", &[]),
+    ]);
 
     let plan = plan(&view, &["a".into(), "b".into()]).unwrap();
 
@@ -146,12 +149,12 @@
         let clock = PausedClock::default();
         let view = Rc::new(VersionView::default());
         let declared: Vec<ShardName> = (0..reports.len()).map(shard).collect();
-        for (home, versions) in declared.iter().zip(&reports) {
+        for (name, versions) in declared.iter().zip(&reports) {
             let versions = versions
                 .iter()
-                .map(|(version, part, total)| at(*version, &format!("s{part}"), "c", *total))
+                .map(|(version, part, total)| held_version(*version, &format!("s{part}"), "c", *total))
                 .collect();
-            let report = ShardVersions { shard: home.clone(), versions };
+            let report = ShardVersions { shard: name.clone(), versions };
             view.update(clock.now(), &[report]);
         }
         if let Ok(plan) = plan(&view, &declared) {
--- a/crates/kumquatnotch-query/tests/search.rs
+++ b/crates/kumquatnotch-query/tests/search.rs
@@ -29,10 +29,10 @@
 
 #[parameterized(
     unknown_selector = { SearchRequest { selector: "nothing".into(), ..search_request("a") }, 1003 },
-    ticket_needed = { SearchRequest { selector: HOLDS.into(), ..search_request("a") }, 1001 },
-    no_hits_wanted = { SearchRequest { limit: 0, ..search_request("a") }, 1001 },
+    exclusive_selector = { SearchRequest { selector: HOLDS.into(), ..search_request("a") }, 1001 },
+    zero_limit = { SearchRequest { limit: 0, ..search_request("a") }, 1001 },
     too_many_hits = { SearchRequest { limit: 100_000, ..search_request("a") }, 1001 },
-    no_time = { SearchRequest { deadline_ms: Some(0), ..search_request("a") }, 1001 },
+    zero_deadline = { SearchRequest { deadline_ms: Some(0), ..search_request("a") }, 1001 },
     large_query = { search_request(&"a".repeat(70_000)), 1002 },
 )]
 fn invalid_request_is_refused_with_its_code(request: SearchRequest, expected: u16) {
