--- a/crates/kumquatnotch-query/examples/root.rs
+++ b/crates/kumquatnotch-query/examples/root.rs
@@ -36,7 +36,7 @@
 /// Prints how evenly groups are distributed over nodes, and how many groups a query of
 /// one selector uses.
 fn print_group_balance() {
-    println!("groups on nodes: shards, selectors, to a group, groups, nodes: least, mean, most");
+    println!("groups per node: shards, selectors, group size, groups, nodes: min, mean, max");
     for (shards, selectors, size, nodes) in
         [(50, 1, 8, 9), (50, 1, 4, 9), (50, 1, 2, 9), (4_800, 3, 20, 1_900), (4_800, 3, 40, 1_900)]
     {
@@ -55,7 +55,7 @@
         let mean = groups.len() as f64 / nodes as f64;
         println!(
             "  {shards:5} {selectors} {size:3} {:4} {nodes:5}: {least} {mean:.2} {most}; \
-             a query of {} shards meets {} groups",
+             a query of {} shards uses {} groups",
             groups.len(),
             shards / selectors,
             used.len(),
@@ -93,7 +93,7 @@
 
 /// Prints the processor time of a search, including the fakes.
 fn print_cpu_time() {
-    println!("processor time of a search: shards, microseconds, microseconds a shard");
+    println!("processor time of a search: shards, microseconds, microseconds per shard");
     for shards in [1, 10, 50, 1_600] {
         // A single node, whose own holder answers at once, so that nothing waits for
         // the clock.
@@ -115,7 +115,7 @@
 /// Prints the latency of searches over 50 shards, one of which is a straggler, with and
 /// without a canary, by the share of repeated searches.
 fn print_canary() {
-    println!("canary: share seen before, seed: p50 and p99 in ms without, with");
+    println!("canary: share of repeated searches, seed: p50 and p99 in ms without, with");
     for seen in [0.0, 0.5, 0.9] {
         for seed in 1..=SEEDS {
             let without = latencies(false, seen, seed);
--- a/crates/kumquatnotch-query/src/front.rs
+++ b/crates/kumquatnotch-query/src/front.rs
@@ -111,7 +111,7 @@
         let waits = Class::ALL
             .map(|class| format!("{} {:?}", class.as_str(), self.admission.wait(now, class)));
         format!(
-            "searches: {} running; wait {}\nversions: {} shards heard of\n{}{}",
+            "searches: {} running; wait {}\nversions: {} shards known\n{}{}",
             self.admission.running(),
             waits.join(", "),
             self.planner.view.len(),
--- a/crates/kumquatnotch-query/src/latency.rs
+++ b/crates/kumquatnotch-query/src/latency.rs
@@ -38,7 +38,7 @@
 
 /// Two significant digits are enough for a delay.
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, MAX_US, 2).expect("the bounds are constants that fit")
+    Histogram::new_with_bounds(1, MAX_US, 2).expect("histogram bounds are valid constants")
 }
 
 impl Latency {
--- a/crates/kumquatnotch-query/src/plan.rs
+++ b/crates/kumquatnotch-query/src/plan.rs
@@ -227,7 +227,7 @@
     let before = versions.range(..version).next_back();
     let nearest = before.or_else(|| versions.range(version..).next());
     // A collection is only inserted together with a version.
-    let (_, layout) = nearest.expect("a collection has a version");
+    let (_, layout) = nearest.expect("collection should have a version");
     (layout, false)
 }
 
--- a/crates/kumquatnotch-query/src/runner.rs
+++ b/crates/kumquatnotch-query/src/runner.rs
@@ -120,7 +120,7 @@
         // outcome, and a late reply is better than none.
         match self.router.send(holder, &message, deadline + self.grace).await? {
             PeerReply::Relay(reply) => Ok(*reply),
-            _ => Err(Error::protocol("not a reply of a target")),
+            _ => Err(Error::protocol("unexpected peer reply to a relayed call")),
         }
     }
 }
--- a/crates/kumquatnotch-query/src/search.rs
+++ b/crates/kumquatnotch-query/src/search.rs
@@ -69,7 +69,7 @@
                     // request.
                     canary &= covered == 0;
                     meters::replanned();
-                    tracing::info!("front: planned again at version {}", next.version);
+                    tracing::info!("front: search planned again at version {}", next.version);
                     plan = next;
                 }
             }
--- a/crates/kumquatnotch-query/src/tickets.rs
+++ b/crates/kumquatnotch-query/src/tickets.rs
@@ -80,7 +80,7 @@
         let lifecycle: Lifecycle = registry.find(services::LIFECYCLE)?;
         let router: Rc<Router> = registry.find(ROUTER)?;
         if members.local().name.contains(':') {
-            let detail = "the name of a node must not contain a colon".to_owned();
+            let detail = "node name must not contain a colon".to_owned();
             return Err(Error::BadSettings { detail });
         }
         // Outcomes are kept for twice the validity of a ticket, so that a caller that
@@ -285,7 +285,7 @@
             let guard = RunGuard { outcomes: &this.outcomes, serial };
             let outcome = this.runner.run(&document, &request, deadline).await;
             if outcome == Outcome::Failed(Error::OutcomeUnknown) {
-                tracing::warn!("ticket: the outcome of {serial} is unknown");
+                tracing::warn!("ticket: outcome of serial {serial} is unknown");
             }
             this.outcomes.end(serial, outcome);
             drop(guard);
@@ -332,7 +332,7 @@
     fn handle(&self, message: PeerMessage) -> LocalFuture<'_, Result<PeerReply>> {
         Box::pin(async move {
             let PeerMessage::Exclusive(request) = message else {
-                return Err(Error::protocol("not a message for the issuer of a ticket"));
+                return Err(Error::protocol("unexpected message for the ticket service"));
             };
             let outcome = match request.ticket.parse() {
                 Ok(ticket) => self.run_or_wait(&ticket, *request).await,
--- a/crates/kumquatnotch-query/tests/common/holder.rs
+++ b/crates/kumquatnotch-query/tests/common/holder.rs
@@ -188,7 +188,7 @@
                     Ok(PeerReply::Versions(self.shards.versions(&shards)))
                 }
                 PeerMessage::Relay(relay) => self.shards.relay(*relay).await,
-                _ => Err(Error::protocol("not for a holder")),
+                _ => Err(Error::protocol("unexpected message for a holder")),
             }
         })
     }
--- a/crates/kumquatnotch-query/tests/common/mod.rs
+++ b/crates/kumquatnotch-query/tests/common/mod.rs
@@ -167,7 +167,7 @@
         let asked = self.shards.asked.borrow();
         let holds = |node: &Node| asked.iter().any(|(name, _, _)| *name == node.record.name);
         let place = self.nodes.iter().skip(1).position(holds);
-        1 + place.expect("node 0 does not hold every group")
+        1 + place.expect("node 0 should not hold every group")
     }
 
     pub fn set_link(&self, number: usize, link: net::LinkState) {
--- a/crates/kumquatnotch-query/tests/common/net.rs
+++ b/crates/kumquatnotch-query/tests/common/net.rs
@@ -16,7 +16,7 @@
 pub enum LinkState {
     /// No fault; half a millisecond in each direction.
     Healthy,
-    /// Connections are refused.
+    /// Nothing listens at the address.
     Closed,
     /// Messages reach the kernel of a stopped process: there is no reply, and nothing
     /// runs until the process resumes.
--- a/crates/kumquatnotch-query/tests/exclusive.rs
+++ b/crates/kumquatnotch-query/tests/exclusive.rs
@@ -16,7 +16,7 @@
 fn holder_of_hold(cluster: &Cluster) -> usize {
     let sent = cluster.net.sent.borrow();
     let relay = sent.iter().find(|(_, message)| matches!(message, PeerMessage::Relay(_)));
-    let address = relay.expect("the hold went to another node").0;
+    let address = relay.expect("hold should be sent to another node").0;
     cluster.nodes.iter().position(|node| node.record.peer == address).unwrap()
 }
 
@@ -158,11 +158,11 @@
             return number;
         }
     }
-    unreachable!("one node can't hold it for all");
+    unreachable!("every node holds the shard itself");
 }
 
-/// If the holder refuses the connection, the request was certainly not delivered, and
-/// the next holder in rank gets it. Only in this case can a second attempt not run it
+/// If nothing listens at the holder, the request was certainly not delivered, and the
+/// next holder in rank gets it. Only in this case can a second attempt not run it
 /// twice. The caller gets its hold.
 #[test]
 fn undelivered_request_is_sent_to_the_next_holder() {
--- a/crates/kumquatnotch-query/tests/groups.rs
+++ b/crates/kumquatnotch-query/tests/groups.rs
@@ -45,8 +45,8 @@
 }
 
 /// If shards were grouped by their hash alone, a query for 1,600 of 4,800 shards would
-/// use all 256 groups, each for six of its shards. At 4,800 shards that is six times as
-/// many messages between nodes, and the slowest holder determines the latency.
+/// use all 256 groups, each for six of its shards. At the planned size that means six
+/// times as many messages between nodes, and the slowest holder determines the latency.
 #[test]
 fn query_uses_only_the_groups_of_its_selector() {
     let table = GroupTable::new(&document(4_800), 20);
--- a/crates/kumquatnotch-query/tests/holders.rs
+++ b/crates/kumquatnotch-query/tests/holders.rs
@@ -286,8 +286,9 @@
     assert_eq!(cluster.shards.asked.borrow().len(), 2);
 }
 
-/// Another node has marked the request, and the mark arrived by gossip. The request is
-/// refused at once with the remaining time, on a node that has not seen a crash itself.
+/// Another node has marked the request, and the mark arrived with a membership update.
+/// The request is refused at once with the remaining time, on a node that has not seen
+/// a crash.
 #[test]
 fn marked_request_is_refused_without_being_sent() {
     let cluster = cluster(2, 8);
