--- a/crates/kumquatnotch-query/examples/root.rs
+++ b/crates/kumquatnotch-query/examples/root.rs
@@ -1,8 +1,9 @@
-//! What the root of a query costs, and what its canary costs callers.
+//! Benchmarks the processor time of the root of a query and the latency that the canary
+//! adds.
 //!
-//! The nodes are real roots over fakes of the network and of the holders, on a
-//! paused clock: latencies are of that clock and repeat with the seed; processor
-//! time is that of this process, with the fakes in it.
+//! The nodes are real roots with a fake network and fake holders on a paused clock.
+//! Latencies are in the time of that clock and reproducible by seed; processor time is
+//! that of this process, including the fakes.
 //!
 //! `cargo run --release -p kumquatnotch-query --example root`
 
@@ -27,14 +28,15 @@
 const SEEDS: u64 = 5;
 
 fn main() {
-    print_balance();
-    print_cost();
+    print_group_balance();
+    print_cpu_time();
     print_canary();
 }
 
-/// How evenly groups lie on the nodes, and how many a query of one selector meets.
-fn print_balance() {
-    println!("groups on nodes: shards, selectors, to a group, groups, nodes: least, mean, most");
+/// Prints how evenly groups are distributed over nodes, and how many groups a query of
+/// one selector uses.
+fn print_group_balance() {
+    println!("groups per node: shards, selectors, group size, groups, nodes: min, mean, max");
     for (shards, selectors, size, nodes) in
         [(50, 1, 8, 9), (50, 1, 4, 9), (50, 1, 2, 9), (4_800, 3, 20, 1_900), (4_800, 3, 40, 1_900)]
     {
@@ -43,7 +45,7 @@
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut held: BTreeMap<&str, usize> = names.iter().map(|name| (*name, 0)).collect();
         let groups: BTreeSet<GroupId> = (0..shards).map(|n| table.group(&shard(n))).collect();
-        let met: BTreeSet<GroupId> =
+        let used: BTreeSet<GroupId> =
             (0..shards).step_by(selectors).map(|n| table.group(&shard(n))).collect();
         for group in &groups {
             let first = rendezvous(&group.0.to_be_bytes(), &names)[0];
@@ -53,15 +55,16 @@
         let mean = groups.len() as f64 / nodes as f64;
         println!(
             "  {shards:5} {selectors} {size:3} {:4} {nodes:5}: {least} {mean:.2} {most}; \
-             a query of {} shards meets {} groups",
+             a query of {} shards uses {} groups",
             groups.len(),
             shards / selectors,
-            met.len(),
+            used.len(),
         );
     }
 }
 
-/// Shards of which each selector reaches every so many-th.
+/// Returns a document of `shards` shards, distributed over `selectors` selectors in
+/// turn.
 fn selected(shards: usize, selectors: usize) -> Document {
     let mut document = Document::default();
     for number in 0..shards {
@@ -88,18 +91,19 @@
     document
 }
 
-/// Processor time of a search, fakes included.
-fn print_cost() {
-    println!("processor time of a search: shards, microseconds, microseconds a shard");
+/// Prints the processor time of a search, including the fakes.
+fn print_cpu_time() {
+    println!("processor time of a search: shards, microseconds, microseconds per shard");
     for shards in [1, 10, 50, 1_600] {
-        // One node, whose own holder answers at once: nothing waits for the clock.
-        let world = world_with(1, shards, options(false));
+        // A single node, whose own holder answers at once, so that nothing waits for
+        // the clock.
+        let cluster = cluster_with(1, shards, options(false));
         let searches = 200_000 / shards.max(10);
-        let span = run(&world, async {
-            world.search(0).await.unwrap();
+        let span = run(&cluster, async {
+            cluster.search(0).await.unwrap();
             let start = Instant::now();
             for _ in 0..searches {
-                world.search(0).await.unwrap();
+                cluster.search(0).await.unwrap();
             }
             start.elapsed()
         });
@@ -108,10 +112,10 @@
     }
 }
 
-/// Latency of searches over 50 shards, of which one is a straggler, with and
-/// without a canary, by the share of searches that were seen before.
+/// Prints the latency of searches over 50 shards, one of which is a straggler, with and
+/// without a canary, by the share of repeated searches.
 fn print_canary() {
-    println!("canary: share seen before, seed: p50 and p99 in ms without, with");
+    println!("canary: share of repeated searches, seed: p50 and p99 in ms without, with");
     for seen in [0.0, 0.5, 0.9] {
         for seed in 1..=SEEDS {
             let without = latencies(false, seen, seed);
@@ -127,15 +131,15 @@
 }
 
 fn latencies(canary: bool, seen: f64, seed: u64) -> (f64, f64) {
-    let world = world_with(9, 50, options(canary));
+    let cluster = cluster_with(9, 50, options(canary));
     let random = Random::with_seed(seed);
-    let mut spans: Vec<u64> = run(&world, async {
+    let mut spans: Vec<u64> = run(&cluster, async {
         let mut spans = Vec::new();
         for number in 0..SEARCHES {
-            set_delays(&world, &random);
+            set_delays(&cluster, &random);
             let repeat = random.chance(seen);
             let query = if repeat { "common".to_owned() } else { number.to_string() };
-            spans.push(world.search_for(number % 9, KEY, &query).await.unwrap().elapsed_us);
+            spans.push(cluster.search_for(number % 9, KEY, &query).await.unwrap().elapsed_us);
         }
         spans
     });
@@ -144,12 +148,12 @@
     (at(0.5), at(0.99))
 }
 
-/// 2 to 8 ms for each shard, and 10 to 40 ms for the straggler.
-fn set_delays(world: &World, random: &Random) {
+/// Sets a delay of 2 to 8 ms for each shard, and of 10 to 40 ms for the straggler.
+fn set_delays(cluster: &Cluster, random: &Random) {
     for number in 0..50 {
         let shard: ShardName = shard(number);
         let span = 2.0 + 6.0 * random.fraction();
         let span = if number == 17 { span * 5.0 } else { span };
-        world.shards.change(&shard, |state| state.delay = ms(1).mul_f64(span));
+        cluster.shards.change(&shard, |state| state.delay = ms(1).mul_f64(span));
     }
 }
--- a/crates/kumquatnotch-query/src/intake.rs
+++ b/crates/kumquatnotch-query/src/answers.rs
@@ -1,34 +1,34 @@
-//! What a round makes of each answer of a holder.
+//! Processing of the answers of holders in a round.
 
 use kumquatnotch_core::{Error, Result, answer::GroupAnswer, ids::ShardName};
 
 use crate::{
     gather::{Gather, Part},
-    plan::Gone,
+    plan::GoneShards,
 };
 
 impl Gather<'_> {
-    /// Takes the answer of a part; an error ends the search.
-    pub(crate) fn take(
+    /// Processes the answer of a part; an error ends the search.
+    pub(crate) fn handle_answer(
         &mut self,
         part: Part,
         result: Result<GroupAnswer>,
-        gone: &mut Gone,
+        gone: &mut GoneShards,
     ) -> Result<()> {
         let search = self.search;
         let answer = match result {
             Ok(answer) => answer,
             Err(error) => {
-                search.learn_refusal(&error);
+                search.record_refusal(&error);
                 for shard in part.shards.clone() {
-                    self.take_refusal(&part, shard, &error, gone)?;
+                    self.handle_refusal(&part, shard, &error, gone)?;
                 }
                 self.give_up_if_starved(&part, &error)?;
-                self.release_after(part.canary, false);
+                self.on_canary_result(part.canary, false);
                 return Ok(());
             }
         };
-        search.learn(&answer);
+        search.record_answer(&answer);
         let ran = !answer.covered.is_empty();
         for shard in &answer.covered {
             if self.waiting.remove(shard) {
@@ -37,68 +37,71 @@
         }
         self.hits.extend(answer.hits);
         for fault in answer.missing {
-            self.take_fault(&part, fault.shard, fault.error, gone)?;
+            self.handle_fault(&part, fault.shard, fault.error, gone)?;
         }
-        // A shard that is in neither list must not vanish from the answer.
+        // A shard in neither list must not be omitted from the answer.
         for shard in part.shards {
             self.fail(shard, Error::protocol("left out of an answer"));
         }
-        self.release_after(part.canary, ran);
+        self.on_canary_result(part.canary, ran);
         Ok(())
     }
 
-    /// Ends the search if a holder has refused and the rest can't be enough.
+    /// Ends the search if a holder refused its part and the rest cannot reach enough
+    /// coverage.
     ///
-    /// Run on, the other groups would spend slots on an answer that its tenant
-    /// finds too thin, and under overload leave less for the answers that could
-    /// be whole. A part may have run, so this isn't called "not run".
+    /// Otherwise the other groups would spend slots on an answer with too little
+    /// coverage for its tenant, which under overload leaves less capacity for answers
+    /// that could be complete. A part may have run, so the error must not mean "not
+    /// run".
     fn give_up_if_starved(&self, part: &Part, error: &Error) -> Result<()> {
-        // One shard that is overrun tells nothing of the rest, a group does.
+        // A single overloaded shard is no evidence about the others, but an overloaded
+        // group is.
         let &Error::Overloaded { retry_ms } = error else {
             return Ok(());
         };
         let search = self.search;
         let progress = self.progress(search.clock.now());
-        let has_run = self.covered > 0 || !self.open.is_empty();
+        let has_run = self.covered > 0 || !self.pending.is_empty();
         if part.canary || !has_run || search.stop_rule.can_suffice(&search.stop, &progress) {
             return Ok(());
         }
         Err(Error::GivenUp { retry_ms })
     }
 
-    /// Takes that the holder answered for none of its shards.
-    fn take_refusal(
+    /// Records that the holder answered none of its shards.
+    fn handle_refusal(
         &mut self,
         part: &Part,
         shard: ShardName,
         error: &Error,
-        gone: &mut Gone,
+        gone: &mut GoneShards,
     ) -> Result<()> {
-        // A connection to a holder that breaks tells nothing of the request.
+        // A broken connection to a holder is no evidence about the request.
         if *error != Error::ConnectionLost {
-            return self.take_fault(part, shard, error.clone(), gone);
+            return self.handle_fault(part, shard, error.clone(), gone);
         }
         self.fail(shard, error.clone());
         Ok(())
     }
 
-    fn take_fault(
+    fn handle_fault(
         &mut self,
         part: &Part,
         shard: ShardName,
         error: Error,
-        gone: &mut Gone,
+        gone: &mut GoneShards,
     ) -> Result<()> {
         match &error {
-            // The one shard that the request went to failed as crash-causing
-            // requests do. Sending it to the others would crash them too.
+            // The canary shard failed as it does for a request that crashes targets.
+            // Sending the request to the other shards could crash them too.
             Error::Contained { .. } | Error::ConnectionLost
                 if part.canary && self.held_back.is_some() =>
             {
                 return Err(error);
             }
-            // Holders know it as crash-causing by now. It has run on other shards,
-            // so that "not run" would be false.
+            // Holders have identified the request as crash-causing by now. It has run
+            // on other shards, so "not run" would be false.
             Error::Contained { retry_ms } => {
                 let detail = format!("the request crashes targets; refused for {retry_ms} ms");
                 return Err(Error::TargetFailed { detail });
@@ -106,7 +109,7 @@
             Error::VersionGone { .. } => {
                 gone.insert((self.plan.version, shard.clone()));
             }
-            Error::TimedOut | Error::ExpiredInQueue if !self.followed => {
+            Error::TimedOut | Error::ExpiredInQueue if !self.followed_up => {
                 if self.waiting.remove(&shard) {
                     self.late.push((shard, error));
                 }
--- a/crates/kumquatnotch-query/src/canary.rs
+++ b/crates/kumquatnotch-query/src/canary.rs
@@ -1,8 +1,8 @@
-//! The requests that succeeded lately, by fingerprint.
+//! Canary requests, and the fingerprints of requests that succeeded recently.
 //!
-//! A request that crashes each target that runs it must not be sent to all
-//! shards at once. One that succeeded lately is known not to; any other goes to
-//! one shard first. Two sets take turns, so that forgetting costs nothing.
+//! A request that crashes every target that runs it must not be sent to all shards at
+//! once. A request that succeeded recently is known to be safe; any other goes to one
+//! shard first. Two sets are rotated, so that expiring entries takes constant time.
 
 use std::{
     cell::RefCell,
@@ -14,108 +14,114 @@
     ids::{Fingerprint, rendezvous},
 };
 
-use crate::plan::Expected;
+use crate::plan::PlannedShard;
 
-/// The requests that succeeded lately.
-pub(crate) struct Proven {
+/// Requests that succeeded recently.
+pub(crate) struct ProvenRequests {
     state: RefCell<State>,
-    turn: Duration,
+    rotation: Duration,
     entries: usize,
 }
 
 #[derive(Default)]
 struct State {
     current: HashSet<Fingerprint>,
-    last: HashSet<Fingerprint>,
+    previous: HashSet<Fingerprint>,
     since: Option<Instant>,
 }
 
-impl Proven {
-    /// Remembers for at least half of `memory` and at most `entries`.
-    pub fn new(memory: Duration, entries: usize) -> Proven {
-        Proven { state: RefCell::default(), turn: memory / 2, entries: (entries / 2).max(1) }
+impl ProvenRequests {
+    /// Creates a set that keeps an entry for at least half of `memory` and holds at
+    /// most `entries`.
+    pub fn new(memory: Duration, entries: usize) -> ProvenRequests {
+        ProvenRequests {
+            state: RefCell::default(),
+            rotation: memory / 2,
+            entries: (entries / 2).max(1),
+        }
     }
 
-    /// Whether the request succeeded lately.
-    pub fn knows(&self, now: Instant, fingerprint: Fingerprint) -> bool {
+    /// Returns whether the request succeeded recently.
+    pub fn contains(&self, now: Instant, fingerprint: Fingerprint) -> bool {
         let mut state = self.state.borrow_mut();
-        self.turn(&mut state, now);
-        state.current.contains(&fingerprint) || state.last.contains(&fingerprint)
+        self.rotate(&mut state, now);
+        state.current.contains(&fingerprint) || state.previous.contains(&fingerprint)
     }
 
-    /// The request succeeded.
-    pub fn learn(&self, now: Instant, fingerprint: Fingerprint) {
+    /// Records that the request succeeded.
+    pub fn insert(&self, now: Instant, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
-        self.turn(&mut state, now);
+        self.rotate(&mut state, now);
         state.current.insert(fingerprint);
     }
 
-    /// The request failed in a way that may be its own doing.
-    pub fn unlearn(&self, fingerprint: Fingerprint) {
+    /// Records that the request failed in a way that it may have caused itself.
+    pub fn remove(&self, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
         state.current.remove(&fingerprint);
-        state.last.remove(&fingerprint);
+        state.previous.remove(&fingerprint);
     }
 
-    fn turn(&self, state: &mut State, now: Instant) {
+    fn rotate(&self, state: &mut State, now: Instant) {
         let since = *state.since.get_or_insert(now);
         let age = now.saturating_duration_since(since);
-        if age < self.turn && state.current.len() < self.entries {
+        if age < self.rotation && state.current.len() < self.entries {
             return;
         }
-        state.last = std::mem::take(&mut state.current);
-        if age >= self.turn * 2 {
-            state.last.clear();
+        state.previous = std::mem::take(&mut state.current);
+        if age >= self.rotation * 2 {
+            state.previous.clear();
         }
         state.since = Some(now);
     }
 }
 
-/// The shards that wait for a canary.
+/// Shards held back until a canary has answered.
 pub(crate) struct HeldBack<'a> {
-    pub shards: Vec<&'a Expected>,
+    pub shards: Vec<&'a PlannedShard>,
     /// When the next step is due.
-    pub until: Instant,
-    /// Whether the next step is another canary.
-    pub second: bool,
-    /// The canaries that have not answered yet.
-    open: usize,
+    pub due: Instant,
+    /// Whether the next step is to send another canary.
+    pub send_another: bool,
+    /// Number of canaries that have not answered yet.
+    pending: usize,
     sent: usize,
 }
 
-/// The most canaries of a round.
-const MOST_CANARIES: usize = 4;
+/// Maximum number of canaries per round.
+const MAX_CANARIES: usize = 4;
 
 impl<'a> HeldBack<'a> {
-    /// The shards that wait for the first canary.
-    pub fn new(shards: Vec<&'a Expected>, until: Instant) -> HeldBack<'a> {
-        HeldBack { shards, until, second: true, open: 1, sent: 1 }
+    /// Holds back `shards` until the first canary has answered.
+    pub fn new(shards: Vec<&'a PlannedShard>, due: Instant) -> HeldBack<'a> {
+        HeldBack { shards, due, send_another: true, pending: 1, sent: 1 }
     }
 
-    /// Another canary was sent, which is waited for until `until`.
-    pub fn on_sent(&mut self, until: Instant) {
-        self.until = until;
-        self.second = false;
-        self.open += 1;
+    /// Records that another canary was sent, which is awaited until `due`.
+    pub fn on_sent(&mut self, due: Instant) {
+        self.due = due;
+        self.send_another = false;
+        self.pending += 1;
         self.sent += 1;
     }
 
-    /// A canary failed and told nothing; the next step is due if no other is out.
+    /// Records an inconclusive canary; the next step is due if no other canary is
+    /// pending.
     pub fn on_failed(&mut self, now: Instant, end: Instant) {
-        self.open -= 1;
-        if self.open == 0 {
-            self.second = self.sent < MOST_CANARIES && now < end;
-            self.until = now;
+        self.pending -= 1;
+        if self.pending == 0 {
+            self.send_another = self.sent < MAX_CANARIES && now < end;
+            self.due = now;
         }
     }
 }
 
-/// The place in `shards` of the one that a request goes to first.
+/// Returns the index in `shards` of the canary shard.
 ///
-/// It follows from the request alone, so that the same request sent to any node
-/// meets the same holder, which recognises it.
-pub(crate) fn first_shard(fingerprint: Fingerprint, shards: &[&Expected]) -> usize {
-    let names: Vec<&str> = shards.iter().map(|expected| expected.shard.as_str()).collect();
+/// It depends only on the request. The same request sent to any node therefore reaches
+/// the same holder, which recognises it.
+pub(crate) fn canary_shard(fingerprint: Fingerprint, shards: &[&PlannedShard]) -> usize {
+    let names: Vec<&str> = shards.iter().map(|planned| planned.shard.as_str()).collect();
     let first = rendezvous(&fingerprint.0.to_be_bytes(), &names).first().copied();
-    shards.iter().position(|expected| Some(expected.shard.as_str()) == first).unwrap_or(0)
+    shards.iter().position(|planned| Some(planned.shard.as_str()) == first).unwrap_or(0)
 }
--- a/crates/kumquatnotch-query/src/front.rs
+++ b/crates/kumquatnotch-query/src/front.rs
@@ -1,4 +1,4 @@
-//! The front: what callers reach, apart from any protocol.
+//! The front: the service for callers, independent of any protocol.
 
 use std::{
     rc::Rc,
@@ -30,19 +30,19 @@
 use crate::{
     FrontOptions,
     access::{Access, permitted},
-    canary::Proven,
+    canary::ProvenRequests,
     entry::advise,
     meters,
     planner::Planner,
-    router::{Ends, ROUTER, Router},
+    router::{Deadlines, ROUTER, Router},
     search::Search,
     tickets::{TICKETS, TicketService},
 };
 
-/// A node where requests wait this long is advised as if it were farther away.
-const BUSY_WAIT: Duration = Duration::from_millis(50);
+/// Queueing delay at which the entry advice ranks a node as if it were farther away.
+const BUSY_NODE_WAIT: Duration = Duration::from_millis(50);
 
-/// What a node does for callers.
+/// Serves the requests of callers.
 pub struct FrontService {
     options: FrontOptions,
     clock: Rc<dyn Clock>,
@@ -55,21 +55,21 @@
     tickets: Rc<TicketService>,
     planner: Planner,
     access: Access,
-    proven: Proven,
+    proven: ProvenRequests,
     admission: Box<dyn Admission>,
     stop_rule: Box<dyn StopRule>,
     entry: Box<dyn EntryPolicy>,
 }
 
 impl FrontService {
-    /// A front over the services in `registry`.
+    /// Creates a front that uses the services in `registry`.
     pub fn try_new(options: FrontOptions, registry: &Registry) -> Result<Rc<FrontService>> {
         let clock: Rc<dyn Clock> = registry.find(services::CLOCK)?;
         let random: Random = registry.find(services::RANDOM)?;
         let router: Rc<Router> = registry.find(ROUTER)?;
         Ok(Rc::new(FrontService {
-            planner: Planner::new(clock.clone(), router.clone(), options.version_wait),
-            proven: Proven::new(options.canary_memory, options.canary_entries),
+            planner: Planner::new(clock.clone(), router.clone(), options.version_timeout),
+            proven: ProvenRequests::new(options.canary_ttl, options.canary_entries),
             admission: admission(&options, &random),
             stop_rule: stop_rule(&options),
             entry: entry(&options, &random),
@@ -86,7 +86,7 @@
         }))
     }
 
-    /// Starts the background work; this must run inside a runtime.
+    /// Starts the background tasks; must be called inside a runtime.
     pub fn start(self: &Rc<Self>) {
         let front = self.clone();
         monoio::spawn(async move {
@@ -100,18 +100,18 @@
         });
     }
 
-    /// How many requests of callers run on this node.
+    /// Returns the number of caller requests running on this node.
     pub fn running(&self) -> usize {
         self.admission.running() + self.tickets.running()
     }
 
-    /// The state of the root as text for the status page.
+    /// Returns the state of the root as text for the status page.
     pub fn status_text(&self) -> String {
         let now = self.clock.now();
         let waits = Class::ALL
             .map(|class| format!("{} {:?}", class.as_str(), self.admission.wait(now, class)));
         format!(
-            "searches: {} running; wait {}\nversions: {} shards heard of\n{}{}",
+            "searches: {} running; wait {}\nversions: {} shards known\n{}{}",
             self.admission.running(),
             waits.join(", "),
             self.planner.view.len(),
@@ -120,21 +120,21 @@
         )
     }
 
-    /// The document, if this node serves.
-    fn serving(&self) -> Result<Rc<Document>> {
+    /// Returns the document if this node accepts requests.
+    fn serving_document(&self) -> Result<Rc<Document>> {
         match self.lifecycle.stage() {
             Stage::Starting => Err(Error::NotReady),
-            // Callers keep the advice for a while: a leaving node still serves.
+            // Callers cache the entry advice, so a leaving node still serves.
             Stage::Serving | Stage::Leaving => self.documents.current().ok_or(Error::NotReady),
             Stage::Closing => Err(Error::Leaving),
         }
     }
 
-    async fn search_now(&self, key: &str, request: SearchRequest) -> Result<Answer> {
-        let document = self.serving()?;
+    async fn handle_search(&self, key: &str, request: SearchRequest) -> Result<Answer> {
+        let document = self.serving_document()?;
         let tenant = self.access.tenant(&document, key)?;
         let spec = permitted(&document, &request.selector, &tenant, false)?;
-        let result = self.search_as(&document, &tenant, spec, request).await;
+        let result = self.run_search(&document, &tenant, spec, request).await;
         match &result {
             Ok(answer) => {
                 let span = Duration::from_micros(answer.elapsed_us);
@@ -145,7 +145,7 @@
         result
     }
 
-    async fn search_as(
+    async fn run_search(
         &self,
         document: &Document,
         tenant: &TenantName,
@@ -162,15 +162,15 @@
             return Err(Error::Unauthorised);
         };
         let patience = self.stop_rule.patience(&declared.stop, deadline);
-        let entrant = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             tenant: tenant.clone(),
             weight: declared.weight,
             class: spec.class,
             max_wait: patience,
         };
-        let _running = Running::enter(&*self.admission, entrant, start)?;
+        let _running = Running::enter(&*self.admission, admission_request, start)?;
         let margin = self.options.margin.min(deadline / 10);
-        let finish = start + deadline - margin;
+        let root_deadline = start + deadline - margin;
         let search = Search {
             clock: &*self.clock,
             router: &self.router,
@@ -187,53 +187,53 @@
             fingerprint,
             start,
             deadline,
-            ends: ends(start + patience, finish, margin),
+            deadlines: deadlines(start + patience, root_deadline, margin),
             margin,
             follow_up: self.options.follow_up,
-            plans: self.options.plans,
-            canary_start: self.options.canary_start,
+            max_plans: self.options.max_plans,
+            canary_initial: self.options.canary_initial,
         };
-        let canary = self.options.canary && !self.proven.knows(start, fingerprint);
+        let canary = self.options.canary && !self.proven.contains(start, fingerprint);
         let result = search.run(canary).await;
         let now = self.clock.now();
         self.admission.on_end(now, spec.class, is_starved(&result));
-        match crashed(&result) {
-            true => self.proven.unlearn(fingerprint),
-            false if result.is_ok() => self.proven.learn(now, fingerprint),
+        match may_have_crashed_target(&result) {
+            true => self.proven.remove(fingerprint),
+            false if result.is_ok() => self.proven.insert(now, fingerprint),
             false => {}
         }
         result
     }
 
-    /// The body as text and the deadline, if both are within bounds.
+    /// Returns the serialized body and the deadline if both are within their limits.
     fn check(&self, spec: &SelectorSpec, request: &SearchRequest) -> Result<(String, Duration)> {
         let body = request.query.to_string();
         if body.len() > self.options.body_limit {
             return Err(Error::BodyTooLarge { limit: self.options.body_limit as u64 });
         }
-        if request.limit == 0 || request.limit > self.options.most_hits {
-            let most = self.options.most_hits;
+        if request.limit == 0 || request.limit > self.options.max_hits {
+            let most = self.options.max_hits;
             return Err(Error::bad_request(format!("limit must be from 1 to {most}")));
         }
         let asked = request.deadline_ms.map(Duration::from_millis);
         let deadline = asked.unwrap_or(spec.deadline()).min(spec.deadline());
-        if deadline < self.options.least_deadline {
-            let least = self.options.least_deadline.as_millis();
+        if deadline < self.options.min_deadline {
+            let least = self.options.min_deadline.as_millis();
             return Err(Error::bad_request(format!("deadline_ms must be at least {least}")));
         }
         Ok((body, deadline))
     }
 
-    fn grant(&self, key: &str) -> Result<TicketGrant> {
-        let document = self.serving()?;
+    fn issue_ticket(&self, key: &str) -> Result<TicketGrant> {
+        let document = self.serving_document()?;
         let tenant = self.access.tenant(&document, key)?;
         self.tickets.issue(&tenant)
     }
 
-    async fn exclusive_now(&self, key: &str, body: ExclusiveBody) -> Result<Outcome> {
-        // Any refusal here that says "not run" might be false: an earlier copy of
-        // the request, sent through another node, may have run. Only the issuer
-        // knows. So a node that can't ask it tells the caller to ask again.
+    async fn handle_exclusive(&self, key: &str, body: ExclusiveBody) -> Result<Outcome> {
+        // A "not run" error returned here might be false: a copy of the request sent
+        // through another node may have run, and only the issuer knows. If this node
+        // cannot reach the issuer, it tells the caller to retry.
         let Some(document) = self.documents.current() else {
             return Err(Error::IssuerUnreachable);
         };
@@ -248,11 +248,11 @@
         key: &'a str,
         request: SearchRequest,
     ) -> LocalFuture<'a, Result<Answer>> {
-        Box::pin(self.search_now(key, request))
+        Box::pin(self.handle_search(key, request))
     }
 
     fn ticket(&self, key: &str) -> Result<TicketGrant> {
-        self.grant(key).inspect_err(|error| meters::refused("ticket", None, error))
+        self.issue_ticket(key).inspect_err(|error| meters::refused("ticket", None, error))
     }
 
     fn exclusive<'a>(
@@ -261,7 +261,7 @@
         body: ExclusiveBody,
     ) -> LocalFuture<'a, Result<Outcome>> {
         Box::pin(async move {
-            let result = self.exclusive_now(key, body).await;
+            let result = self.handle_exclusive(key, body).await;
             if let Err(error) | Ok(Outcome::Failed(error)) = &result {
                 meters::refused("exclusive", None, error);
             }
@@ -277,10 +277,11 @@
     }
 }
 
-/// Holders answer a margin before the root does, and partially another one before.
-fn ends(patience: Instant, finish: Instant, margin: Duration) -> Ends {
-    let deadline = finish - margin;
-    Ends { patience: patience.min(deadline - margin), deadline, finish }
+/// Computes the deadlines: holders finish one margin before the root, and return
+/// partial answers at least one margin before that.
+fn deadlines(patience: Instant, root: Instant, margin: Duration) -> Deadlines {
+    let holder = root - margin;
+    Deadlines { partial: patience.min(holder - margin), holder, root }
 }
 
 fn admission(options: &FrontOptions, random: &Random) -> Box<dyn Admission> {
@@ -297,16 +298,17 @@
 
 fn entry(options: &FrontOptions, random: &Random) -> Box<dyn EntryPolicy> {
     if options.advice_spread {
-        Box::new(SpreadEntry::new(random.clone(), BUSY_WAIT))
+        Box::new(SpreadEntry::new(random.clone(), BUSY_NODE_WAIT))
     } else {
         Box::new(NearestEntry)
     }
 }
 
-/// The share of shards beyond which a request counts as starved.
+/// Share of shards refused for lack of capacity above which a request counts as
+/// starved.
 const STARVED_SHARE: f64 = 0.1;
 
-/// Whether a request got too little of what it asked for, for want of capacity.
+/// Returns whether a request failed or lost coverage for lack of capacity.
 fn is_starved(result: &Result<Answer>) -> bool {
     let answer = match result {
         Ok(answer) => answer,
@@ -318,8 +320,9 @@
     starved as f64 > STARVED_SHARE * f64::from(coverage.asked)
 }
 
-/// Whether a target was lost under a request, which may be the request's doing.
-fn crashed(result: &Result<Answer>) -> bool {
+/// Returns whether a target was lost while running the request, which may have caused
+/// it.
+fn may_have_crashed_target(result: &Result<Answer>) -> bool {
     let lost = Error::ConnectionLost.code();
     match result {
         Ok(answer) => answer.coverage.missing.iter().any(|missing| missing.code == lost),
@@ -330,27 +333,27 @@
     }
 }
 
-/// Counts a request as running until it is dropped, be it because its caller left.
+/// Counts a request as running until it is dropped, also when its caller disconnects.
 struct Running<'a> {
     admission: &'a dyn Admission,
-    entrant: AdmissionRequest,
+    admission_request: AdmissionRequest,
 }
 
 impl<'a> Running<'a> {
     fn enter(
         admission: &'a dyn Admission,
-        entrant: AdmissionRequest,
+        admission_request: AdmissionRequest,
         now: Instant,
     ) -> Result<Running<'a>> {
-        admission.enter(now, &entrant).map_err(Error::overloaded)?;
+        admission.enter(now, &admission_request).map_err(Error::overloaded)?;
         meters::running(admission.running());
-        Ok(Running { admission, entrant })
+        Ok(Running { admission, admission_request })
     }
 }
 
 impl Drop for Running<'_> {
     fn drop(&mut self) {
-        self.admission.leave(&self.entrant);
+        self.admission.leave(&self.admission_request);
         meters::running(self.admission.running());
     }
 }
--- a/crates/kumquatnotch-query/src/gather.rs
+++ b/crates/kumquatnotch-query/src/gather.rs
@@ -1,8 +1,8 @@
-//! One round of a search: the fan-out over groups and the gathering of answers.
+//! One round of a search: sends requests to the groups and gathers their answers.
 //!
-//! Every shard asked for is in exactly one place at any time: still open, late,
-//! covered or failed. What is open or late when the round ends is listed as
-//! missing, so that the numbers of the answer always add up.
+//! At any time, every requested shard is in exactly one of four states: waiting, late,
+//! covered or failed. Shards that are still waiting or late when the round ends are
+//! listed as missing, so that the counts of the answer always add up.
 
 use std::{collections::BTreeMap, rc::Rc, time::Instant};
 
@@ -21,97 +21,97 @@
 use kumquatnotch_policy::stop::Progress;
 
 use crate::{
-    canary::{HeldBack, first_shard},
+    canary::{HeldBack, canary_shard},
     groups::GroupId,
     meters,
-    plan::{Expected, Gone, Plan},
+    plan::{GoneShards, Plan, PlannedShard},
     refusal::nothing_covered,
-    router::Ends,
+    router::Deadlines,
     search::Search,
 };
 
-/// How a round ended.
+/// Result of a round.
 pub(crate) enum Round {
-    /// With the hits and what they cover.
+    /// The round is complete, with its hits and their coverage.
     Done(Vec<Hit>, Coverage),
-    /// Shards do not have the version any more, and this other plan is better;
-    /// `covered` tells how many shards ran the request meanwhile.
-    Gone { plan: Rc<Plan>, covered: u32 },
+    /// Shards no longer have the version, and `plan` is better; `covered` is the number
+    /// of shards that ran the request in this round.
+    Replan { plan: Rc<Plan>, covered: u32 },
 }
 
-/// The shards of one request to a holder.
+/// Shards of one request to a holder.
 pub(crate) struct Part {
     pub(crate) group: GroupId,
     pub(crate) shards: Vec<ShardName>,
     pub(crate) canary: bool,
 }
 
-/// What a round waits for.
+/// Event that a round waits for.
 pub(crate) enum Event {
-    /// A holder has answered for its part.
+    /// A holder answered its part, or the request failed.
     Answered(Part, Result<GroupAnswer>),
-    /// The holders have told the versions of their shards again.
+    /// The versions of the shards were refreshed.
     Refreshed,
 }
 
-/// The state of a round.
+/// State of a round.
 pub(crate) struct Gather<'a> {
     pub(crate) search: &'a Search<'a>,
     pub(crate) plan: &'a Plan,
-    pub(crate) open: FuturesUnordered<LocalFuture<'a, Event>>,
+    pub(crate) pending: FuturesUnordered<LocalFuture<'a, Event>>,
     pub(crate) held_back: Option<HeldBack<'a>>,
     pub(crate) waiting: HashSet<ShardName>,
-    /// The shards that holders gave up because partial answers were wanted.
+    /// Shards that holders gave up at the deadline for partial answers.
     pub(crate) late: Vec<(ShardName, Error)>,
     pub(crate) covered: u32,
     pub(crate) faults: Vec<(ShardName, Error)>,
     pub(crate) hits: Vec<Hit>,
-    pub(crate) followed: bool,
+    pub(crate) followed_up: bool,
     pub(crate) refreshing: bool,
     pub(crate) is_last: bool,
 }
 
 impl<'a> Gather<'a> {
-    /// A round over `plan` that has not begun; no other follows if it `is_last`.
+    /// Creates a round over `plan`; no other follows if it `is_last`.
     pub fn new(search: &'a Search<'a>, plan: &'a Plan, is_last: bool) -> Gather<'a> {
         Gather {
             search,
             plan,
-            open: FuturesUnordered::new(),
+            pending: FuturesUnordered::new(),
             held_back: None,
-            waiting: plan.shards.iter().map(|expected| expected.shard.clone()).collect(),
+            waiting: plan.shards.iter().map(|planned| planned.shard.clone()).collect(),
             late: Vec::new(),
             covered: 0,
             faults: Vec::new(),
             hits: Vec::new(),
-            followed: false,
+            followed_up: false,
             refreshing: false,
             is_last,
         }
     }
 
-    /// Runs the round to its end; `gone` takes shards without the version.
-    pub async fn run(mut self, canary: bool, gone: &mut Gone) -> Result<Round> {
+    /// Runs the round to its end and adds the shards that lack the version to `gone`.
+    pub async fn run(mut self, canary: bool, gone: &mut GoneShards) -> Result<Round> {
         self.fan_out(canary);
         let search = self.search;
         loop {
             let now = search.clock.now();
-            let is_over = now >= search.ends.finish;
+            let is_over = now >= search.deadlines.root;
             let is_enough = search.stop_rule.is_enough(&search.stop, &self.progress(now));
             if is_over || (is_enough && !self.refreshing) {
                 return self.finish(is_over);
             }
-            if self.open.is_empty() && self.held_back.is_none() {
+            if self.pending.is_empty() && self.held_back.is_none() {
                 if !self.follow_up(now) {
                     return self.finish(is_over);
                 }
                 continue;
             }
             let timer = search.clock.sleep_until(self.next_timer(now));
-            match select(self.open.next(), timer).await {
+            match select(self.pending.next(), timer).await {
                 Either::Left((Some(Event::Answered(part, result)), _)) => {
                     let known = gone.len();
-                    self.take(part, result, gone)?;
+                    self.handle_answer(part, result, gone)?;
                     if gone.len() > known {
                         self.refresh();
                     }
@@ -120,7 +120,7 @@
                 Either::Left((Some(Event::Refreshed), _)) => {
                     self.refreshing = false;
                     if let Some(next) = search.replan(self.plan, gone) {
-                        return Ok(Round::Gone { plan: next, covered: self.covered });
+                        return Ok(Round::Replan { plan: next, covered: self.covered });
                     }
                     self.release_due();
                 }
@@ -129,25 +129,25 @@
         }
     }
 
-    /// Asks for versions again before another plan is thought of.
+    /// Refreshes the versions before the search is planned again.
     ///
-    /// The first shard without the version tells its own news only. A plan made
-    /// from that would take the other shards as not having the new version yet,
-    /// and be a thin one.
+    /// The first shard that lacks the version reports only its own versions. A plan
+    /// made from that report alone would assume that the other shards do not have the
+    /// new version yet, and its coverage would be low.
     fn refresh(&mut self) {
         let search = self.search;
         if self.is_last || self.refreshing || !search.may_replan() {
             return;
         }
         self.refreshing = true;
-        self.open.push(Box::pin(async move {
+        self.pending.push(Box::pin(async move {
             search.refresh().await;
             Event::Refreshed
         }));
     }
 
     pub(crate) fn progress(&self, now: Instant) -> Progress {
-        let late = if self.may_follow(now) { self.late.len() } else { 0 };
+        let late = if self.may_follow_up(now) { self.late.len() } else { 0 };
         Progress {
             elapsed: now.saturating_duration_since(self.search.start),
             deadline: self.search.deadline,
@@ -160,17 +160,17 @@
     fn next_timer(&self, now: Instant) -> Instant {
         let search = self.search;
         let patience = search.start + search.stop_rule.patience(&search.stop, search.deadline);
-        let release = self.held_back.as_ref().map(|held| held.until);
-        let timers = [Some(patience), release, Some(search.ends.finish)];
-        timers.into_iter().flatten().filter(|at| *at > now).min().unwrap_or(search.ends.finish)
+        let release = self.held_back.as_ref().map(|held| held.due);
+        let timers = [Some(patience), release, Some(search.deadlines.root)];
+        timers.into_iter().flatten().filter(|at| *at > now).min().unwrap_or(search.deadlines.root)
     }
 
-    /// Sends the parts, or the canary's first.
+    /// Sends all parts, or only the canary.
     fn fan_out(&mut self, canary: bool) {
-        let mut shards: Vec<&'a Expected> = self.plan.shards.iter().collect();
+        let mut shards: Vec<&'a PlannedShard> = self.plan.shards.iter().collect();
         if !canary || shards.is_empty() {
             for part in self.parts(&shards) {
-                self.send(part, self.search.ends);
+                self.send(part, self.search.deadlines);
             }
             return;
         }
@@ -179,73 +179,74 @@
         self.held_back = Some(HeldBack::new(shards, until));
     }
 
-    /// Sends the one of `shards` that the request meets first, and takes it out.
-    fn send_canary(&mut self, shards: &mut Vec<&'a Expected>) {
+    /// Sends the request to its canary shard and removes that shard from `shards`.
+    fn send_canary(&mut self, shards: &mut Vec<&'a PlannedShard>) {
         meters::canary();
-        let first = shards.swap_remove(first_shard(self.search.fingerprint, shards));
+        let first = shards.swap_remove(canary_shard(self.search.fingerprint, shards));
         for mut part in self.parts(&[first]) {
             part.canary = true;
-            self.send(part, self.search.ends);
+            self.send(part, self.search.deadlines);
         }
     }
 
-    fn parts(&self, shards: &[&Expected]) -> Vec<Part> {
+    fn parts(&self, shards: &[&PlannedShard]) -> Vec<Part> {
         let mut groups: BTreeMap<GroupId, Vec<ShardName>> = BTreeMap::new();
-        for expected in shards {
-            let group = self.search.router.group(self.search.document, &expected.home);
-            groups.entry(group).or_default().push(expected.shard.clone());
+        for planned in shards {
+            let group = self.search.router.group(self.search.document, &planned.declared);
+            groups.entry(group).or_default().push(planned.shard.clone());
         }
         let parts = groups.into_iter();
         parts.map(|(group, shards)| Part { group, shards, canary: false }).collect()
     }
 
-    fn send(&mut self, part: Part, ends: Ends) {
+    fn send(&mut self, part: Part, deadlines: Deadlines) {
         let search = self.search;
         let request = search.request(self.plan.version, part.shards.clone());
-        self.open.push(Box::pin(async move {
-            let answer = search.router.ask(part.group, &request, ends, !part.canary).await;
+        self.pending.push(Box::pin(async move {
+            let answer =
+                search.router.query_group(part.group, &request, deadlines, !part.canary).await;
             Event::Answered(part, answer)
         }));
     }
 
-    /// Sends what waited for the canary, as it has answered.
+    /// Sends the request to the shards that were held back for the canary.
     fn release(&mut self) {
         let Some(held) = self.held_back.take() else {
             return;
         };
         for part in self.parts(&held.shards) {
-            self.send(part, self.search.ends);
+            self.send(part, self.search.deadlines);
         }
     }
 
-    /// Takes the next step after a canary, which `ran` or failed otherwise than by a
-    /// crash.
+    /// Handles the result of a part; a canary that failed without a crash may be
+    /// followed by another.
     ///
-    /// A shard that is lost, draining or of another version tells nothing of the
-    /// request. To fan out then would crash a replica of each shard, so another
-    /// canary is sent, a few times at most, since many shards may be refusing.
-    pub(crate) fn release_after(&mut self, canary: bool, ran: bool) {
+    /// A shard that is lost, draining or at another version gives no evidence about the
+    /// request. Fanning out then could crash a replica of each shard, so another canary
+    /// is sent. The number of canaries is limited, since many shards may refuse.
+    pub(crate) fn on_canary_result(&mut self, canary: bool, ran: bool) {
         let Some(held) = self.held_back.as_mut().filter(|_| canary && !ran) else {
             return self.release();
         };
         held.on_failed(self.search.clock.now(), self.search.canary_end());
     }
 
-    /// Takes the next step if the canary is slow.
+    /// Sends another canary, or the held back shards, if the canary is slow.
     ///
-    /// It may have met a straggler. It may also be crashing one replica after the
-    /// other, which its holder needs a while to find out; fanning out meanwhile
-    /// would crash a replica of each shard. So one other shard is tried, which
-    /// tells the two apart, and only half of the patience ends the wait.
+    /// The canary may have hit a straggler. It may also be crashing one replica after
+    /// another, which its holder needs some time to detect; fanning out meanwhile would
+    /// crash a replica of each shard. A second canary to another shard distinguishes
+    /// the two cases, and the wait ends only after half of the patience.
     fn release_due(&mut self) {
         let search = self.search;
         let now = search.clock.now();
-        // While versions are asked for again, a canary may meet the old one only.
-        let is_due = |held: &mut HeldBack<'_>| now >= held.until && !self.refreshing;
+        // While versions are being refreshed, a canary may only reach the old one.
+        let is_due = |held: &mut HeldBack<'_>| now >= held.due && !self.refreshing;
         let Some(mut held) = self.held_back.take_if(is_due) else {
             return;
         };
-        if held.second && !held.shards.is_empty() {
+        if held.send_another && !held.shards.is_empty() {
             self.send_canary(&mut held.shards);
             held.on_sent(search.canary_end().max(now));
             self.held_back = Some(held);
@@ -255,36 +256,37 @@
         self.release();
     }
 
-    fn may_follow(&self, now: Instant) -> bool {
+    fn may_follow_up(&self, now: Instant) -> bool {
         let search = self.search;
-        search.follow_up && !self.followed && now + search.margin < search.ends.deadline
+        search.follow_up && !self.followed_up && now + search.margin < search.deadlines.holder
     }
 
-    /// Asks once more for shards that were late, if the coverage is not enough.
+    /// Retries the late shards once if the coverage is insufficient.
     ///
-    /// Holders cut them off when partial answers were wanted, which was right for
-    /// a tenant whose coverage is enough by then. If it is not, the rest of the
-    /// deadline is theirs.
+    /// Holders abandoned these shards at the deadline for partial answers. That is
+    /// correct for a tenant whose coverage is sufficient by then. Otherwise the shards
+    /// get the rest of the deadline.
     fn follow_up(&mut self, now: Instant) -> bool {
-        if self.late.is_empty() || !self.may_follow(now) {
+        if self.late.is_empty() || !self.may_follow_up(now) {
             return false;
         }
-        self.followed = true;
+        self.followed_up = true;
         let late: HashSet<ShardName> = self.late.drain(..).map(|(shard, _)| shard).collect();
         meters::followed_up(late.len());
         let plan = self.plan;
-        let shards: Vec<&Expected> =
-            plan.shards.iter().filter(|expected| late.contains(&expected.shard)).collect();
+        let shards: Vec<&PlannedShard> =
+            plan.shards.iter().filter(|planned| late.contains(&planned.shard)).collect();
         let parts = self.parts(&shards);
         self.waiting.extend(late);
-        let ends = Ends { patience: self.search.ends.deadline, ..self.search.ends };
+        let deadlines =
+            Deadlines { partial: self.search.deadlines.holder, ..self.search.deadlines };
         for part in parts {
-            self.send(part, ends);
+            self.send(part, deadlines);
         }
         true
     }
 
-    /// Lists what is still open, and checks that something was covered.
+    /// Lists the unanswered shards as missing; fails if no shard was covered.
     fn finish(mut self, is_over: bool) -> Result<Round> {
         let is_cut = !self.waiting.is_empty() || !self.late.is_empty();
         self.faults.extend(self.waiting.drain().map(|shard| (shard, Error::TimedOut)));
--- a/crates/kumquatnotch-query/src/options.rs
+++ b/crates/kumquatnotch-query/src/options.rs
@@ -1,41 +1,41 @@
-//! The options of the root's services, with their defaults.
+//! Options of the root's services, with their defaults.
 
 use std::time::Duration;
 
-/// The options of all services of this crate.
+/// Options of all services of this crate.
 #[derive(Clone, Debug, Default)]
 pub struct QueryOptions {
-    /// Of the front.
+    /// Options of the front.
     pub front: FrontOptions,
-    /// Of the tickets.
+    /// Options of the ticket service.
     pub tickets: TicketOptions,
-    /// Of the way to holders.
+    /// Options of the router.
     pub router: RouterOptions,
 }
 
 /// Options of [`crate::Router`].
 #[derive(Clone, Debug)]
 pub struct RouterOptions {
-    /// About how many shards make a group; the count of groups is a power of two.
+    /// Approximate number of shards per group; the number of groups is a power of two.
     pub group_shards: usize,
-    /// How many nodes hold a group.
+    /// Number of nodes that hold a group.
     pub holders: usize,
-    /// How many holders a group's request is sent to at most.
-    pub tries: usize,
-    /// The hedge delay until enough answers of holders were seen.
-    pub hedge_start: Duration,
-    /// The least hedge delay.
-    pub hedge_least: Duration,
-    /// The share of requests that may be sent to a second holder because the first is late.
+    /// Maximum number of holders to which a group's request is sent.
+    pub max_attempts: usize,
+    /// Hedge delay until enough answers of holders have been observed.
+    pub hedge_initial: Duration,
+    /// Minimum hedge delay.
+    pub hedge_min: Duration,
+    /// Share of requests that may be hedged because their first holder is late.
     ///
-    /// A copy of a request runs all of its shards again, on top of the copies that
-    /// holders make of late calls, so the two shares together are the extra load.
-    /// Holders already rescue calls from slow replicas; this is for slow holders.
+    /// A hedged request runs all of its shards again, in addition to the hedged calls
+    /// that holders send to targets, so the extra load is the sum of both shares.
+    /// Holders already handle slow replicas; this hedge is for slow holders.
     pub hedge_share: f64,
-    /// A peer with requests open and no reply for this long is asked last.
+    /// Time without a reply after which a peer with requests in flight is tried last.
     pub silence: Duration,
-    /// How often a silent peer is asked first again.
-    pub retrial: Duration,
+    /// Interval at which a silent peer is tried first again.
+    pub probe_interval: Duration,
 }
 
 impl Default for RouterOptions {
@@ -43,12 +43,12 @@
         RouterOptions {
             group_shards: 8,
             holders: 1,
-            tries: 3,
-            hedge_start: Duration::from_millis(60),
-            hedge_least: Duration::from_millis(5),
+            max_attempts: 3,
+            hedge_initial: Duration::from_millis(60),
+            hedge_min: Duration::from_millis(5),
             hedge_share: 0.002,
             silence: Duration::from_millis(250),
-            retrial: Duration::from_millis(500),
+            probe_interval: Duration::from_millis(500),
         }
     }
 }
@@ -56,60 +56,63 @@
 /// Options of [`crate::FrontService`].
 #[derive(Clone, Debug)]
 pub struct FrontOptions {
-    /// The largest query taken, in bytes of JSON.
+    /// Maximum size of a query, in bytes of JSON.
     pub body_limit: usize,
-    /// The most hits that a caller may ask for.
-    pub most_hits: u32,
-    /// The shortest deadline a caller may ask for.
-    pub least_deadline: Duration,
-    /// The time kept back for merging and for the way of the last answer.
+    /// Maximum number of hits that a caller may request.
+    pub max_hits: u32,
+    /// Shortest deadline that a caller may request.
+    pub min_deadline: Duration,
+    /// Time reserved for merging and for the transfer of the last answer.
     pub margin: Duration,
-    /// How often a query is planned again because its version went away.
-    pub plans: usize,
-    /// Whether a tenant's stop rule ends its queries; if not, every shard is waited for.
+    /// Maximum number of plans of a query, which is planned again if its version is
+    /// dropped.
+    pub max_plans: usize,
+    /// Whether a tenant's stop rule ends its queries; otherwise they wait for every
+    /// shard.
     pub stop_early: bool,
-    /// Whether shards that were late for the stop rule are asked once more if
-    /// the coverage is not enough.
+    /// Whether shards that were late for the stop rule are retried once if the coverage
+    /// is insufficient.
     pub follow_up: bool,
-    /// Whether a request unknown here goes to one shard first.
+    /// Whether a request that has not succeeded recently goes to one shard first.
     pub canary: bool,
-    /// How long a request that succeeded needs no canary.
-    pub canary_memory: Duration,
-    /// How many requests that succeeded are remembered.
+    /// Time during which a request that succeeded needs no canary.
+    pub canary_ttl: Duration,
+    /// Maximum number of successful requests that are remembered.
     pub canary_entries: usize,
-    /// How long the canary is waited for until answers of groups were seen.
-    pub canary_start: Duration,
+    /// Time to wait for a canary until enough answers of groups have been observed.
+    pub canary_initial: Duration,
     /// Whether requests are refused early under overload.
     pub admission: bool,
-    /// How long a caller may keep the entry advice.
+    /// Time during which a caller may cache the entry advice.
     pub advice_valid: Duration,
-    /// Whether advice spreads callers; if not, the nearest node always comes first.
+    /// Whether the advice spreads callers over nodes; otherwise the nearest node always
+    /// comes first.
     pub advice_spread: bool,
-    /// The age at which what is known of versions is asked for again.
+    /// Age at which reports of versions are refreshed.
     pub version_age: Duration,
-    /// How long holders have to tell the versions of their shards.
-    pub version_wait: Duration,
+    /// Timeout for requests for the versions of shards.
+    pub version_timeout: Duration,
 }
 
 impl Default for FrontOptions {
     fn default() -> FrontOptions {
         FrontOptions {
             body_limit: 64 * 1024,
-            most_hits: 1_000,
-            least_deadline: Duration::from_millis(5),
+            max_hits: 1_000,
+            min_deadline: Duration::from_millis(5),
             margin: Duration::from_millis(10),
-            plans: 3,
+            max_plans: 3,
             stop_early: true,
             follow_up: true,
             canary: true,
-            canary_memory: Duration::from_secs(60),
+            canary_ttl: Duration::from_secs(60),
             canary_entries: 65_536,
-            canary_start: Duration::from_millis(40),
+            canary_initial: Duration::from_millis(40),
             admission: true,
             advice_valid: Duration::from_secs(10),
             advice_spread: true,
             version_age: Duration::from_secs(1),
-            version_wait: Duration::from_millis(250),
+            version_timeout: Duration::from_millis(250),
         }
     }
 }
@@ -117,23 +120,23 @@
 /// Options of [`crate::TicketService`].
 #[derive(Clone, Debug)]
 pub struct TicketOptions {
-    /// How long a request may be sent under a ticket and its outcome asked for.
+    /// Time during which a request may be sent under a ticket and its outcome queried.
     pub valid: Duration,
-    /// The same for tickets that a leaving node issues.
+    /// The same for tickets issued by a leaving node.
     pub leaving_valid: Duration,
-    /// How many outcomes are kept at most.
-    pub entries: usize,
-    /// How many runs go on at once at most.
-    pub runs: usize,
-    /// How many times a request that certainly did not run is sent on.
-    pub tries: usize,
-    /// How long after the deadline the reply of a request that left is waited for.
+    /// Maximum number of stored outcomes.
+    pub max_outcomes: usize,
+    /// Maximum number of concurrent runs.
+    pub max_runs: usize,
+    /// Maximum number of attempts for a request that is known not to have run.
+    pub max_attempts: usize,
+    /// Time after the deadline during which the reply to a sent request is awaited.
     pub grace: Duration,
-    /// The time kept back for the way of a reply.
+    /// Time reserved for the transfer of a reply.
     pub margin: Duration,
-    /// How long this node must have run before an unknown issuer is taken as gone.
-    pub settle: Duration,
-    /// The largest request taken, in bytes of JSON.
+    /// Minimum uptime of this node before an unknown issuer counts as gone.
+    pub settle_time: Duration,
+    /// Maximum size of a request, in bytes of JSON.
     pub body_limit: usize,
 }
 
@@ -142,12 +145,12 @@
         TicketOptions {
             valid: Duration::from_secs(120),
             leaving_valid: Duration::from_secs(10),
-            entries: 65_536,
-            runs: 4_096,
-            tries: 4,
+            max_outcomes: 65_536,
+            max_runs: 4_096,
+            max_attempts: 4,
             grace: Duration::from_secs(2),
             margin: Duration::from_millis(10),
-            settle: Duration::from_secs(15),
+            settle_time: Duration::from_secs(15),
             body_limit: 64 * 1024,
         }
     }
--- a/crates/kumquatnotch-query/src/outcomes.rs
+++ b/crates/kumquatnotch-query/src/outcomes.rs
@@ -1,9 +1,9 @@
-//! The outcomes of exclusive requests, kept by the issuer of their tickets.
+//! Outcomes of exclusive requests, stored by the issuer of their tickets.
 //!
-//! An entry is made before the request leaves and stays at least as long as its
-//! ticket could run anything, so that no ticket runs twice. A refusal that says
-//! "not run" is kept like any other outcome: its caller may go on with a new
-//! ticket, and a late copy of the request must then find it refused.
+//! An entry is created before the request is sent and kept at least as long as its
+//! ticket is valid for a run, so that no ticket runs twice. A refusal that says "not
+//! run" is stored like any other outcome: the caller may continue with a new ticket,
+//! and a late copy of the request must then find the refusal.
 
 use std::{
     cell::RefCell,
@@ -14,38 +14,38 @@
 use futures_channel::oneshot;
 use kumquatnotch_core::{Error, collections::HashMap, ticket::Outcome};
 
-/// How many copies of a request wait for the one run at most.
-const MOST_WAITERS: usize = 64;
+/// Maximum number of copies of a request that wait for the same run.
+const MAX_WAITERS: usize = 64;
 
-/// What a ticket's number stands for.
-pub(crate) enum Found {
-    /// Nothing yet.
-    Nothing,
-    /// Another request than the one that asks.
-    Other,
-    /// It has ended.
+/// Result of looking up the serial number of a ticket.
+pub(crate) enum Lookup {
+    /// There is no entry.
+    Absent,
+    /// The entry belongs to another request.
+    OtherRequest,
+    /// The request has ended.
     Ended(Outcome),
-    /// It runs; this receives its outcome.
+    /// The request is running; the receiver gets its outcome.
     Running(oneshot::Receiver<Outcome>),
 }
 
-/// The outcomes by the numbers of tickets.
+/// Outcomes by the serial numbers of tickets.
 pub(crate) struct Outcomes {
     state: RefCell<State>,
-    keep: Duration,
-    most: usize,
+    ttl: Duration,
+    max_entries: usize,
 }
 
 #[derive(Default)]
 struct State {
     entries: HashMap<u64, Entry>,
-    /// The numbers in the order in which they are forgotten.
+    /// Serial numbers in order of expiry.
     order: VecDeque<(Instant, u64)>,
     running: usize,
 }
 
 struct Entry {
-    /// By which the request is recognised.
+    /// Hash that identifies the request.
     request: u64,
     stage: EntryStage,
 }
@@ -56,49 +56,51 @@
 }
 
 impl Outcomes {
-    /// Keeps each outcome for `keep`, and `most` of them.
-    pub fn new(keep: Duration, most: usize) -> Outcomes {
-        Outcomes { state: RefCell::default(), keep, most }
+    /// Creates a store that keeps each outcome for `ttl`, and at most `max_entries` of
+    /// them.
+    pub fn new(ttl: Duration, max_entries: usize) -> Outcomes {
+        Outcomes { state: RefCell::default(), ttl, max_entries }
     }
 
-    /// What `serial` stands for, asked by `request`.
-    pub fn find(&self, now: Instant, serial: u64, request: u64) -> Found {
+    /// Looks up `serial` for the request with the hash `request`.
+    pub fn find(&self, now: Instant, serial: u64, request: u64) -> Lookup {
         let mut state = self.state.borrow_mut();
-        state.forget(now);
+        state.remove_expired(now);
         let Some(entry) = state.entries.get_mut(&serial) else {
-            return Found::Nothing;
+            return Lookup::Absent;
         };
         if entry.request != request {
-            return Found::Other;
+            return Lookup::OtherRequest;
         }
         match &mut entry.stage {
-            EntryStage::Ended(outcome) => Found::Ended(outcome.clone()),
+            EntryStage::Ended(outcome) => Lookup::Ended(outcome.clone()),
             EntryStage::Running(waiters) => {
                 waiters.retain(|waiter| !waiter.is_canceled());
                 let (sender, receiver) = oneshot::channel();
-                // One more than the bound gets a closed channel: still running.
-                if waiters.len() < MOST_WAITERS {
+                // Beyond the limit the receiver is closed at once, which the caller
+                // reports as still running.
+                if waiters.len() < MAX_WAITERS {
                     waiters.push(sender);
                 }
-                Found::Running(receiver)
+                Lookup::Running(receiver)
             }
         }
     }
 
-    /// Makes the entry of a request that is about to run; false if there is no room.
+    /// Creates the entry of a request that is about to run; false if the store is full.
     pub fn begin(&self, now: Instant, serial: u64, request: u64) -> bool {
         let mut state = self.state.borrow_mut();
-        state.forget(now);
-        if state.entries.len() >= self.most {
+        state.remove_expired(now);
+        if state.entries.len() >= self.max_entries {
             return false;
         }
-        state.order.push_back((now + self.keep, serial));
+        state.order.push_back((now + self.ttl, serial));
         state.entries.insert(serial, Entry { request, stage: EntryStage::Running(Vec::new()) });
         state.running += 1;
         true
     }
 
-    /// Ends a request that runs; a second end changes nothing.
+    /// Stores the outcome of a running request; has no effect if it has already ended.
     pub fn end(&self, serial: u64, outcome: Outcome) {
         let waiters = {
             let mut state = self.state.borrow_mut();
@@ -116,12 +118,12 @@
             waiters
         };
         for waiter in waiters {
-            // A waiter that has gone away asks again or not; the outcome is kept.
+            // A waiter that has disconnected may retry; the outcome is stored.
             let _ = waiter.send(outcome.clone());
         }
     }
 
-    /// How many requests run, and how many outcomes are kept.
+    /// Returns the numbers of running requests and of stored outcomes.
     pub fn counts(&self) -> (usize, usize) {
         let state = self.state.borrow();
         (state.running, state.entries.len())
@@ -129,8 +131,8 @@
 }
 
 impl State {
-    /// Drops entries whose time is over; one that still runs is kept.
-    fn forget(&mut self, now: Instant) {
+    /// Removes expired entries, except those that are still running.
+    fn remove_expired(&mut self, now: Instant) {
         while let Some((at, serial)) = self.order.front().copied() {
             if at > now {
                 return;
@@ -138,7 +140,7 @@
             self.order.pop_front();
             let entry = self.entries.get(&serial);
             if entry.is_some_and(|entry| matches!(entry.stage, EntryStage::Running(_))) {
-                self.order.push_back((now + RUNNING_LONGER, serial));
+                self.order.push_back((now + RUNNING_RECHECK, serial));
                 continue;
             }
             self.entries.remove(&serial);
@@ -146,11 +148,11 @@
     }
 }
 
-/// When an entry that still runs is looked at again.
-const RUNNING_LONGER: Duration = Duration::from_secs(10);
+/// Time after which the expiry of a running entry is checked again.
+const RUNNING_RECHECK: Duration = Duration::from_secs(10);
 
-/// Ends a run as "outcome unknown" if it is dropped before its end, so that
-/// nobody waits for a run that has been lost to a fault.
+/// Ends a run as "outcome unknown" if it is dropped before its end, so that no caller
+/// waits for a run that was lost to a fault.
 pub(crate) struct RunGuard<'a> {
     pub outcomes: &'a Outcomes,
     pub serial: u64,
--- a/crates/kumquatnotch-query/src/router.rs
+++ b/crates/kumquatnotch-query/src/router.rs
@@ -1,9 +1,9 @@
-//! The way from a root to the holders of groups.
+//! Routing of requests from a root node to the holders of groups.
 //!
-//! A group's request goes to its first holder. The next one in rank gets it if
-//! the first is dead, refuses it, or is late; the first answer wins and the
-//! others are dropped, which cancels them. Only searches are sent twice: an
-//! exclusive call goes through [`Router::send`], once.
+//! A group's request goes to its first holder. The next holder in rank is tried if the
+//! first is dead, refuses the request or is late. The first answer wins, and the other
+//! attempts are cancelled by dropping them. Only searches are sent to several holders
+//! this way; an exclusive request goes through [`Router::send`], which sends it once.
 
 use std::{
     cell::Cell,
@@ -38,22 +38,22 @@
     meters,
 };
 
-/// The name under which the [`Router`] is registered, an `Rc<Router>`.
+/// Name under which the [`Router`] is registered, as an `Rc<Router>`.
 pub const ROUTER: &str = "router";
 
-/// The quantile of answers after which a holder counts as late.
-const LATE_QUANTILE: f64 = 0.99;
-/// The quantile of answers up to which a canary is waited for.
+/// Quantile of the answer latency after which a holder counts as late.
+const HEDGE_QUANTILE: f64 = 0.99;
+/// Quantile of the answer latency for which a canary is awaited.
 const CANARY_QUANTILE: f64 = 0.95;
-/// How many nodes are kept in rank after the holders of a group.
+/// Number of nodes ranked after the holders of a group.
 ///
-/// They take over from holders that are dead or silent, until the membership
-/// has found it; a data centre of a region that is lost at once takes a few.
+/// They take over from dead or silent holders until the membership has detected the
+/// failure. If a whole data centre of a region is lost at once, several are needed.
 const SPARE_HOLDERS: usize = 8;
-/// The most hedges that can be saved up.
-const HEDGE_TOKENS: f64 = 10.0;
+/// Maximum number of hedge tokens that can accumulate.
+const MAX_HEDGE_TOKENS: f64 = 10.0;
 
-/// The way to holders.
+/// Sends requests to the holders of groups.
 pub struct Router {
     clock: Rc<dyn Clock>,
     random: Random,
@@ -63,24 +63,24 @@
     options: RouterOptions,
     ranks: Ranks,
     health: Health,
-    answers: [Latency; 3],
+    latencies: [Latency; 3],
     tokens: Cell<f64>,
-    pruned: Cell<u64>,
+    pruned_generation: Cell<u64>,
 }
 
-/// When the parts of a query end.
+/// Deadlines of the stages of a query.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ends {
-    /// When holders should answer with what they have.
-    pub patience: Instant,
-    /// When holders should give up.
-    pub deadline: Instant,
+pub(crate) struct Deadlines {
+    /// When holders return a partial answer.
+    pub partial: Instant,
+    /// When holders give up.
+    pub holder: Instant,
     /// When the root gives up.
-    pub finish: Instant,
+    pub root: Instant,
 }
 
 impl Router {
-    /// A router over the services in `registry`.
+    /// Creates a router that uses the services in `registry`.
     pub fn try_new(options: RouterOptions, registry: &Registry) -> Result<Rc<Router>> {
         Ok(Rc::new(Router {
             clock: registry.find(services::CLOCK)?,
@@ -91,18 +91,18 @@
             options,
             ranks: Ranks::default(),
             health: Health::default(),
-            answers: Default::default(),
-            tokens: Cell::new(HEDGE_TOKENS),
-            pruned: Cell::new(0),
+            latencies: Default::default(),
+            tokens: Cell::new(MAX_HEDGE_TOKENS),
+            pruned_generation: Cell::new(0),
         }))
     }
 
-    /// The group of `shard` under `document`.
+    /// Returns the group of `shard` under `document`.
     pub(crate) fn group(&self, document: &Document, shard: &ShardName) -> GroupId {
         self.ranks.table(document, self.options.group_shards).group(shard)
     }
 
-    /// The holders of `group` in the order in which they should be asked.
+    /// Returns the holders of `group` in the order in which they are tried.
     pub(crate) fn holders(&self, group: GroupId) -> Vec<NodeRecord> {
         self.prune();
         let length = self.options.holders + SPARE_HOLDERS;
@@ -112,8 +112,8 @@
             let first = self.random.below(spread);
             holders[..spread].rotate_left(first);
         }
-        // A holder that has gone silent comes last, so that queries do not wait
-        // out a hedge delay each until membership has found it.
+        // Silent holders come last. Otherwise each query would wait for a hedge delay
+        // until the membership has detected the failure.
         let now = self.clock.now();
         let local = self.members.local().name;
         holders.sort_by_cached_key(|node| node.name != local && self.is_silent(&node.name, now));
@@ -121,34 +121,35 @@
     }
 
     fn is_silent(&self, name: &NodeName, now: Instant) -> bool {
-        self.health.is_silent(name, now, self.options.silence, self.options.retrial)
+        self.health.is_silent(name, now, self.options.silence, self.options.probe_interval)
     }
 
-    /// Forgets peers that are gone, once for each change of the members.
+    /// Removes peers that are no longer members, once per change of the membership.
     fn prune(&self) {
         let generation = self.members.generation();
-        if self.pruned.replace(generation) == generation {
+        if self.pruned_generation.replace(generation) == generation {
             return;
         }
         self.health.retain(|name| self.members.find(name).is_some());
     }
 
-    /// How long requests wait at a node, as far as is known.
+    /// Returns the queueing delay at a node, if known.
     pub(crate) fn wait_at(&self, name: &NodeName) -> Option<Duration> {
         self.health.wait(name)
     }
 
-    /// How long a canary is waited for; `start` until answers were seen.
+    /// Returns how long to wait for a canary; `start` until enough answers have been
+    /// observed.
     pub(crate) fn canary_delay(&self, class: Class, start: Duration) -> Duration {
-        self.answers[class as usize].quantile(CANARY_QUANTILE).unwrap_or(start)
+        self.latencies[class as usize].quantile(CANARY_QUANTILE).unwrap_or(start)
     }
 
     fn hedge_delay(&self, class: Class) -> Duration {
-        let learned = self.answers[class as usize].quantile(LATE_QUANTILE);
-        learned.unwrap_or(self.options.hedge_start).max(self.options.hedge_least)
+        let learned = self.latencies[class as usize].quantile(HEDGE_QUANTILE);
+        learned.unwrap_or(self.options.hedge_initial).max(self.options.hedge_min)
     }
 
-    /// Sends `message` to `node`, be it this one, and waits for its reply.
+    /// Sends `message` to `node`, which may be the local one, and waits for its reply.
     pub(crate) async fn send(
         &self,
         node: &NodeRecord,
@@ -173,20 +174,21 @@
         message: &PeerMessage,
         deadline: Instant,
     ) -> Result<PeerReply> {
-        let _open = Open::new(self, &node.name);
+        let _open = InFlight::new(self, &node.name);
         let sent = self.clock.now();
         let sending = self.peers.send(node.peer, message, deadline);
-        // The way to peers should keep the deadline itself. If it does not, the
-        // query must still end.
+        // The transport should enforce the deadline. If it does not, the query must
+        // still end.
         let reply = timeout_at(&*self.clock, deadline, sending).await.and_then(|reply| reply);
         match &reply {
-            Ok(_) => self.health.replied(&node.name),
+            Ok(_) => self.health.reply_received(&node.name),
             Err(error) => self.note_failure(&node.name, error, sent),
         }
         reply
     }
 
-    /// Tells membership of a peer that did not answer, and of no other failure.
+    /// Reports a peer that did not answer to the membership; other failures are not
+    /// reported.
     fn note_failure(&self, name: &NodeName, error: &Error, sent: Instant) {
         let waited = self.clock.now().saturating_duration_since(sent);
         match error {
@@ -194,70 +196,74 @@
             | Error::ConnectRefused
             | Error::ConnectionLost
             | Error::ConnectionSilent => {
-                self.health.muted(name, self.clock.now(), self.options.silence);
+                self.health.mark_silent(name, self.clock.now(), self.options.silence);
                 self.members.report_silent(name);
             }
-            // A deadline of few milliseconds that passes is no evidence.
+            // A timeout after a few milliseconds is no evidence of a failed peer.
             Error::TimedOut if waited >= self.options.silence => self.members.report_silent(name),
             Error::TimedOut => {}
-            _ => self.health.replied(name),
+            _ => self.health.reply_received(name),
         }
     }
 
-    /// Asks the holders of `group`; the first answer wins.
+    /// Sends a request to the holders of `group` and returns the first answer.
     ///
-    /// Without `hedged` a late holder is waited for as long as it is not silent: a
-    /// request that may crash targets must not run through two holders at once.
-    pub(crate) async fn ask(
+    /// Without `hedged`, a late holder is awaited unless it is silent: a request that
+    /// may crash targets must not run through two holders at once.
+    pub(crate) async fn query_group(
         &self,
         group: GroupId,
         request: &GroupRequest,
-        ends: Ends,
+        deadlines: Deadlines,
         hedged: bool,
     ) -> Result<GroupAnswer> {
         let holders = self.holders(group);
-        let mut waiting = holders.iter().take(self.options.tries);
+        let mut waiting = holders.iter().take(self.options.max_attempts);
         let Some(first) = waiting.next() else {
             return Err(Error::NoTarget);
         };
         self.earn_token();
         let mut open = FuturesUnordered::new();
-        open.push(self.attempt(first, request, ends, false));
+        open.push(self.attempt(first, request, deadlines, false));
         let silent_at = self.clock.now() + self.options.silence;
         let mut hedge_at = self.clock.now() + self.hedge_delay(request.class);
         loop {
-            let timer = self.clock.sleep_until(hedge_at.min(ends.finish));
+            let timer = self.clock.sleep_until(hedge_at.min(deadlines.root));
             match select(open.next(), timer).await {
                 Either::Left((Some(Ok(answer)), _)) => return Ok(answer),
                 Either::Left((Some(Err(error)), _)) => {
-                    // A dead holder, or one that can't serve: the next one, at once.
-                    let next = if is_of_holder(&error) { waiting.next() } else { None };
+                    // The holder is dead or cannot serve the request: try the next one
+                    // at once.
+                    let next = if may_try_next_holder(&error) { waiting.next() } else { None };
                     match next {
-                        Some(next) => open.push(self.attempt(next, request, ends, false)),
+                        Some(next) => open.push(self.attempt(next, request, deadlines, false)),
                         None if open.is_empty() => return Err(error),
                         None => {}
                     }
                 }
                 Either::Left((None, _)) => return Err(Error::NoTarget),
-                Either::Right(_) if self.clock.now() >= ends.finish => return Err(Error::TimedOut),
+                Either::Right(_) if self.clock.now() >= deadlines.root => {
+                    return Err(Error::TimedOut);
+                }
                 Either::Right(_) => {
                     let is_silent = self.has_gone_silent(&first.name);
                     if is_silent || (hedged && self.spend_token()) {
                         let next = waiting.next();
-                        open.extend(next.map(|next| self.attempt(next, request, ends, true)));
-                        hedge_at = ends.finish;
+                        open.extend(next.map(|next| self.attempt(next, request, deadlines, true)));
+                        hedge_at = deadlines.root;
                     } else {
-                        hedge_at = silent_at.max(self.clock.now() + self.options.hedge_least);
+                        hedge_at = silent_at.max(self.clock.now() + self.options.hedge_min);
                     }
                 }
             }
         }
     }
 
-    /// Whether a peer that has requests open has said nothing for too long.
+    /// Returns whether a peer with requests in flight has been silent for too long.
     ///
-    /// Then the next holder is asked whatever the budget: a frozen holder of many
-    /// groups uses it up at once, and its groups would wait for their deadline.
+    /// The next holder is then tried regardless of the hedge budget. A frozen holder of
+    /// many groups exhausts the budget at once, and its groups would wait until their
+    /// deadline.
     fn has_gone_silent(&self, name: &NodeName) -> bool {
         self.health.silence(name, self.clock.now()) >= self.options.silence
     }
@@ -272,42 +278,42 @@
     }
 
     fn earn_token(&self) {
-        self.tokens.set((self.tokens.get() + self.options.hedge_share).min(HEDGE_TOKENS));
+        self.tokens.set((self.tokens.get() + self.options.hedge_share).min(MAX_HEDGE_TOKENS));
     }
 
     async fn attempt(
         &self,
         node: &NodeRecord,
         request: &GroupRequest,
-        ends: Ends,
+        deadlines: Deadlines,
         hedge: bool,
     ) -> Result<GroupAnswer> {
         let sent = self.clock.now();
         let left = |end: Instant| end.saturating_duration_since(sent).as_millis() as u64;
         let request = GroupRequest {
-            patience_ms: left(ends.patience),
-            deadline_ms: left(ends.deadline),
+            patience_ms: left(deadlines.partial),
+            deadline_ms: left(deadlines.holder),
             hedge,
             ..request.clone()
         };
         let (class, shards) = (request.class, request.shards.clone());
         let message = PeerMessage::Group(Box::new(request));
-        let reply = self.send(node, &message, ends.finish).await?;
+        let reply = self.send(node, &message, deadlines.root).await?;
         let PeerReply::Group(answer) = reply else {
             return Err(Error::protocol("not an answer for a group"));
         };
-        // An answer that names other shards than asked for belongs to another
-        // request. It must not reach this caller: the holder counts as failed.
+        // An answer for shards that were not requested belongs to another request. It
+        // must not reach this caller, so the attempt counts as failed.
         if !answer.covered.iter().all(|shard| shards.contains(shard)) {
             return Err(Error::protocol("an answer for other shards"));
         }
         let now = self.clock.now();
-        self.answers[class as usize].record(now, now.saturating_duration_since(sent));
-        self.health.learn_wait(&node.name, Duration::from_micros(answer.wait_us));
+        self.latencies[class as usize].record(now, now.saturating_duration_since(sent));
+        self.health.record_wait(&node.name, Duration::from_micros(answer.wait_us));
         Ok(*answer)
     }
 
-    /// The state of the way to holders as text for the status page.
+    /// Returns the state of the router as text for the status page.
     pub fn status_text(&self) -> String {
         let delays =
             Class::ALL.map(|class| format!("{} {:?}", class.as_str(), self.hedge_delay(class)));
@@ -315,12 +321,12 @@
     }
 }
 
-/// Whether `error` is the holder's own and another one may do better.
+/// Returns whether another holder may succeed after `error`.
 ///
-/// A refusal for want of capacity is not: the next holder has slots of its own
-/// for the same replicas, and would overload them. Nor is the refusal of a
-/// request that crashes targets: the next holder may not have heard of it yet.
-fn is_of_holder(error: &Error) -> bool {
+/// This is not the case for a refusal for lack of capacity: the next holder has its own
+/// slots for the same replicas and would overload them. Nor is it for the refusal of a
+/// request that crashes targets: the next holder may not know of the crashes yet.
+fn may_try_next_holder(error: &Error) -> bool {
     !matches!(
         error,
         Error::Overloaded { .. }
@@ -331,22 +337,22 @@
     )
 }
 
-/// Counts a request to a peer as open until it is dropped.
-struct Open<'a> {
+/// Counts a request to a peer as in flight until it is dropped.
+struct InFlight<'a> {
     router: &'a Router,
     name: &'a NodeName,
 }
 
-impl<'a> Open<'a> {
-    fn new(router: &'a Router, name: &'a NodeName) -> Open<'a> {
-        router.health.sent(name, router.clock.now());
-        Open { router, name }
+impl<'a> InFlight<'a> {
+    fn new(router: &'a Router, name: &'a NodeName) -> InFlight<'a> {
+        router.health.request_sent(name, router.clock.now());
+        InFlight { router, name }
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let router = self.router;
-        router.health.closed(self.name, router.clock.now());
+        router.health.request_closed(self.name, router.clock.now());
     }
 }
--- a/crates/kumquatnotch-query/tests/common/mod.rs
+++ b/crates/kumquatnotch-query/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A few nodes with real fronts, over fakes of the network and of the holders.
+//! Test cluster of nodes with real fronts, on a fake network with fake holders.
 //!
-//! Each test file uses a part of this.
+//! Each test file uses a part of this module.
 #![allow(dead_code)]
 
 pub mod holder;
@@ -46,14 +46,14 @@
 pub const KEY: &str = "key of siam";
 pub const RIVAL_KEY: &str = "key of barid";
 
-pub struct World {
+pub struct Cluster {
     pub clock: PausedClock,
     pub net: Rc<Net>,
     pub shards: Rc<Shards>,
     pub documents: Rc<FakeDocuments>,
     pub members: Rc<RefCell<BTreeMap<NodeName, NodeRecord>>>,
     pub generation: Rc<Cell<u64>>,
-    /// The nodes that one node does not see.
+    /// Pairs of a node and another node that it does not see.
     pub unseen: Rc<RefCell<Vec<(NodeName, NodeName)>>>,
     pub nodes: Vec<Node>,
 }
@@ -67,14 +67,14 @@
     pub registry: Registry,
 }
 
-/// A world of `nodes` nodes and of `shards` shards at version 1.
-pub fn world(nodes: usize, shards: usize) -> World {
-    world_with(nodes, shards, QueryOptions::default())
+/// Creates a cluster of `nodes` nodes and `shards` shards at version 1.
+pub fn cluster(nodes: usize, shards: usize) -> Cluster {
+    cluster_with(nodes, shards, QueryOptions::default())
 }
 
-pub fn world_with(nodes: usize, shards: usize, options: QueryOptions) -> World {
+pub fn cluster_with(nodes: usize, shards: usize, options: QueryOptions) -> Cluster {
     let clock = PausedClock::default();
-    let mut world = World {
+    let mut cluster = Cluster {
         net: Rc::new(Net::new(clock.clone())),
         shards: Rc::new(Shards::new(clock.clone())),
         documents: Rc::new(FakeDocuments(RefCell::new(Some(Rc::new(document(shards)))))),
@@ -85,17 +85,18 @@
         clock,
     };
     for number in 0..shards {
-        world.shards.set_versions(&shard(number), vec![held(&shard(number), 1, shards)]);
+        cluster.shards.set_versions(&shard(number), vec![held(&shard(number), 1, shards)]);
     }
     for number in 0..nodes {
         let record = record(number, 1);
-        world.start(number, record, options.clone());
+        cluster.start(number, record, options.clone());
     }
-    world
+    cluster
 }
 
-impl World {
-    /// Starts a node, in the place of the earlier life of the same number if there is one.
+impl Cluster {
+    /// Starts a node, which replaces the previous incarnation of the same number, if
+    /// any.
     pub fn start(&mut self, number: usize, record: NodeRecord, options: QueryOptions) {
         let node = self.make(record, options);
         let peer = node.record.peer;
@@ -145,35 +146,36 @@
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// Node `number` has no document yet, and the others know.
+    /// Announces that node `number` has no document yet.
     pub fn set_starting(&self, number: usize) {
         let name = self.nodes[number].record.name.clone();
         self.members.borrow_mut().get_mut(&name).unwrap().serving = false;
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// Node `number` takes `other` as gone, and no other node does.
+    /// Makes node `number`, and no other node, treat `other` as gone.
     pub fn hide(&self, number: usize, other: usize) {
         let name = |number: usize| self.nodes[number].record.name.clone();
         self.unseen.borrow_mut().push((name(number), name(other)));
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// A node besides node 0 that holds groups, by node 0's view; this searches.
+    /// Searches and returns a node other than node 0 that holds groups in the view of
+    /// node 0.
     pub async fn other_holder(&self) -> usize {
         self.search(0).await.unwrap();
         let asked = self.shards.asked.borrow();
         let holds = |node: &Node| asked.iter().any(|(name, _, _)| *name == node.record.name);
         let place = self.nodes.iter().skip(1).position(holds);
-        1 + place.expect("node 0 does not hold every group")
+        1 + place.expect("node 0 should not hold every group")
     }
 
-    pub fn set_way(&self, number: usize, way: net::Way) {
-        self.net.set(self.nodes[number].record.peer, way);
+    pub fn set_link(&self, number: usize, link: net::LinkState) {
+        self.net.set(self.nodes[number].record.peer, link);
     }
 
-    /// The nodes that `shard` was asked through, in order.
-    pub fn askers(&self, shard: &ShardName) -> Vec<NodeName> {
+    /// Returns the nodes through which `shard` was requested, in order.
+    pub fn asked_nodes(&self, shard: &ShardName) -> Vec<NodeName> {
         let asked = self.shards.asked.borrow();
         asked.iter().filter(|(_, name, _)| name == shard).map(|(node, _, _)| node.clone()).collect()
     }
@@ -225,8 +227,8 @@
     }
 }
 
-/// What an exclusive request told, as an error or not.
-pub fn told(result: Result<Outcome>) -> Result<serde_json::Value> {
+/// Returns the value of an exclusive request, or its error.
+pub fn outcome_value(result: Result<Outcome>) -> Result<serde_json::Value> {
     match result? {
         Outcome::Done(value) => Ok(value),
         Outcome::Failed(error) => Err(error),
@@ -368,11 +370,11 @@
     }
 }
 
-/// Runs `test` in a runtime under the paused clock of its world.
-pub fn run<T>(world: &World, test: impl Future<Output = T>) -> T {
+/// Runs `test` in a runtime with the paused clock of the cluster.
+pub fn run<T>(cluster: &Cluster, test: impl Future<Output = T>) -> T {
     let mut runtime =
         monoio::RuntimeBuilder::<monoio::LegacyDriver>::new().enable_timer().build().unwrap();
-    let clock = world.clock.clone();
+    let clock = cluster.clock.clone();
     runtime.block_on(async move { clock.drive(test).await })
 }
 
--- a/crates/kumquatnotch-query/tests/groups.rs
+++ b/crates/kumquatnotch-query/tests/groups.rs
@@ -13,7 +13,8 @@
     ShardName::from(format!("s{number}"))
 }
 
-/// A document of `shards` shards, every third of which one of three selectors reaches.
+/// Returns a document of `shards` shards with three selectors, each reaching a third of
+/// them.
 fn document(shards: usize) -> Document {
     let mut document = Document::default();
     for number in 0..shards {
@@ -43,22 +44,22 @@
     shards.map(|number| table.group(&shard(number))).collect()
 }
 
-/// With groups by the hash of the shard alone, a query of 1,600 of 4,800 shards
-/// met all 256 groups, each for six of its shards. At the size to come that is
-/// six times the messages between nodes, and its slowest holder sets the time.
+/// If shards were grouped by their hash alone, a query for 1,600 of 4,800 shards would
+/// use all 256 groups, each for six of its shards. At the planned size that means six
+/// times as many messages between nodes, and the slowest holder determines the latency.
 #[test]
-fn a_query_meets_only_the_groups_of_its_selector() {
+fn query_uses_only_the_groups_of_its_selector() {
     let table = GroupTable::new(&document(4_800), 20);
 
-    let met = groups(&table, (0..4_800).step_by(3));
+    let used = groups(&table, (0..4_800).step_by(3));
     let others = groups(&table, (0..4_800).filter(|number| number % 3 != 0));
 
-    assert!(met.len() <= 128, "{}", met.len());
-    assert!(met.is_disjoint(&others));
+    assert!(used.len() <= 128, "{}", used.len());
+    assert!(used.is_disjoint(&others));
 }
 
 #[test]
-fn a_shard_that_comes_regroups_no_other() {
+fn adding_a_shard_does_not_regroup_the_others() {
     let before = GroupTable::new(&document(300), 8);
     let after = GroupTable::new(&document(301), 8);
 
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_shard_that_is_not_declared_has_a_group_of_its_own() {
+fn undeclared_shard_has_its_own_group() {
     let table = GroupTable::new(&document(3), 8);
 
     assert_ne!(table.group(&shard(7)), table.group(&shard(8)));
