--- a/crates/kumquatnotch-holder/src/selection.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -99,8 +99,8 @@
         }
         let candidates: Vec<Candidate> =
             usable.iter().map(|name| self.candidate(&table.entries[name], now)).collect();
-        let need = CallProfile { ahead: offer.ahead, urgent: request.work.class == Class::Desk };
-        match self.choice.pick(&candidates, need, &self.random) {
+        let profile = CallProfile { ahead: offer.ahead, urgent: request.work.class == Class::Desk };
+        match self.choice.pick(&candidates, profile, &self.random) {
             Pick::Take(index) => Selection::Start(usable[index].clone()),
             Pick::Wait => Selection::Wait,
         }
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -275,7 +275,9 @@
         let entry = table.entries.get_mut(name).expect("the replica was found in the table");
         let level = entry.replica.on_start(now);
         entry.limit.on_start(level);
-        entry.running.push((id, Running { print: work.fingerprint, shard: work.shard.clone() }));
+        entry
+            .running
+            .push((id, Running { fingerprint: work.fingerprint, shard: work.shard.clone() }));
         if alone {
             entry.suspect_slot = Some(id);
             entry.reserved_for = None;
--- a/crates/kumquatnotch-policy/src/answer_time.rs
+++ b/crates/kumquatnotch-policy/src/answer_time.rs
@@ -36,7 +36,7 @@
 
 /// Network and scheduling delays of a request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Origin {
+pub struct RequestDelays {
     /// Round trip to callers nearby.
     pub round_trip: Duration,
     /// Additional round trip for callers from other regions, if there may be any.
@@ -53,10 +53,10 @@
 }
 
 /// Time within which the answer to a request that has just arrived is in time.
-pub fn time_to_answer(objective: Duration, origin: Origin) -> Duration {
-    let trips = if origin.is_first { FIRST_REQUEST_ROUND_TRIPS } else { REQUEST_ROUND_TRIPS };
+pub fn time_to_answer(objective: Duration, delays: RequestDelays) -> Duration {
+    let trips = if delays.is_first { FIRST_REQUEST_ROUND_TRIPS } else { REQUEST_ROUND_TRIPS };
     let wait = objective.saturating_sub(
-        origin.remote_round_trip + origin.round_trip * trips + origin.lag * LAGS_RESERVED,
+        delays.remote_round_trip + delays.round_trip * trips + delays.lag * LAGS_RESERVED,
     );
     wait.max(objective.mul_f64(MIN_WAIT_PART))
 }
@@ -67,15 +67,15 @@
     /// Time from the arrival of the request until the answer is due.
     pub within: Duration,
     /// Whether the caller is retrying, so late that the answer cannot be in time.
-    pub is_returning: bool,
+    pub is_late_retry: bool,
 }
 
 impl Due {
     /// Computes the due time for a caller that has already `waited`.
     pub fn new(time_to_answer: Duration, waited: Duration) -> Due {
         let remaining = time_to_answer.saturating_sub(waited);
-        let is_returning = remaining < time_to_answer.mul_f64(MIN_REMAINING_PART);
-        Due { within: if is_returning { time_to_answer } else { remaining }, is_returning }
+        let is_late_retry = remaining < time_to_answer.mul_f64(MIN_REMAINING_PART);
+        Due { within: if is_late_retry { time_to_answer } else { remaining }, is_late_retry }
     }
 }
 
--- a/crates/kumquatnotch-policy/src/budget.rs
+++ b/crates/kumquatnotch-policy/src/budget.rs
@@ -2,7 +2,7 @@
 //!
 //! In any window, all nodes together may send each service a limited number of repeats (retries and
 //! hedges): a fraction of its requests, and a fixed number. Each node applies the fraction to its
-//! own requests and takes its part of the fixed number, so that the total holds without a shared
+//! own requests and takes its share of the fixed number, so that the total holds without a shared
 //! counter.
 
 use std::{
@@ -15,11 +15,11 @@
 /// Number of steps of a window.
 const STEPS: usize = 10;
 
-/// Used part of the allowance.
+/// Used share of the allowance.
 ///
 /// The platform's windows slide continuously, while these advance in steps; the rest covers the
 /// difference of one step.
-const USED_PART: f64 = 0.85;
+const USED_SHARE: f64 = 0.85;
 
 /// Options of [`Budget`].
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +36,7 @@
 pub struct Budget {
     options: Cell<BudgetOptions>,
     start: Instant,
-    part: Cell<f64>,
+    share: Cell<f64>,
     windows: RefCell<HashMap<ServiceName, Window>>,
 }
 
@@ -67,14 +67,14 @@
 impl Budget {
     /// Creates an unspent budget.
     pub fn new(options: BudgetOptions, start: Instant) -> Budget {
-        let part = Cell::new(1.0);
+        let share = Cell::new(1.0);
         let options = Cell::new(options);
-        Budget { options, start, part, windows: RefCell::default() }
+        Budget { options, start, share, windows: RefCell::default() }
     }
 
-    /// Sets the part of the fixed number that this node may use, from zero to one.
-    pub fn set_part(&self, part: f64) {
-        self.part.set(part);
+    /// Sets the share of the fixed number that this node may use, from zero to one.
+    pub fn set_share(&self, share: f64) {
+        self.share.set(share);
     }
 
     /// Sets the repeats allowed per request, and the fixed number allowed in addition.
@@ -93,11 +93,11 @@
     /// Takes a repeat out of the budget; false if the budget is used up.
     pub fn spend(&self, service: &ServiceName, now: Instant) -> bool {
         let BudgetOptions { ratio, slack, .. } = self.options.get();
-        let slack = slack * self.part.get();
+        let slack = slack * self.share.get();
         self.with_window(service, now, |window| {
             let originals: u32 = window.originals.iter().sum();
             let repeats: u32 = window.repeats.iter().sum();
-            let allowance = USED_PART * (ratio * f64::from(originals) + slack);
+            let allowance = USED_SHARE * (ratio * f64::from(originals) + slack);
             if f64::from(repeats + 1) > allowance {
                 return false;
             }
@@ -110,11 +110,11 @@
     /// Spent fraction of the repeats allowed in the current window, at most one.
     pub fn spent(&self, service: &ServiceName, now: Instant) -> f64 {
         let BudgetOptions { ratio, slack, .. } = self.options.get();
-        let slack = slack * self.part.get();
+        let slack = slack * self.share.get();
         self.with_window(service, now, |window| {
             let originals: u32 = window.originals.iter().sum();
             let repeats: u32 = window.repeats.iter().sum();
-            let allowance = USED_PART * (ratio * f64::from(originals) + slack);
+            let allowance = USED_SHARE * (ratio * f64::from(originals) + slack);
             (f64::from(repeats) / allowance.max(1.0)).min(1.0)
         })
     }
--- a/crates/kumquatnotch-policy/src/choice.rs
+++ b/crates/kumquatnotch-policy/src/choice.rs
@@ -56,7 +56,7 @@
 /// Selects the replica that runs a call.
 pub trait Choice {
     /// Selects one of `candidates` with a free slot, or waits.
-    fn pick(&self, candidates: &[Candidate], need: CallProfile, random: &Random) -> Pick;
+    fn pick(&self, candidates: &[Candidate], profile: CallProfile, random: &Random) -> Pick;
 }
 
 /// Round robin. The baseline.
@@ -66,7 +66,7 @@
 }
 
 impl Choice for RoundRobin {
-    fn pick(&self, candidates: &[Candidate], _need: CallProfile, _random: &Random) -> Pick {
+    fn pick(&self, candidates: &[Candidate], _profile: CallProfile, _random: &Random) -> Pick {
         let start = self.next.get();
         self.next.set(start.wrapping_add(1));
         (0..candidates.len())
@@ -81,7 +81,7 @@
 pub struct ReportedLoad;
 
 impl Choice for ReportedLoad {
-    fn pick(&self, candidates: &[Candidate], _need: CallProfile, random: &Random) -> Pick {
+    fn pick(&self, candidates: &[Candidate], _profile: CallProfile, random: &Random) -> Pick {
         let free = candidates.iter().enumerate().filter(|(_, candidate)| candidate.is_free());
         free.min_by_key(|(_, candidate)| (candidate.reported, random.number()))
             .map_or(Pick::Wait, |(index, _)| Pick::Take(index))
@@ -104,8 +104,8 @@
 pub struct LeastTime;
 
 impl Choice for LeastTime {
-    fn pick(&self, candidates: &[Candidate], need: CallProfile, random: &Random) -> Pick {
-        if let Some(index) = probe(candidates, need, random) {
+    fn pick(&self, candidates: &[Candidate], profile: CallProfile, random: &Random) -> Pick {
+        if let Some(index) = probe(candidates, profile, random) {
             return Pick::Take(index);
         }
         let warm = candidates.iter().any(|candidate| !candidate.warming);
@@ -115,7 +115,7 @@
             if warm && candidate.warming {
                 continue;
             }
-            let time = expected_time(candidate, need.ahead);
+            let time = expected_time(candidate, profile.ahead);
             if best.is_none_or(|(least, _)| time < least) {
                 best = Some((time, index));
             }
@@ -128,11 +128,11 @@
 }
 
 /// Returns the candidate that gets this call as a probe, to refresh its latency or warm it up.
-fn probe(candidates: &[Candidate], need: CallProfile, random: &Random) -> Option<usize> {
+fn probe(candidates: &[Candidate], profile: CallProfile, random: &Random) -> Option<usize> {
     if candidates.len() < 2 {
         return None;
     }
-    let idle = if need.urgent { URGENT_PROBE_IDLE } else { PROBE_IDLE };
+    let idle = if profile.urgent { URGENT_PROBE_IDLE } else { PROBE_IDLE };
     candidates.iter().position(|candidate| {
         let quiet = candidate.in_flight == 0 && candidate.is_free();
         let due = candidate.idle >= idle;
--- a/crates/kumquatnotch-policy/src/containment.rs
+++ b/crates/kumquatnotch-policy/src/containment.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Running {
     /// Fingerprint by which the request is recognised when it is retried.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Requested shard.
     pub shard: ShardName,
 }
@@ -35,7 +35,7 @@
 /// Decides which requests are kept from targets.
 pub trait Containment {
     /// Returns how a request may run.
-    fn verdict(&self, print: Fingerprint, now: Instant) -> Verdict;
+    fn verdict(&self, fingerprint: Fingerprint, now: Instant) -> Verdict;
 
     /// Records a crash of a target with these requests in flight; returns the request that is
     /// contained now.
@@ -44,7 +44,7 @@
     fn on_crash(&mut self, present: &[Running], alone: bool, now: Instant) -> Option<Fingerprint>;
 
     /// Records an answer of a shard to a request.
-    fn on_answer(&mut self, print: Fingerprint, shard: &ShardName);
+    fn on_answer(&mut self, fingerprint: Fingerprint, shard: &ShardName);
 
     /// How long a contained request is refused.
     fn span(&self) -> Duration;
@@ -55,7 +55,7 @@
 pub struct NoContainment;
 
 impl Containment for NoContainment {
-    fn verdict(&self, _print: Fingerprint, _now: Instant) -> Verdict {
+    fn verdict(&self, _fingerprint: Fingerprint, _now: Instant) -> Verdict {
         Verdict::Free
     }
 
@@ -68,7 +68,7 @@
         None
     }
 
-    fn on_answer(&mut self, _print: Fingerprint, _shard: &ShardName) {}
+    fn on_answer(&mut self, _fingerprint: Fingerprint, _shard: &ShardName) {}
 
     fn span(&self) -> Duration {
         Duration::ZERO
@@ -99,8 +99,8 @@
 }
 
 impl Containment for StrikeContainment {
-    fn verdict(&self, print: Fingerprint, now: Instant) -> Verdict {
-        let Some(suspect) = self.suspects.get(&print) else {
+    fn verdict(&self, fingerprint: Fingerprint, now: Instant) -> Verdict {
+        let Some(suspect) = self.suspects.get(&fingerprint) else {
             return Verdict::Free;
         };
         match suspect.until {
@@ -113,7 +113,7 @@
     fn on_crash(&mut self, present: &[Running], alone: bool, now: Instant) -> Option<Fingerprint> {
         self.make_room(now);
         for running in present {
-            let suspect = self.suspects.entry(running.print).or_insert_with(|| Suspect {
+            let suspect = self.suspects.entry(running.fingerprint).or_insert_with(|| Suspect {
                 strikes: 0,
                 shards: Vec::new(),
                 last: now,
@@ -135,23 +135,23 @@
         if !alone {
             return None;
         }
-        let suspect = self.suspects.get_mut(&running.print)?;
+        let suspect = self.suspects.get_mut(&running.fingerprint)?;
         if suspect.strikes < MIN_STRIKES {
             return None;
         }
         suspect.until = Some(now + CONTAINMENT_TIME);
-        Some(running.print)
+        Some(running.fingerprint)
     }
 
-    fn on_answer(&mut self, print: Fingerprint, shard: &ShardName) {
-        let Some(suspect) = self.suspects.get_mut(&print) else {
+    fn on_answer(&mut self, fingerprint: Fingerprint, shard: &ShardName) {
+        let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
         // The other shards of the same query keep answering, so only the shard that crashed can
         // clear the request.
         suspect.shards.retain(|struck| struck != shard);
         if suspect.shards.is_empty() && suspect.until.is_none() {
-            self.suspects.remove(&print);
+            self.suspects.remove(&fingerprint);
         }
     }
 
@@ -171,8 +171,8 @@
             return;
         }
         let oldest = self.suspects.iter().max_by_key(|(_, suspect)| age(suspect));
-        if let Some(print) = oldest.map(|(print, _)| *print) {
-            self.suspects.remove(&print);
+        if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+            self.suspects.remove(&fingerprint);
         }
     }
 }
--- a/crates/kumquatnotch-policy/src/crashes.rs
+++ b/crates/kumquatnotch-policy/src/crashes.rs
@@ -60,7 +60,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Crash {
     /// Fingerprint of the request's content.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// Hash of the identity of the caller's attempt.
     pub attempt: u64,
 }
@@ -69,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// Fingerprint of its content.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Number of crashes at which it was present.
     pub strikes: u32,
     /// Refusal time.
@@ -117,8 +118,8 @@
     }
 
     /// Clears a request that was answered completely.
-    pub fn clear(&self, print: Fingerprint) {
-        self.suspects.borrow_mut().remove(&print);
+    pub fn clear(&self, fingerprint: Fingerprint) {
+        self.suspects.borrow_mut().remove(&fingerprint);
     }
 
     /// Whether no request is suspect, which is the usual case.
@@ -127,14 +128,14 @@
     }
 
     /// Remaining refusal time of a request; `None` if it is not refused.
-    pub fn refused_for(&self, print: Fingerprint, now: Instant) -> Option<Duration> {
-        let until = self.suspects.borrow().get(&print)?.until?;
+    pub fn refused_for(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
+        let until = self.suspects.borrow().get(&fingerprint)?.until?;
         until.checked_duration_since(now).filter(|left| !left.is_zero())
     }
 
     /// Number of crashes at which a request was present.
-    pub fn strikes_of(&self, print: Fingerprint) -> u32 {
-        self.suspects.borrow().get(&print).map_or(0, |suspect| suspect.strikes)
+    pub fn strikes_of(&self, fingerprint: Fingerprint) -> u32 {
+        self.suspects.borrow().get(&fingerprint).map_or(0, |suspect| suspect.strikes)
     }
 
     /// Crashes that this node publishes to the others.
@@ -151,13 +152,13 @@
             return None;
         }
         let mut suspects = self.suspects.borrow_mut();
-        if suspects.len() >= MAX_SUSPECTS && !suspects.contains_key(&crash.print) {
+        if suspects.len() >= MAX_SUSPECTS && !suspects.contains_key(&crash.fingerprint) {
             let oldest = suspects.iter().min_by_key(|(_, suspect)| suspect.last);
-            if let Some(print) = oldest.map(|(print, _)| *print) {
-                suspects.remove(&print);
+            if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+                suspects.remove(&fingerprint);
             }
         }
-        let suspect = suspects.entry(crash.print).or_insert_with(|| Suspect::new(now));
+        let suspect = suspects.entry(crash.fingerprint).or_insert_with(|| Suspect::new(now));
         let since = now.saturating_duration_since(suspect.last);
         if suspect.strikes > 0 && since < STRIKE_GAP {
             return None;
@@ -173,7 +174,7 @@
         let span = suspect.span;
         suspect.until = Some(now + span);
         suspect.span = (span * 2).min(MAX_REFUSAL);
-        Some(Refused { print: crash.print, strikes: suspect.strikes, span })
+        Some(Refused { fingerprint: crash.fingerprint, strikes: suspect.strikes, span })
     }
 }
 
--- a/crates/kumquatnotch-policy/src/distances.rs
+++ b/crates/kumquatnotch-policy/src/distances.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Distance {
     is_far: Cell<bool>,
-    guess: Cell<Duration>,
+    estimate: Cell<Duration>,
     measured: Cell<Option<Duration>>,
 }
 
@@ -41,7 +41,7 @@
 
     /// Round trip to the data centre.
     pub fn round_trip(&self) -> Duration {
-        self.measured.get().unwrap_or(self.guess.get())
+        self.measured.get().unwrap_or(self.estimate.get())
     }
 
     /// Records a measured round trip. The minimum is kept, as it is closest to the network delay.
@@ -69,9 +69,9 @@
     pub fn set_regions(&self, regions: HashMap<DataCentre, Region>) {
         *self.regions.borrow_mut() = regions;
         for (centre, distance) in self.distances.borrow().iter() {
-            let guess = self.guess(centre);
-            distance.guess.set(guess);
-            distance.is_far.set(guess >= OTHER_REGION);
+            let estimate = self.estimate(centre);
+            distance.estimate.set(estimate);
+            distance.is_far.set(estimate >= OTHER_REGION);
         }
     }
 
@@ -85,10 +85,10 @@
         if let Some(distance) = self.distances.borrow().get(centre) {
             return distance.clone();
         }
-        let guess = self.guess(centre);
+        let estimate = self.estimate(centre);
         let distance = Rc::new(Distance {
-            is_far: Cell::new(guess >= OTHER_REGION),
-            guess: Cell::new(guess),
+            is_far: Cell::new(estimate >= OTHER_REGION),
+            estimate: Cell::new(estimate),
             measured: Cell::new(None),
         });
         self.distances.borrow_mut().insert(centre.clone(), distance.clone());
@@ -101,7 +101,7 @@
         distances.values().filter_map(|distance| distance.measured.get()).max().unwrap_or_default()
     }
 
-    fn guess(&self, centre: &DataCentre) -> Duration {
+    fn estimate(&self, centre: &DataCentre) -> Duration {
         let home = self.home.borrow();
         let Some((home, home_region)) = home.as_ref() else {
             return SAME_REGION;
--- a/crates/kumquatnotch-policy/src/forecast.rs
+++ b/crates/kumquatnotch-policy/src/forecast.rs
@@ -69,7 +69,7 @@
     /// Expected time to its part, in seconds; `f64::MAX` without replicas.
     pub expected: f64,
     /// Whether it is late because too many requests are queued at its replicas.
-    pub is_crowded: bool,
+    pub is_congested: bool,
 }
 
 /// Shards of a search, grouped by whether their parts are expected in time.
@@ -93,14 +93,14 @@
         let mut late: Vec<LateShard> = Vec::new();
         for (index, best) in best.into_iter().enumerate() {
             let Some(best) = best else {
-                late.push(LateShard { index, expected: f64::MAX, is_crowded: false });
+                late.push(LateShard { index, expected: f64::MAX, is_congested: false });
                 continue;
             };
             match Prediction::new(&best, requirements) {
                 Prediction::InTime => in_time.push(index),
                 prediction => {
-                    let is_crowded = prediction == Prediction::Congested;
-                    late.push(LateShard { index, expected: best.expected, is_crowded });
+                    let is_congested = prediction == Prediction::Congested;
+                    late.push(LateShard { index, expected: best.expected, is_congested });
                 }
             }
         }
@@ -123,9 +123,9 @@
     /// Returns the retry delay if the search must be refused because replicas are overloaded.
     pub fn overload_retry(&self, requirements: &Requirements) -> Option<Duration> {
         let slowest = self.needed.last()?.expected;
-        let is_crowded = self.needed.iter().any(|late| late.is_crowded);
+        let is_congested = self.needed.iter().any(|late| late.is_congested);
         if slowest == f64::MAX
-            || (!is_crowded && slowest < MAX_LATE_PART * requirements.time_left.as_secs_f64())
+            || (!is_congested && slowest < MAX_LATE_PART * requirements.time_left.as_secs_f64())
         {
             return None;
         }
--- a/crates/kumquatnotch-policy/src/observed.rs
+++ b/crates/kumquatnotch-policy/src/observed.rs
@@ -78,7 +78,7 @@
     /// When the unanswered requests were sent.
     sent: RefCell<Vec<Instant>>,
     last_reply: Cell<Instant>,
-    asked: Cell<u64>,
+    requests_sent: Cell<u64>,
     load: Cell<(u32, Instant)>,
     machine_slowdown: Cell<(f64, Instant)>,
     /// Average service time of a request, in seconds.
@@ -99,7 +99,7 @@
             measured: Cell::new(now),
             sent: RefCell::default(),
             last_reply: Cell::new(now),
-            asked: Cell::new(0),
+            requests_sent: Cell::new(0),
             load: Cell::new((0, now)),
             machine_slowdown: Cell::new((1.0, now)),
             service_time: Cell::new(INITIAL_SERVICE_TIME_S),
@@ -182,13 +182,13 @@
     }
 
     /// Number of requests sent to it.
-    pub fn asked(&self) -> u64 {
-        self.asked.get()
+    pub fn requests_sent(&self) -> u64 {
+        self.requests_sent.get()
     }
 
     /// Records that a request was sent.
     pub fn note_sent(&self, now: Instant) {
-        self.asked.set(self.asked.get() + 1);
+        self.requests_sent.set(self.requests_sent.get() + 1);
         self.sent.borrow_mut().push(now);
     }
 
--- a/crates/kumquatnotch-policy/src/overload.rs
+++ b/crates/kumquatnotch-policy/src/overload.rs
@@ -99,7 +99,7 @@
     ///
     /// A burst that has just begun may soon be over. The longer it lasts, the longer is the delay,
     /// up to [`MAX_RETRY_PART`] of the time.
-    pub fn retry(&self, route: &RouteName, time: Duration, now: Instant) -> Duration {
+    pub fn retry_delay(&self, route: &RouteName, time: Duration, now: Instant) -> Duration {
         time.mul_f64(MAX_RETRY_PART * self.of(route, now).refused)
     }
 
--- a/crates/kumquatnotch-policy/src/plan.rs
+++ b/crates/kumquatnotch-policy/src/plan.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan<P> {
     /// Indices of the shards that this node queries.
-    pub here: Vec<usize>,
+    pub direct: Vec<usize>,
     /// Shards that are queried through nodes of other data centres.
     pub groups: Vec<Group<P>>,
 }
@@ -73,7 +73,7 @@
         let (near, mut remote): (Vec<ShardLocation<'_>>, Vec<ShardLocation<'_>>) = locations
             .into_iter()
             .partition(|location| location.centres.is_empty() || location.centres.contains(&home));
-        let mut here: Vec<usize> = near.iter().map(|location| location.index).collect();
+        let mut direct: Vec<usize> = near.iter().map(|location| location.index).collect();
         let mut groups = Vec::new();
         while let Some((peer, centre)) = best_centre(&remote, random, &peer_in) {
             let (taken, rest): (Vec<ShardLocation<'_>>, Vec<ShardLocation<'_>>) =
@@ -82,8 +82,8 @@
             let shards = taken.iter().map(|location| location.index).collect();
             groups.push(Group { peer, shards });
         }
-        here.extend(remote.iter().map(|location| location.index));
-        Plan { here, groups }
+        direct.extend(remote.iter().map(|location| location.index));
+        Plan { direct, groups }
     }
 }
 
--- a/crates/kumquatnotch-policy/src/rating.rs
+++ b/crates/kumquatnotch-policy/src/rating.rs
@@ -74,14 +74,14 @@
 
 impl Rating {
     /// Rates a replica for a request.
-    pub fn new(candidate: Candidate<'_>, need: RequestProfile, now: Instant) -> Rating {
+    pub fn new(candidate: Candidate<'_>, profile: RequestProfile, now: Instant) -> Rating {
         let Candidate { observed, .. } = candidate;
-        let expected = expected(candidate, need, now);
+        let expected = expected(candidate, profile, now);
         Rating {
-            rank: rank(observed, need.usual, now),
+            rank: rank(observed, profile.usual, now),
             expected,
-            unqueued: unqueued(observed, need, now),
-            cost: expected + far_cost(observed, need),
+            unqueued: unqueued(observed, profile, now),
+            cost: expected + far_cost(observed, profile),
             is_full: observed.is_full(now),
         }
     }
@@ -114,34 +114,34 @@
 /// For a failing replica it includes the time until a failure is detected, that of another attempt,
 /// and the cost of the spent retry budget. Replicas that reject requests immediately are still used
 /// while the budget is ample: they relieve the healthy ones, which could not bear the load alone.
-fn expected(candidate: Candidate<'_>, need: RequestProfile, now: Instant) -> f64 {
+fn expected(candidate: Candidate<'_>, profile: RequestProfile, now: Instant) -> f64 {
     let Candidate { observed, waiting, limit } = candidate;
     let slots = observed.slots().min(f64::from(limit.max(1)));
     let ahead = observed.load(now) + waiting as f64;
     let queue = ((ahead + 1.0 - slots) / slots).max(0.0) * observed.service_time();
-    let unqueued = unqueued(observed, need, now);
-    if !need.mechanisms.uses(Mechanism::FailureCost) {
+    let unqueued = unqueued(observed, profile, now);
+    if !profile.mechanisms.uses(Mechanism::FailureCost) {
         return unqueued + queue;
     }
-    let scarcity = ((need.spent - SCARCITY_START) / (1.0 - SCARCITY_START)).max(0.0);
-    let repeat = scarcity * need.objective.as_secs_f64();
+    let scarcity = ((profile.spent - SCARCITY_START) / (1.0 - SCARCITY_START)).max(0.0);
+    let repeat = scarcity * profile.objective.as_secs_f64();
     let failure = observed.failed_after() + unqueued + repeat;
     unqueued + queue + observed.failures(now) * failure
 }
 
 /// Expected time to a reply with empty queues, in seconds.
-fn unqueued(observed: &Observed, need: RequestProfile, now: Instant) -> f64 {
-    let uses = need.mechanisms.uses(Mechanism::Slowness);
+fn unqueued(observed: &Observed, profile: RequestProfile, now: Instant) -> f64 {
+    let uses = profile.mechanisms.uses(Mechanism::Slowness);
     let slowness = if uses { observed.slowness(now) } else { 1.0 };
-    observed.round_trip().as_secs_f64() + need.usual.as_secs_f64() * slowness
+    observed.round_trip().as_secs_f64() + profile.usual.as_secs_f64() * slowness
 }
 
 /// Cost of a replica's distance in addition to its round trip, in seconds.
-fn far_cost(observed: &Observed, need: RequestProfile) -> f64 {
-    if !observed.is_far() || !need.mechanisms.uses(Mechanism::FarCost) {
+fn far_cost(observed: &Observed, profile: RequestProfile) -> f64 {
+    if !observed.is_far() || !profile.mechanisms.uses(Mechanism::FarCost) {
         return 0.0;
     }
-    let least = MIN_FAR_PART * need.objective.as_secs_f64();
+    let least = MIN_FAR_PART * profile.objective.as_secs_f64();
     (least - observed.round_trip().as_secs_f64()).max(0.0)
 }
 
--- a/crates/kumquatnotch-policy/src/service_times.rs
+++ b/crates/kumquatnotch-policy/src/service_times.rs
@@ -32,7 +32,7 @@
     }
 
     /// Properties of a request of `route` that decide which replica is chosen.
-    pub fn need(&self, route: &RouteName, objective: Duration) -> RequestProfile {
+    pub fn profile(&self, route: &RouteName, objective: Duration) -> RequestProfile {
         let mechanisms = Mechanisms::default();
         RequestProfile { usual: self.usual(route, objective), objective, spent: 0.0, mechanisms }
     }
--- a/crates/kumquatnotch-policy/src/shares.rs
+++ b/crates/kumquatnotch-policy/src/shares.rs
@@ -1,11 +1,11 @@
-//! This node's part of limits that all nodes share.
+//! This node's share of limits that all nodes share.
 //!
 //! The connection limit of a replica and the retry budget apply to all nodes together, without a
-//! shared counter. Each node computes its part from the nodes that it knows.
+//! shared counter. Each node computes its share from the nodes that it knows.
 
 use std::time::Duration;
 
-/// Part of a replica's connection limit that is divided among the nodes.
+/// Share of a replica's connection limit that is divided among the nodes.
 ///
 /// The rest covers connections that the replica has not seen closed yet, and nodes that have just
 /// started.
@@ -17,8 +17,8 @@
 /// where more urgent ones can overtake them.
 const MAX_CONNECTIONS: u32 = 8;
 
-/// Part of a shared limit that is reserved for the nodes that callers are advised to use.
-const SERVING_PART: f64 = 0.85;
+/// Share of a shared limit that is reserved for the nodes that callers are advised to use.
+const SERVING_SHARE: f64 = 0.85;
 
 /// Time after its start before a node assumes that it knows all others.
 ///
@@ -28,8 +28,8 @@
 /// another one.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Maximum part that a node takes until then.
-const MAX_NEW_PART: f64 = 0.1;
+/// Maximum share that a node takes until then.
+const MAX_NEW_SHARE: f64 = 0.1;
 
 /// The nodes that share a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,32 +43,32 @@
 }
 
 impl SharingNodes {
-    /// Part of this node, from zero to one.
+    /// Share of this node, from zero to one.
     ///
     /// Most of the limit is for the nodes that callers are advised to use. The others may still get
     /// requests from callers whose advice is outdated.
-    pub fn part(&self) -> f64 {
+    pub fn share(&self) -> f64 {
         let all = self.all.max(1);
         if self.serving == 0 || self.serving >= all {
             return 1.0 / all as f64;
         }
         if self.is_serving {
-            return SERVING_PART / self.serving as f64;
+            return SERVING_SHARE / self.serving as f64;
         }
-        (1.0 - SERVING_PART) / (all - self.serving) as f64
+        (1.0 - SERVING_SHARE) / (all - self.serving) as f64
     }
 }
 
-/// Caps the part of a node that has not known the others for long enough.
-pub fn capped_part(part: f64, known_for: Option<Duration>) -> f64 {
+/// Caps the share of a node that has not known the others for long enough.
+pub fn capped_share(share: f64, known_for: Option<Duration>) -> f64 {
     match known_for {
-        Some(known_for) if known_for >= SETTLE_TIME => part,
-        _ => part.min(MAX_NEW_PART),
+        Some(known_for) if known_for >= SETTLE_TIME => share,
+        _ => share.min(MAX_NEW_SHARE),
     }
 }
 
-/// Number of connections that a node with this part may open, given the limit of the replica.
-pub fn connections(all: u32, part: f64) -> u32 {
-    let own = (f64::from(all) * SHARED_CONNECTIONS * part) as u32;
+/// Number of connections that a node with this share may open, given the limit of the replica.
+pub fn connections(all: u32, share: f64) -> u32 {
+    let own = (f64::from(all) * SHARED_CONNECTIONS * share) as u32;
     own.clamp(1, MAX_CONNECTIONS)
 }
--- a/crates/kumquatnotch-policy/tests/answer_time.rs
+++ b/crates/kumquatnotch-policy/tests/answer_time.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use kumquatnotch_policy::{
-    answer_time::{self, Due, Origin},
+    answer_time::{self, Due, RequestDelays},
     caller_rtt::CallerRtt,
     lags::Lags,
 };
@@ -19,7 +19,7 @@
 
 fn caller_rtt(measured: &[Duration]) -> CallerRtt {
     let caller_rtt = CallerRtt::default();
-    measured.iter().for_each(|trip| caller_rtt.note(*trip));
+    measured.iter().for_each(|round_trip| caller_rtt.note(*round_trip));
     caller_rtt
 }
 
@@ -73,15 +73,19 @@
 )]
 fn round_trips_and_lag_are_deducted_from_the_objective(
     objective: u64,
-    trip: u64,
+    round_trip: u64,
     lag: u64,
     is_first: bool,
-    waited: u64,
+    expected: u64,
 ) {
-    let origin =
-        Origin { round_trip: ms(trip), remote_round_trip: Duration::ZERO, lag: ms(lag), is_first };
+    let delays = RequestDelays {
+        round_trip: ms(round_trip),
+        remote_round_trip: Duration::ZERO,
+        lag: ms(lag),
+        is_first,
+    };
 
-    assert_eq!(answer_time::time_to_answer(ms(objective), origin), ms(waited));
+    assert_eq!(answer_time::time_to_answer(ms(objective), delays), ms(expected));
 }
 
 /// A caller that retries after most of its time cannot be answered in time any more; it is given as
@@ -91,6 +95,6 @@
     a_little_later = { 60, 140, false },
     too_late = { 120, 200, true },
 )]
-fn a_returning_caller_gets_the_remaining_time(waited: u64, within: u64, is_returning: bool) {
-    assert_eq!(Due::new(ms(200), ms(waited)), Due { within: ms(within), is_returning });
+fn a_retrying_caller_gets_the_remaining_time(waited: u64, within: u64, is_late_retry: bool) {
+    assert_eq!(Due::new(ms(200), ms(waited)), Due { within: ms(within), is_late_retry });
 }
--- a/crates/kumquatnotch-policy/tests/budget.rs
+++ b/crates/kumquatnotch-policy/tests/budget.rs
@@ -8,7 +8,7 @@
 fn budget(now: Instant, nodes: usize) -> Budget {
     let options = BudgetOptions { ratio: 0.2, slack: 40.0, window: Duration::from_secs(10) };
     let budget = Budget::new(options, now);
-    budget.set_part(1.0 / nodes as f64);
+    budget.set_share(1.0 / nodes as f64);
     budget
 }
 
--- a/crates/kumquatnotch-policy/tests/calls.rs
+++ b/crates/kumquatnotch-policy/tests/calls.rs
@@ -61,9 +61,9 @@
 #[test]
 fn deep_queue_uses_the_straggler_too() {
     let candidates = [candidate(2, 6), candidate(0, 60)];
-    let need = CallProfile { ahead: 30, urgent: true };
+    let profile = CallProfile { ahead: 30, urgent: true };
 
-    assert_eq!(LeastTime.pick(&candidates, need, &Random::with_seed(1)), Pick::Take(1));
+    assert_eq!(LeastTime.pick(&candidates, profile, &Random::with_seed(1)), Pick::Take(1));
 }
 
 // A slow target always reports zero load. Selection by reported load would send all calls to it.
@@ -251,8 +251,8 @@
     assert_eq!(retry.next(&late, now), None);
 }
 
-fn running(print: u64, shard: &str) -> Running {
-    Running { print: Fingerprint(print), shard: ShardName::from(shard) }
+fn running(fingerprint: u64, shard: &str) -> Running {
+    Running { fingerprint: Fingerprint(fingerprint), shard: ShardName::from(shard) }
 }
 
 /// Number of targets crashed by a request that its caller sends ten times.
@@ -260,13 +260,13 @@
     let now = Instant::now();
     let mut crashes = 0;
     for _ in 0..10 {
-        let (beside, alone) = match containment.verdict(Fingerprint(7), now) {
+        let (present, alone) = match containment.verdict(Fingerprint(7), now) {
             Verdict::Free => (vec![running(7, "a"), running(1, "a")], false),
             Verdict::Alone => (vec![running(7, "a")], true),
             Verdict::Refused(_) => continue,
         };
         crashes += 1;
-        containment.on_crash(&beside, alone, now);
+        containment.on_crash(&present, alone, now);
         containment.on_answer(Fingerprint(7), &ShardName::from("b"));
     }
     crashes
--- a/crates/kumquatnotch-policy/tests/hedge_timing.rs
+++ b/crates/kumquatnotch-policy/tests/hedge_timing.rs
@@ -19,11 +19,11 @@
     Duration::from_millis(millis)
 }
 
-fn replica(now: Instant, trip: Duration) -> Observed {
+fn replica(now: Instant, round_trip: Duration) -> Observed {
     let centre = DataCentre::from("there");
     let distances = Rc::new(Distances::from(DataCentre::from("here"), Region::from("home")));
     let observed = Observed::new(2, distances.to(&centre), now);
-    observed.note_connect(trip);
+    observed.note_connect(round_trip);
     observed
 }
 
--- a/crates/kumquatnotch-policy/tests/rating.rs
+++ b/crates/kumquatnotch-policy/tests/rating.rs
@@ -45,13 +45,13 @@
     observed
 }
 
-fn need(spent: f64) -> RequestProfile {
+fn profile(spent: f64) -> RequestProfile {
     RequestProfile { usual: ms(20), objective: ms(250), spent, mechanisms: Mechanisms::default() }
 }
 
 /// Whether the first replica is selected.
-fn is_first(replicas: [&Observed; 2], need: RequestProfile, now: Instant) -> bool {
-    let rate = |observed| Rating::new(Candidate { observed, waiting: 0, limit: 8 }, need, now);
+fn is_first(replicas: [&Observed; 2], profile: RequestProfile, now: Instant) -> bool {
+    let rate = |observed| Rating::new(Candidate { observed, waiting: 0, limit: 8 }, profile, now);
     rating::best(&replicas.map(rate)) == Some(0)
 }
 
@@ -59,7 +59,7 @@
 fn a_healthy_replica_is_preferred_while_it_has_a_free_slot() {
     let now = Instant::now();
 
-    assert!(is_first([&replica(now), &failing(ms(1), now)], need(0.0), now));
+    assert!(is_first([&replica(now), &failing(ms(1), now)], profile(0.0), now));
 }
 
 /// The healthy replica has queued requests. Trying a replica that rejects at once costs little. One
@@ -79,7 +79,10 @@
     let healthy = replica(now);
     healthy.note_load(load, now);
 
-    assert_eq!(is_first([&healthy, &failing(ms(failed_after), now)], need(0.0), now), is_healthy);
+    assert_eq!(
+        is_first([&healthy, &failing(ms(failed_after), now)], profile(0.0), now),
+        is_healthy
+    );
 }
 
 /// With a low retry budget a rejection would fail the request, so waiting in the queue is better.
@@ -89,5 +92,5 @@
     let healthy = replica(now);
     healthy.note_load(5, now);
 
-    assert_eq!(is_first([&healthy, &failing(ms(1), now)], need(spent), now), is_healthy);
+    assert_eq!(is_first([&healthy, &failing(ms(1), now)], profile(spent), now), is_healthy);
 }
--- a/crates/kumquatnotch-route/src/admission.rs
+++ b/crates/kumquatnotch-route/src/admission.rs
@@ -51,10 +51,10 @@
     let clock = &*router.clock;
     let start = clock.now();
     let wait = search.due.saturating_duration_since(start);
-    let time = search.deadline.saturating_duration_since(start);
-    let until = start + time.mul_f64(MAX_WAIT_SHARE);
+    let time_left = search.deadline.saturating_duration_since(start);
+    let until = start + time_left.mul_f64(MAX_WAIT_SHARE);
     let mut permit = None;
-    if !router.strains.is_refusing(&search.route.name, start) {
+    if !router.overload.is_refusing(&search.route.name, start) {
         let acquire = semaphore.acquire(search.route.priority);
         permit = clock::timeout_at(clock, until, acquire).await.ok();
     }
@@ -81,11 +81,11 @@
     loop {
         let now = clock.now();
         search.due = now + wait;
-        let terms = terms(router, search, now);
-        if predict(router, search, &terms, now).overload_retry(&terms).is_none() {
+        let requirements = requirements(router, search, now);
+        if predict(router, search, &requirements, now).overload_retry(&requirements).is_none() {
             return true;
         }
-        if now >= until || router.strains.is_refusing(&search.route.name, now) {
+        if now >= until || router.overload.is_refusing(&search.route.name, now) {
             return false;
         }
         clock::sleep(clock, router.random.jitter(POLL_INTERVAL)).await;
@@ -104,25 +104,27 @@
 /// Admits a search, or returns when its caller may retry.
 pub fn admit(router: &Router, search: &Search<'_>) -> Result<(), Refused> {
     let now = router.clock.now();
-    let terms = terms(router, search, now);
-    let forecast = predict(router, search, &terms, now);
-    if let Some(retry_after) = forecast.unavailable_retry(&terms) {
-        log_refusal(search, &forecast, &terms, retry_after);
+    let requirements = requirements(router, search, now);
+    let forecast = predict(router, search, &requirements, now);
+    if let Some(retry_after) = forecast.unavailable_retry(&requirements) {
+        log_refusal(search, &forecast, &requirements, retry_after);
         return Err(Refused { retry_after, reason: "shards without replicas" });
     }
-    let refusal = forecast.overload_retry(&terms).filter(|_| router.uses(Mechanism::Refusals));
+    let refusal =
+        forecast.overload_retry(&requirements).filter(|_| router.uses(Mechanism::Refusals));
     let Some(retry_after) = refusal else {
         return Ok(());
     };
     let route = &search.route.name;
-    router.strains.note(route, SearchOutcome::Refused, now);
-    let backoff = router.random.jitter(router.strains.retry(route, terms.time_left, now));
+    router.overload.note(route, SearchOutcome::Refused, now);
+    let backoff =
+        router.random.jitter(router.overload.retry_delay(route, requirements.time_left, now));
     let retry_after = if router.uses(Mechanism::RetryTimes) {
         retry_after.max(backoff)
     } else {
         FIXED_RETRY_AFTER
     };
-    log_refusal(search, &forecast, &terms, retry_after);
+    log_refusal(search, &forecast, &requirements, retry_after);
     Err(Refused { retry_after, reason: "replicas are crowded" })
 }
 
@@ -130,7 +132,7 @@
 fn log_refusal(
     search: &Search<'_>,
     forecast: &Forecast,
-    terms: &Requirements,
+    requirements: &Requirements,
     retry_after: Duration,
 ) {
     let Forecast { needed, optional, .. } = forecast;
@@ -139,28 +141,33 @@
         request = search.identity.to_str().unwrap_or_default(),
         late = needed.len() + optional.len(),
         needed = needed.len(),
-        service = slowest.map(|late| search.set.shards[late.index].as_str()),
-        expected_ms = slowest.map(|late| (late.expected * 1e3) as u64),
-        crowded = needed.iter().filter(|late| late.is_crowded).count(),
-        margin = terms.margin,
-        due_ms = terms.objective_left.as_millis() as u64,
+        service = slowest.map(|shard| search.set.shards[shard.index].as_str()),
+        expected_ms = slowest.map(|shard| (shard.expected * 1e3) as u64),
+        crowded = needed.iter().filter(|shard| shard.is_congested).count(),
+        margin = requirements.margin,
+        due_ms = requirements.objective_left.as_millis() as u64,
         retry_ms = retry_after.as_millis() as u64,
         "forecast: refused"
     );
 }
 
 /// Predicts when the parts of a search would arrive.
-fn predict(router: &Router, search: &Search<'_>, terms: &Requirements, now: Instant) -> Forecast {
+fn predict(
+    router: &Router,
+    search: &Search<'_>,
+    requirements: &Requirements,
+    now: Instant,
+) -> Forecast {
     let best = search.set.shards.iter().map(|shard| -> Option<Rating> {
-        let need = router.need_at(search.route, shard);
-        Some(replica::pick(&router.directory.of(shard), &[], need, now)?.rating)
+        let profile = router.profile_for(search.route, shard);
+        Some(replica::pick(&router.directory.of(shard), &[], profile, now)?.rating)
     });
-    Forecast::new(best, terms)
+    Forecast::new(best, requirements)
 }
 
-fn terms(router: &Router, search: &Search<'_>, now: Instant) -> Requirements {
+fn requirements(router: &Router, search: &Search<'_>, now: Instant) -> Requirements {
     let margin = match router.uses(Mechanism::Strain) {
-        true => router.strains.margin(&search.route.name, now),
+        true => router.overload.margin(&search.route.name, now),
         false => overload::MIN_MARGIN,
     };
     Requirements {
--- a/crates/kumquatnotch-route/src/advice.rs
+++ b/crates/kumquatnotch-route/src/advice.rs
@@ -38,11 +38,12 @@
         regions: &HashMap<DataCentre, Region>,
     ) -> HostAdvice {
         let held = shards_held(host, table, directory, regions);
-        let places: Vec<NodeLocation<'_>> = nodes.iter().map(|(_, node)| node.place()).collect();
-        let all: HashSet<&Region> = regions.values().collect();
-        let advised = all.into_iter().map(|region| {
-            let chosen = held.choose(region, &places);
-            (region.clone(), chosen.into_iter().map(|place| nodes[place].clone()).collect())
+        let locations: Vec<NodeLocation<'_>> =
+            nodes.iter().map(|(_, node)| node.location()).collect();
+        let all_regions: HashSet<&Region> = regions.values().collect();
+        let advised = all_regions.into_iter().map(|region| {
+            let chosen = held.choose(region, &locations);
+            (region.clone(), chosen.into_iter().map(|index| nodes[index].clone()).collect())
         });
         HostAdvice { regions: advised.collect(), fallback: nodes.to_vec() }
     }
--- a/crates/kumquatnotch-route/src/announce.rs
+++ b/crates/kumquatnotch-route/src/announce.rs
@@ -27,7 +27,7 @@
 const RENEW_PERIOD: Duration = Duration::from_millis(900);
 
 /// Pause after a failure, before jitter.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How often a node that has just started checks whether it knows the other nodes.
 const START_POLL_PERIOD: Duration = Duration::from_millis(20);
@@ -93,8 +93,8 @@
                 Ok(lease) => self.maintain_lease(lease).await,
                 Err(error) => {
                     tracing::warn!(code = error.code(), "announce: failed: {error}");
-                    let pause = self.router.random.jitter(FAILURE_PAUSE);
-                    clock::sleep(&*clock, pause).await;
+                    let delay = self.router.random.jitter(RETRY_DELAY);
+                    clock::sleep(&*clock, delay).await;
                 }
             }
         }
--- a/crates/kumquatnotch-route/src/attempt.rs
+++ b/crates/kumquatnotch-route/src/attempt.rs
@@ -95,28 +95,29 @@
     if !replica.takes_requests() || clock.now() >= call.deadline {
         return AttemptResult::NotSent;
     }
-    let at = clock.now();
-    let request = build_request(router, call, replica, at);
+    let sent_at = clock.now();
+    let request = build_request(router, call, replica, sent_at);
     sent.set(true);
-    replica.observed.note_sent(at);
-    let usual = router.need(call.route).usual;
-    let mut flight = InFlight { router, replica, call, held: Some((link, permit)), usual, at };
-    let reply = match &mut flight.held {
+    replica.observed.note_sent(sent_at);
+    let usual = router.profile(call.route).usual;
+    let mut in_flight =
+        InFlight { router, replica, call, held: Some((link, permit)), usual, sent_at };
+    let reply = match &mut in_flight.held {
         Some((link, _)) => exchange(router, call, link, &request).await,
         None => Err(Error::ConnectionLost),
     };
     match reply {
-        Ok(OpaqueReply { reply, idle_limit: keep }) => {
-            let (link, took) = flight.record_reply();
-            if let (Some(link), Some(keep)) = (link, keep) {
-                replica.pool.put(link, clock.now(), keep);
+        Ok(OpaqueReply { reply, idle_limit }) => {
+            let (link, took) = in_flight.record_reply();
+            if let (Some(link), Some(idle_limit)) = (link, idle_limit) {
+                replica.pool.put(link, clock.now(), idle_limit);
             }
             process_reply(router, call, replica, reply, took)
         }
         Err(error) => {
-            flight.record_broken();
+            in_flight.record_broken();
             replica.observed.note_outcome(true, clock.now());
-            replica.observed.note_failed_after(clock.now().saturating_duration_since(at));
+            replica.observed.note_failed_after(clock.now().saturating_duration_since(sent_at));
             // The idle connections to this replica are probably broken too.
             replica.pool.drop_idle();
             crash_check::check(router, call, replica);
@@ -239,8 +240,8 @@
         // Each reply reports the slowdown of the machine anew, so it is divided out; the
         // rest is the speed of the replica itself.
         let service_time = service_time.div_f64(replica.observed.machine_slowdown(now));
-        replica.observed.note_speed(service_time, router.need(call.route).usual, now);
-        router.paces.note(&call.route.name, call.route.objective, service_time);
+        replica.observed.note_speed(service_time, router.profile(call.route).usual, now);
+        router.service_times.note(&call.route.name, call.route.objective, service_time);
     }
     AttemptResult::Replied(reply)
 }
--- a/crates/kumquatnotch-route/src/call.rs
+++ b/crates/kumquatnotch-route/src/call.rs
@@ -85,7 +85,7 @@
     };
     let mut deadline_timer = clock.sleep_until(call.deadline).fuse();
     let mut hedge_timer = clock::sleep(clock, progress.hedge_delay(&first)).fuse();
-    router.budget.set_part(router.own_share());
+    router.budget.set_share(router.own_share());
     if !call.is_retry {
         router.budget.note_first(call.service, clock.now());
     } else if !progress.spend_budget() {
@@ -94,13 +94,13 @@
     running.push(run_attempt(router, call, first, &sent));
     loop {
         select_biased! {
-            (replica, outcome) = running.select_next_some() => {
-                match outcome {
+            (replica, result) = running.select_next_some() => {
+                match result {
                     AttemptResult::Replied(reply) if !reply.status.is_server_error() => {
                         call.is_answered.set(true);
                         return Ok(reply);
                     }
-                    outcome => progress.record_failure(&replica, outcome),
+                    result => progress.record_failure(&replica, result),
                 }
                 if !running.is_empty() {
                     continue;
@@ -135,15 +135,15 @@
     }
 }
 
-/// Runs an attempt and returns its outcome together with the replica.
+/// Runs an attempt and returns its result together with the replica.
 async fn run_attempt(
     router: &Rc<Router>,
     call: &Call<'_>,
     replica: Rc<Replica>,
     sent: &Cell<bool>,
 ) -> (Rc<Replica>, AttemptResult) {
-    let outcome = attempt::attempt(router, call, &replica, sent).await;
-    (replica, outcome)
+    let result = attempt::attempt(router, call, &replica, sent).await;
+    (replica, result)
 }
 
 impl Progress<'_> {
@@ -160,14 +160,14 @@
         let router = self.router;
         let replicas = router.directory.of(self.call.service);
         let allowed = &self.call.allowed;
-        let need = router.need_at(self.call.route, self.call.service);
+        let profile = router.profile_for(self.call.route, self.call.service);
         let now = router.clock.now();
         if allowed.is_empty() {
-            return replica::pick(&replicas, &self.tried, need, now);
+            return replica::pick(&replicas, &self.tried, profile, now);
         }
         let allowed = replicas.iter().filter(|replica| allowed.contains(&replica.id));
         let allowed: Vec<Rc<Replica>> = allowed.cloned().collect();
-        replica::pick(&allowed, &self.tried, need, now)
+        replica::pick(&allowed, &self.tried, profile, now)
     }
 
     /// Picks the replica for the next attempt.
@@ -210,22 +210,22 @@
     /// Whether all replicas tried so far have stopped responding.
     fn all_silent(&self) -> bool {
         let now = self.router.clock.now();
-        let usual = self.router.need(self.call.route).usual;
-        let mut sent = self.tried.iter().filter_map(|id| self.router.directory.find(id));
-        sent.all(|replica| lateness::is_silent(&replica.observed, usual, now))
+        let usual = self.router.profile(self.call.route).usual;
+        let mut tried = self.tried.iter().filter_map(|id| self.router.directory.find(id));
+        tried.all(|replica| lateness::is_silent(&replica.observed, usual, now))
     }
 
     /// Logs a hedged request and the figures behind the decision.
     fn log_hedge(&self, next: &Replica) {
         let now = self.router.clock.now();
-        let need = self.router.need(self.call.route);
+        let profile = self.router.profile(self.call.route);
         tracing::info!(
             request = self.call.identity.to_str().unwrap_or_default(),
             service = self.call.service.as_str(),
             late = self.tried.first().map(ReplicaId::as_str),
             replica = next.id.as_str(),
-            usual_ms = need.usual.as_millis() as u64,
-            expected_ms = (next.rate(need, now).expected * 1e3) as u64,
+            usual_ms = profile.usual.as_millis() as u64,
+            expected_ms = (next.rate(profile, now).expected * 1e3) as u64,
             due_ms = self.call.due.saturating_duration_since(now).as_millis() as u64,
             "call: a copy is sent"
         );
@@ -233,7 +233,7 @@
 
     fn hedge_delay(&self, replica: &Replica) -> Duration {
         let now = self.router.clock.now();
-        let usual = self.router.need(self.call.route).usual;
+        let usual = self.router.profile(self.call.route).usual;
         let other = self.best().filter(|pick| pick.rating.is_healthy());
         let other = other.filter(|_| self.router.uses(Mechanism::CopyTime));
         let left = self.call.due.saturating_duration_since(now);
@@ -241,8 +241,8 @@
         hedge_timing::delay(&replica.observed, other, usual, left, now)
     }
 
-    fn record_failure(&mut self, replica: &Rc<Replica>, outcome: AttemptResult) {
-        let ending = match outcome {
+    fn record_failure(&mut self, replica: &Rc<Replica>, result: AttemptResult) {
+        let outcome = match result {
             AttemptResult::Replied(reply) => {
                 self.failed = Some(reply);
                 AttemptOutcome::Failed
@@ -260,7 +260,7 @@
                 AttemptOutcome::Lost
             }
         };
-        self.attempts.note(ending);
+        self.attempts.note(outcome);
     }
 
     /// Returns the error for a call that reaches its deadline.
--- a/crates/kumquatnotch-route/src/connection_pool.rs
+++ b/crates/kumquatnotch-route/src/connection_pool.rs
@@ -60,12 +60,12 @@
         OpaqueLink::connect(self.address, MAX_REPLY_BYTES, clock, deadline).await
     }
 
-    /// Returns a connection to the pool, where it is usable for at most `keep`.
-    pub fn put(&self, link: OpaqueLink, now: Instant, keep: Duration) {
+    /// Returns a connection to the pool, where it is usable for at most `max_idle`.
+    pub fn put(&self, link: OpaqueLink, now: Instant, max_idle: Duration) {
         if self.closed.get() {
             return;
         }
-        self.idle.borrow_mut().push(IdleConnection { link, since: now, until: now + keep });
+        self.idle.borrow_mut().push(IdleConnection { link, since: now, until: now + max_idle });
     }
 
     /// Closes the idle connections and accepts no more.
--- a/crates/kumquatnotch-route/src/crash_check.rs
+++ b/crates/kumquatnotch-route/src/crash_check.rs
@@ -29,7 +29,7 @@
 /// A replica that only lost the reply still accepts a new connection.
 pub fn check(router: &Rc<Router>, call: &Call<'_>, replica: &Rc<Replica>) {
     let attempt = stable_hash(&[call.identity.as_bytes()]);
-    let crash = Crash { print: fingerprint(call.request), attempt };
+    let crash = Crash { fingerprint: fingerprint(call.request), attempt };
     let (router, replica) = (router.clone(), replica.clone());
     monoio::spawn(async move {
         let clock = &*router.clock;
@@ -44,7 +44,7 @@
         }
         tracing::info!(
             replica = replica.id.as_str(),
-            print = %crash.print,
+            print = %crash.fingerprint,
             "crashes: replica crashed while running a request"
         );
         router.crashes.note(crash, clock.now()).iter().for_each(log_refused);
@@ -54,7 +54,7 @@
 /// Logs that a request is refused from now on because it crashes replicas.
 pub fn log_refused(refused: &Refused) {
     tracing::warn!(
-        print = %refused.print,
+        print = %refused.fingerprint,
         strikes = refused.strikes,
         refused_ms = refused.span.as_millis() as u64,
         "crashes: refusing a request that crashes replicas"
--- a/crates/kumquatnotch-route/src/entries.rs
+++ b/crates/kumquatnotch-route/src/entries.rs
@@ -301,8 +301,8 @@
         }
         let until = self.router.clock.now() + self.retention;
         let mut vanished = self.vanished.borrow_mut();
-        let held = vanished.iter_mut().filter(|(key, _)| matches!(key, EntryKey::Node(_)));
-        held.for_each(|(_, due)| *due = until);
+        let retained = vanished.iter_mut().filter(|(key, _)| matches!(key, EntryKey::Node(_)));
+        retained.for_each(|(_, due)| *due = until);
     }
 
     fn is_removal_suspended(&self, key: &EntryKey) -> bool {
--- a/crates/kumquatnotch-route/src/fleet.rs
+++ b/crates/kumquatnotch-route/src/fleet.rs
@@ -22,7 +22,7 @@
     names::{ReplicaId, ServiceName},
     relay,
     replica::{Replica, ReplicaSpec},
-    router::Place,
+    router::LocalNode,
 };
 
 /// Service name under which the nodes of this tier are replicas of each other.
@@ -48,7 +48,7 @@
 
 impl NodeRecord {
     /// Returns the properties of the node that advice depends on.
-    pub fn place(&self) -> NodeLocation<'_> {
+    pub fn location(&self) -> NodeLocation<'_> {
         NodeLocation { centre: &self.centre, region: &self.region, capacity: self.capacity }
     }
 }
@@ -131,7 +131,9 @@
         let nodes = self.nodes.borrow();
         let named = names.iter().filter_map(|(name, _)| nodes.get(name));
         let usable = named.map(|node| &node.peer).filter(|peer| relay::is_usable(peer));
-        usable.min_by_key(|peer| (peer.observed.unanswered(), peer.observed.asked())).cloned()
+        usable
+            .min_by_key(|peer| (peer.observed.unanswered(), peer.observed.requests_sent()))
+            .cloned()
     }
 
     /// Whether a node is known.
@@ -139,12 +141,12 @@
         self.nodes.borrow().contains_key(name)
     }
 
-    /// Whether callers are advised to use other, larger nodes of the data centre of `place`.
-    pub fn is_standby(&self, place: &Place) -> bool {
+    /// Whether callers are advised to use other, larger nodes of the data centre of `local`.
+    pub fn is_standby(&self, local: &LocalNode) -> bool {
         let nodes = self.nodes.borrow();
-        let others = nodes.iter().filter(|(name, _)| **name != place.name);
-        let beside = others.filter(|(_, node)| node.record.centre == place.centre);
-        placement::is_standby(place.capacity, beside.map(|(_, node)| node.record.capacity))
+        let others = nodes.iter().filter(|(name, _)| **name != local.name);
+        let in_centre = others.filter(|(_, node)| node.record.centre == local.centre);
+        placement::is_standby(local.capacity, in_centre.map(|(_, node)| node.record.capacity))
     }
 
     /// Number of known nodes.
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -168,8 +168,8 @@
     request.headers.insert(http::header::HOST, host);
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
-    if let Some(keep) = answer.idle_limit {
-        peer.pool.put(link, clock.now(), keep);
+    if let Some(idle_limit) = answer.idle_limit {
+        peer.pool.put(link, clock.now(), idle_limit);
     }
     match answer.reply.status {
         StatusCode::OK => codec::decode(&answer.reply.body),
@@ -182,20 +182,20 @@
 /// Every node computes this by itself, from names and capacities only. While their views
 /// differ, a few nodes more or less watch the store.
 pub fn readers(centre: &DataCentre, nodes: &[Candidate]) -> Vec<Candidate> {
-    let mut there: Vec<Candidate> =
+    let mut in_centre: Vec<Candidate> =
         nodes.iter().filter(|(_, node)| node.centre == *centre).cloned().collect();
-    if there.len() <= SMALL_CENTRE_NODES && nodes.len() <= SMALL_FLEET_NODES {
-        return there;
+    if in_centre.len() <= SMALL_CENTRE_NODES && nodes.len() <= SMALL_FLEET_NODES {
+        return in_centre;
     }
-    sort_by_capacity(&mut there);
-    there.truncate(READERS_PER_CENTRE);
-    there
+    sort_by_capacity(&mut in_centre);
+    in_centre.truncate(READERS_PER_CENTRE);
+    in_centre
 }
 
 /// Sorts nodes in the order in which they are to read the store: by descending capacity.
 pub fn sort_by_capacity(nodes: &mut [Candidate]) {
-    nodes.sort_by(|(one, node), (other, next)| {
-        next.capacity.total_cmp(&node.capacity).then_with(|| one.cmp(other))
+    nodes.sort_by(|(name, node), (other_name, other)| {
+        other.capacity.total_cmp(&node.capacity).then_with(|| name.cmp(other_name))
     });
 }
 
@@ -208,12 +208,12 @@
 
 /// Whether this node follows others instead of watching the store.
 pub fn is_follower(router: &Router) -> bool {
-    let place = &router.place;
+    let local = &router.local_node;
     // A node that is about to announce itself watches the store until its entry is known: the
     // others will rely on it like on the known readers.
-    let is_role_settled = router.fleet.knows(&place.name) || router.is_standby();
-    let own = readers(&place.centre, &router.fleet.candidates());
-    let is_reader = own.iter().any(|(name, _)| *name == place.name);
+    let is_role_settled = router.fleet.knows(&local.name) || router.is_standby();
+    let own = readers(&local.centre, &router.fleet.candidates());
+    let is_reader = own.iter().any(|(name, _)| *name == local.name);
     !is_reader && is_role_settled && router.uses(Mechanism::Followers)
 }
 
@@ -224,18 +224,18 @@
         return Vec::new();
     }
     let nodes = router.fleet.candidates();
-    let mut order = readers(&router.place.centre, &nodes);
+    let mut order = readers(&router.local_node.centre, &nodes);
     router.random.shuffle(&mut order);
     let mut centres: HashMap<&DataCentre, ()> = HashMap::default();
     nodes.iter().for_each(|(_, node)| {
         centres.insert(&node.centre, ());
     });
-    centres.remove(&router.place.centre);
+    centres.remove(&router.local_node.centre);
     let mut others: Vec<Candidate> =
         centres.keys().flat_map(|centre| readers(centre, &nodes)).collect();
     router.random.shuffle(&mut others);
     order.extend(others);
-    order.retain(|(name, _)| *name != router.place.name);
+    order.retain(|(name, _)| *name != router.local_node.name);
     let peers = order.iter().filter_map(|(name, _)| router.fleet.peer(name));
     peers.filter(|peer| relay::is_usable(peer)).collect()
 }
--- a/crates/kumquatnotch-route/src/front.rs
+++ b/crates/kumquatnotch-route/src/front.rs
@@ -37,7 +37,7 @@
 const NO_WEIGHT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// `Retry-After` when there is no capacity for a late retry of a search.
-const NO_ROOM_RETRY_AFTER: Duration = Duration::from_millis(300);
+const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Maximum number of concurrent searches that are late retries.
 ///
@@ -50,7 +50,7 @@
 pub struct RouteFront {
     router: Rc<Router>,
     weights: Weights,
-    patience: CallerTimeouts,
+    caller_timeouts: CallerTimeouts,
     /// Limits concurrent late retries of searches.
     late_retries: Rc<PrioritySemaphore>,
 }
@@ -95,7 +95,7 @@
         RouteFront {
             router,
             weights: Weights::default(),
-            patience: CallerTimeouts::default(),
+            caller_timeouts: CallerTimeouts::default(),
             late_retries,
         }
     }
@@ -169,10 +169,10 @@
         };
         let deadline = arrival + caller_timeout.unwrap_or(Duration::MAX).min(route.timeout);
         let waited = caller_timeout.map_or(Duration::ZERO, |caller_timeout| {
-            self.patience.waited(&route.name, caller_timeout, route.timeout)
+            self.caller_timeouts.waited(&route.name, caller_timeout, route.timeout)
         });
-        let waiting = self.router.waiting_time(&route, request.is_first);
-        let Due { within, is_returning } = Due::new(waiting, waited);
+        let time_to_answer = self.router.time_to_answer(&route, request.is_first);
+        let Due { within, is_late_retry } = Due::new(time_to_answer, waited);
         let context = RequestContext {
             identity,
             route,
@@ -180,7 +180,7 @@
             arrival,
             due: arrival + within,
             deadline,
-            is_late_retry: is_returning,
+            is_late_retry,
         };
         Ok((context, table))
     }
@@ -228,7 +228,7 @@
                 admission::wait_for_capacity(&self.router, &self.late_retries, &mut search).await;
             if permit.is_none() {
                 return Err(CallError::NotRun {
-                    retry_after: NO_ROOM_RETRY_AFTER,
+                    retry_after: NO_CAPACITY_RETRY_AFTER,
                     reason: "no room for a late search",
                 });
             }
@@ -272,13 +272,13 @@
             self.router.lags.note(overdue);
         }
         let in_time = answer_time::is_in_time(overdue);
-        let fate = match answer {
+        let outcome = match answer {
             Ok(_) if in_time => SearchOutcome::InTime,
             // A refused search tells nothing about admitted ones.
             Err(CallError::NotRun { .. }) => return,
             _ => SearchOutcome::Late,
         };
-        self.router.strains.note(&context.route.name, fate, now);
+        self.router.overload.note(&context.route.name, outcome, now);
     }
 }
 
--- a/crates/kumquatnotch-route/src/gather.rs
+++ b/crates/kumquatnotch-route/src/gather.rs
@@ -93,8 +93,8 @@
     let relayed = outstanding - direct.len();
     for group in groups {
         running.push(Box::pin(async move {
-            let ended = relay::relay(router, search, &group).await;
-            PartOutcome::Group(group, ended)
+            let outcome = relay::relay(router, search, &group).await;
+            PartOutcome::Group(group, outcome)
         }));
     }
     for index in direct {
@@ -117,12 +117,12 @@
                     outstanding -= 1;
                     progress.record_shard(router, index, result);
                 }
-                Some(PartOutcome::Group(group, ended)) => {
+                Some(PartOutcome::Group(group, outcome)) => {
                     outstanding -= group.shards.len();
                     // The relay may have queried replicas already, so asking again
                     // counts against the retry budget.
-                    let is_retry = !matches!(ended, RelayOutcome::NotRun);
-                    let retry_positions = progress.record_group(ended, &group);
+                    let is_retry = !matches!(outcome, RelayOutcome::NotRun);
+                    let retry_positions = progress.record_group(outcome, &group);
                     // Shards that the relay could not cover are queried directly only if
                     // the answer is impossible without them, as their parts arrive too
                     // late to make an answer in time more complete.
@@ -264,8 +264,8 @@
     }
 
     /// Records the result of a group; returns the positions in it of missing shards.
-    fn record_group(&mut self, ended: RelayOutcome, group: &Group) -> Vec<usize> {
-        match ended {
+    fn record_group(&mut self, outcome: RelayOutcome, group: &Group) -> Vec<usize> {
+        match outcome {
             RelayOutcome::Gathered(reply) => {
                 self.ran |= reply.ran;
                 self.parts.add_gathered(&reply);
--- a/crates/kumquatnotch-route/src/in_flight.rs
+++ b/crates/kumquatnotch-route/src/in_flight.rs
@@ -21,22 +21,22 @@
     pub(crate) held: Option<(OpaqueLink, Permit)>,
     pub(crate) usual: Duration,
     /// When the request was sent.
-    pub(crate) at: Instant,
+    pub(crate) sent_at: Instant,
 }
 
 impl InFlight<'_> {
     /// Records a reply of any status; returns the connection and the elapsed time.
     pub(crate) fn record_reply(&mut self) -> (Option<OpaqueLink>, Duration) {
         let now = self.router.clock.now();
-        self.replica.observed.note_end(self.at, Some(now));
+        self.replica.observed.note_end(self.sent_at, Some(now));
         let link = self.held.take().map(|(link, _)| link);
-        (link, now.saturating_duration_since(self.at))
+        (link, now.saturating_duration_since(self.sent_at))
     }
 
     /// Records that the connection broke.
     pub(crate) fn record_broken(&mut self) {
         self.held = None;
-        self.replica.observed.note_end(self.at, None);
+        self.replica.observed.note_end(self.sent_at, None);
     }
 }
 
@@ -52,7 +52,7 @@
         if lateness::is_silent(observed, self.usual, now) {
             probe::suspect(self.router, self.replica, "no reply");
         }
-        let took = now.saturating_duration_since(self.at);
+        let took = now.saturating_duration_since(self.sent_at);
         let late = lateness::late_after(observed, self.usual, now);
         if took > late {
             let round_trip = observed.measured_round_trip().unwrap_or_default();
@@ -66,13 +66,13 @@
                 router: self.router.clone(),
                 replica: self.replica.clone(),
                 identity: self.call.identity.clone(),
-                at: self.at,
-                until: self.at + late,
+                sent_at: self.sent_at,
+                until: self.sent_at + late,
             };
             monoio::spawn(drain.run(link, permit));
             return;
         }
-        observed.note_end(self.at, None);
+        observed.note_end(self.sent_at, None);
         // Dropping the connection tells the replica that the request was cancelled.
     }
 }
@@ -82,7 +82,7 @@
     router: Rc<Router>,
     replica: Rc<Replica>,
     identity: HeaderValue,
-    at: Instant,
+    sent_at: Instant,
     until: Instant,
 }
 
@@ -93,10 +93,10 @@
         let is_reply_to = |reply: &Reply| is_reply_to(&self.router, &self.identity, reply);
         let reply = clock::timeout_at(clock, self.until, link.receive(&is_reply_to)).await;
         let now = clock.now();
-        let record_reply = matches!(reply, Ok(Ok(_))).then_some(now);
-        self.replica.observed.note_end(self.at, record_reply);
-        if let Ok(Ok(OpaqueReply { idle_limit: Some(keep), .. })) = reply {
-            self.replica.pool.put(link, now, keep);
+        let replied_at = matches!(reply, Ok(Ok(_))).then_some(now);
+        self.replica.observed.note_end(self.sent_at, replied_at);
+        if let Ok(Ok(OpaqueReply { idle_limit: Some(idle_limit), .. })) = reply {
+            self.replica.pool.put(link, now, idle_limit);
         }
     }
 }
--- a/crates/kumquatnotch-route/src/initial_sync.rs
+++ b/crates/kumquatnotch-route/src/initial_sync.rs
@@ -31,13 +31,13 @@
 ///
 /// Many times the usual response time of the store, so that a start without an outage
 /// takes one call.
-const INITIAL_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Maximum pause between two calls, before jitter.
 ///
 /// It bounds how long the recovery of the store goes unnoticed, and the load on a store that is
 /// unavailable: two to three of the cheapest calls a second from each node.
-const MAX_PAUSE: Duration = Duration::from_millis(400);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Number of nodes of a data centre that read the full state from the store.
 ///
@@ -53,7 +53,7 @@
 const STANDBY_PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Pause between two requests to other nodes, before jitter.
-const PEER_PAUSE: Duration = Duration::from_millis(80);
+const PEER_RETRY_DELAY: Duration = Duration::from_millis(80);
 
 /// How often each of the other nodes may fail to answer before the store is read.
 ///
@@ -91,8 +91,8 @@
                     code = error.code(),
                     "mirror: initial read failed: {error}"
                 );
-                let pause = router.random.jitter(INITIAL_PAUSE);
-                clock::sleep(&*router.clock, pause).await;
+                let delay = router.random.jitter(INITIAL_RETRY_DELAY);
+                clock::sleep(&*router.clock, delay).await;
             }
         }
     }
@@ -100,11 +100,11 @@
 
 /// Reads the nodes of the tier from the store, and retries until it answers.
 async fn find_nodes(router: &Rc<Router>, store: &dyn Store, entries: &Entries) -> StoreScan {
-    let pauses = RetryDelays { initial: INITIAL_PAUSE, max: MAX_PAUSE };
+    let delays = RetryDelays { initial: INITIAL_RETRY_DELAY, max: MAX_RETRY_DELAY };
     loop {
         let call = || store.snapshot(entries.node_prefix());
         // A snapshot needs no history, so it can't fail for lack of it.
-        if let Ok(Answer { value, .. }) = call_until_answered(router, pauses, 0, call).await {
+        if let Ok(Answer { value, .. }) = call_until_answered(router, delays, 0, call).await {
             entries.apply_items(&value.items);
             router.set_nodes_known();
             return value;
@@ -115,7 +115,9 @@
 /// Returns the other known nodes of this data centre, by descending capacity.
 fn neighbours(router: &Router, entries: &Entries, nodes: &StoreScan) -> Vec<Candidate> {
     let mut others = entries.nodes_in(nodes);
-    others.retain(|(name, node)| node.centre == router.place.centre && *name != router.place.name);
+    others.retain(|(name, node)| {
+        node.centre == router.local_node.centre && *name != router.local_node.name
+    });
     follow::sort_by_capacity(&mut others);
     others
 }
@@ -125,11 +127,11 @@
     if router.is_standby() {
         return false;
     }
-    let place = &router.place;
-    let before = neighbours.iter().filter(|(name, node)| {
-        node.capacity > place.capacity || (node.capacity == place.capacity && *name < place.name)
+    let local = &router.local_node;
+    let preceding = neighbours.iter().filter(|(name, node)| {
+        node.capacity > local.capacity || (node.capacity == local.capacity && *name < local.name)
     });
-    before.count() < DIRECT_READERS
+    preceding.count() < DIRECT_READERS
 }
 
 /// Fetches the full state from one of the nodes that read the store first.
@@ -166,7 +168,7 @@
             Ok(_) | Err(Error::Protocol { .. }) => {}
             Err(_) => failures += 1,
         }
-        clock::sleep(clock, router.random.jitter(PEER_PAUSE)).await;
+        clock::sleep(clock, router.random.jitter(PEER_RETRY_DELAY)).await;
     }
     None
 }
--- a/crates/kumquatnotch-route/src/outage.rs
+++ b/crates/kumquatnotch-route/src/outage.rs
@@ -42,21 +42,21 @@
     /// Reads the changes with calls that do not wait, and retries until one is answered.
     pub(crate) async fn retry_until_answered(&self, failures: u32) -> Result<()> {
         let MirrorOptions { backoff, max_backoff, .. } = self.options;
-        let pauses = match follow::is_follower(&self.router) {
+        let delays = match follow::is_follower(&self.router) {
             true => RetryDelays { initial: FOLLOWER_BACKOFF, max: FOLLOWER_BACKOFF },
             false => RetryDelays { initial: backoff, max: max_backoff },
         };
         let (store, prefix) = (&self.store, self.entries.prefix());
         let Some(after) = self.revision.get() else {
             let scan =
-                call_until_answered(&self.router, pauses, failures, || store.scan(prefix)).await?;
-            self.apply_scan(&scan.value, scan.asked_at);
+                call_until_answered(&self.router, delays, failures, || store.scan(prefix)).await?;
+            self.apply_scan(&scan.value, scan.called_at);
             return Ok(());
         };
         let watch = || store.watch(prefix, after, NO_WAIT);
-        let changes = call_until_answered(&self.router, pauses, failures, watch).await?;
+        let changes = call_until_answered(&self.router, delays, failures, watch).await?;
         self.note_store_answer();
-        self.apply_changes(&changes.value, changes.asked_at);
+        self.apply_changes(&changes.value, changes.called_at);
         Ok(())
     }
 
@@ -67,12 +67,12 @@
         loop {
             match self.sources.catch_up(self.known_revision()).await {
                 Some(peer_update) if self.is_newer(&peer_update) => {
-                    let follows = follow::is_follower(&self.router);
-                    if !follows {
+                    let is_follower = follow::is_follower(&self.router);
+                    if !is_follower {
                         self.entries.suspend_node_removal();
                     }
                     self.apply_peer_update(peer_update);
-                    if follows {
+                    if is_follower {
                         return;
                     }
                 }
@@ -81,9 +81,9 @@
                 _ => {}
             }
             rounds += 1;
-            let pause = self.options.backoff * 2u32.pow(rounds.min(6));
-            let pause = self.router.random.jitter(pause.min(self.options.max_backoff));
-            clock::sleep(clock, pause).await;
+            let delay = self.options.backoff * 2u32.pow(rounds.min(6));
+            let delay = self.router.random.jitter(delay.min(self.options.max_backoff));
+            clock::sleep(clock, delay).await;
         }
     }
 
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -31,7 +31,7 @@
         if !self.uses(Mechanism::SettleTime) {
             return self.cached_share();
         }
-        shares::capped_part(self.cached_share(), known_for)
+        shares::capped_share(self.cached_share(), known_for)
     }
 
     fn cached_share(&self) -> f64 {
@@ -53,12 +53,12 @@
                 serving.extend(advice.advised_nodes().cloned());
             }
         }
-        if self.is_standby() && !self.fleet.knows(&self.place.name) {
+        if self.is_standby() && !self.fleet.knows(&self.local_node.name) {
             // Any number of standby nodes may be unknown to the other nodes, so none of them
             // takes a share.
             return 0.0;
         }
-        let is_serving = serving.contains(&self.place.name);
-        SharingNodes { all: self.fleet.len(), serving: serving.len(), is_serving }.part()
+        let is_serving = serving.contains(&self.local_node.name);
+        SharingNodes { all: self.fleet.len(), serving: serving.len(), is_serving }.share()
     }
 }
--- a/crates/kumquatnotch-route/src/probe.rs
+++ b/crates/kumquatnotch-route/src/probe.rs
@@ -80,7 +80,7 @@
     request.headers.insert(http::header::HOST, HeaderValue::from_str(&host).ok()?);
     // A node that starts during a store outage only knows the nodes that contact it, so
     // probes carry the address of the sender.
-    let own = router.fleet.peer_address(&router.place.name);
+    let own = router.fleet.peer_address(&router.local_node.name);
     if let (PEER_SERVICE, Some(own)) = (service.as_str(), own) {
         let own = HeaderValue::from_str(&own.to_string()).ok()?;
         request.headers.insert(PEER_ADDRESS_HEADER, own);
@@ -88,8 +88,8 @@
     metrics::counter!("kumquatnotch_probes_total").increment(1);
     link.send(&request).await.ok()?;
     let answer = link.receive(&|_| true).await.ok()?;
-    if let Some(keep) = answer.idle_limit {
-        replica.pool.put(link, clock.now(), keep);
+    if let Some(idle_limit) = answer.idle_limit {
+        replica.pool.put(link, clock.now(), idle_limit);
     }
     Some(answer.reply)
 }
--- a/crates/kumquatnotch-route/src/relay.rs
+++ b/crates/kumquatnotch-route/src/relay.rs
@@ -130,8 +130,8 @@
     request.headers.insert(http::header::HOST, host);
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
-    if let Some(keep) = answer.idle_limit {
-        peer.pool.put(link, clock.now(), keep);
+    if let Some(idle_limit) = answer.idle_limit {
+        peer.pool.put(link, clock.now(), idle_limit);
     }
     Ok(answer.reply.status == StatusCode::OK)
 }
@@ -157,14 +157,14 @@
     let mut request = Request::post(RELAY_PATH, "application/msgpack", message);
     let host = HeaderValue::from_str(&peer.spec().address.to_string()).map_err(Error::internal)?;
     request.headers.insert(http::header::HOST, host);
-    let at = clock.now();
+    let sent_at = clock.now();
     sent.set(true);
-    peer.observed.note_sent(at);
-    let _open = OpenRequest { peer, at };
+    peer.observed.note_sent(sent_at);
+    let _open = OpenRequest { peer, sent_at };
     link.send(&request).await?;
     let answer = link.receive(&|_| true).await?;
-    if let Some(keep) = answer.idle_limit {
-        peer.pool.put(link, clock.now(), keep.max(PEER_MAX_IDLE));
+    if let Some(idle_limit) = answer.idle_limit {
+        peer.pool.put(link, clock.now(), idle_limit.max(PEER_MAX_IDLE));
     }
     if answer.reply.status != StatusCode::OK {
         // A relay that refuses has not queried any replica.
@@ -174,7 +174,7 @@
     }
     let reply: RelayReply = codec::decode(&answer.reply.body)?;
     // Connections are long-lived, so connects alone give too few round-trip samples.
-    let took = clock.now().saturating_duration_since(at);
+    let took = clock.now().saturating_duration_since(sent_at);
     peer.observed.note_connect(took.saturating_sub(Duration::from_micros(reply.took_us)));
     Ok(reply)
 }
@@ -182,12 +182,12 @@
 /// Guard that counts a request to a node as open until it is dropped.
 struct OpenRequest<'a> {
     peer: &'a Replica,
-    at: std::time::Instant,
+    sent_at: std::time::Instant,
 }
 
 impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        self.peer.observed.note_end(self.at, None);
+        self.peer.observed.note_end(self.sent_at, None);
     }
 }
 
@@ -198,7 +198,7 @@
     let due = search.due.saturating_duration_since(now);
     let route = search.route;
     let due = due.saturating_sub(group.peer.observed.round_trip() + RELAY_OVERHEAD);
-    let due = due.max(router.need(route).usual.mul_f64(MIN_DUE_FACTOR));
+    let due = due.max(router.profile(route).usual.mul_f64(MIN_DUE_FACTOR));
     let headers = search.request.headers.iter();
     RelayRequest {
         route: route.name.as_str().to_owned(),
--- a/crates/kumquatnotch-route/src/relay_front.rs
+++ b/crates/kumquatnotch-route/src/relay_front.rs
@@ -121,9 +121,8 @@
 
 impl Handler for RelayFront {
     fn start(&self, request: Request) -> Work<'_> {
-        let visitor =
-            request.headers.get(PEER_ADDRESS_HEADER).and_then(|value| value.to_str().ok());
-        if let Some(address) = visitor.and_then(|text| text.parse().ok()) {
+        let sender = request.headers.get(PEER_ADDRESS_HEADER).and_then(|value| value.to_str().ok());
+        if let Some(address) = sender.and_then(|text| text.parse().ok()) {
             self.router.note_inbound_peer(address);
         }
         match request.path.as_str() {
@@ -137,8 +136,9 @@
             RUNNING_PATH => {
                 let identity = request.query_param("request").unwrap_or_default();
                 let running = self.running.borrow();
-                let known = running.iter().any(|other| other.as_bytes() == identity.as_bytes());
-                let status = if known { StatusCode::OK } else { StatusCode::NOT_FOUND };
+                let is_running =
+                    running.iter().any(|other| other.as_bytes() == identity.as_bytes());
+                let status = if is_running { StatusCode::OK } else { StatusCode::NOT_FOUND };
                 Work::ready(Reply::text(status, ""))
             }
             PROBE_PATH => {
--- a/crates/kumquatnotch-route/src/relay_plan.rs
+++ b/crates/kumquatnotch-route/src/relay_plan.rs
@@ -47,14 +47,14 @@
         .iter()
         .map(|index| (*index, rate_by_centre(router, route, &set.shards[*index])))
         .collect();
-    let places = ratings.iter().map(|(index, ratings)| {
+    let locations = ratings.iter().map(|(index, ratings)| {
         let ratings: Vec<(&DataCentre, Rating)> =
             ratings.iter().map(|(centre, rating)| (centre, *rating)).collect();
         ShardLocation { index: *index, centres: plan::nearest_centres(&ratings) }
     });
     let peer_in = |centre: &DataCentre| router.peer_in(&route.host, centre);
-    let plan::Plan { here: direct, groups } =
-        plan::Plan::new(places.collect(), &router.place.centre, &router.random, peer_in);
+    let plan::Plan { direct, groups } =
+        plan::Plan::new(locations.collect(), &router.local_node.centre, &router.random, peer_in);
     let groups = groups.into_iter().map(|plan::Group { peer, shards }| {
         let allowed =
             shards.iter().map(|index| allowed_replicas(router, route, &set.shards[*index]));
@@ -70,10 +70,10 @@
     shard: &ServiceName,
 ) -> Vec<(DataCentre, Rating)> {
     let now = router.clock.now();
-    let need = router.need_at(route, shard);
+    let profile = router.profile_for(route, shard);
     let replicas = router.directory.of(shard);
     let available = replicas.iter().filter(|replica| replica.takes_requests());
-    available.map(|replica| (replica.spec().centre.clone(), replica.rate(need, now))).collect()
+    available.map(|replica| (replica.spec().centre.clone(), replica.rate(profile, now))).collect()
 }
 
 /// Returns the replicas of a shard that one search may use; an empty list allows any.
@@ -83,10 +83,10 @@
         return Vec::new();
     }
     let now = router.clock.now();
-    let need = router.need_at(route, shard);
+    let profile = router.profile_for(route, shard);
     let mut allowed: Vec<ReplicaId> = Vec::new();
     while allowed.len() < route.attempts as usize {
-        match replica::pick(&replicas, &allowed, need, now) {
+        match replica::pick(&replicas, &allowed, profile, now) {
             Some(pick) => allowed.push(pick.replica.id.clone()),
             None => break,
         }
--- a/crates/kumquatnotch-route/src/replica.rs
+++ b/crates/kumquatnotch-route/src/replica.rs
@@ -103,9 +103,10 @@
     }
 
     /// Rates it for a request.
-    pub fn rate(&self, need: RequestProfile, now: Instant) -> Rating {
+    pub fn rate(&self, profile: RequestProfile, now: Instant) -> Rating {
         let (waiting, limit) = (self.semaphore.waiting(), self.semaphore.limit());
-        let rating = Rating::new(Candidate { observed: &self.observed, waiting, limit }, need, now);
+        let rating =
+            Rating::new(Candidate { observed: &self.observed, waiting, limit }, profile, now);
         if self.presumed_gone.get() { rating.departed() } else { rating }
     }
 }
@@ -122,13 +123,13 @@
 pub fn pick(
     replicas: &[Rc<Replica>],
     tried: &[ReplicaId],
-    need: RequestProfile,
+    profile: RequestProfile,
     now: Instant,
 ) -> Option<Pick> {
     let available = replicas.iter().filter(|replica| replica.takes_requests());
     let available: Vec<&Rc<Replica>> =
         available.filter(|replica| !tried.contains(&replica.id)).collect();
-    let ratings: Vec<Rating> = available.iter().map(|replica| replica.rate(need, now)).collect();
+    let ratings: Vec<Rating> = available.iter().map(|replica| replica.rate(profile, now)).collect();
     let best = rating::best(&ratings)?;
     Some(Pick { replica: available[best].clone(), rating: ratings[best] })
 }
--- a/crates/kumquatnotch-route/src/router.rs
+++ b/crates/kumquatnotch-route/src/router.rs
@@ -17,7 +17,7 @@
     services,
 };
 use kumquatnotch_policy::{
-    answer_time::{self, Origin},
+    answer_time::{self, RequestDelays},
     budget::{Budget, BudgetOptions},
     caller_rtt::CallerRtt,
     crashes::Crashes,
@@ -53,14 +53,14 @@
     /// The budget for repeats (retries and hedges).
     pub budget: BudgetOptions,
     /// Name and location of this node.
-    pub place: Place,
+    pub local_node: LocalNode,
     /// The mechanisms in use: all of them, except in experiments.
     pub mechanisms: Mechanisms,
 }
 
 /// Name and location of a node.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct LocalNode {
     /// Its name.
     pub name: NodeName,
     /// Its data centre.
@@ -76,7 +76,7 @@
     /// The names of headers.
     pub names: HeaderNames,
     /// Name and location of this node.
-    pub place: Place,
+    pub local_node: LocalNode,
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// The generator of random numbers.
@@ -96,13 +96,13 @@
     /// How late the answers of this node leave, after they are due.
     pub lags: Lags,
     /// Round trip times of callers.
-    pub callers: CallerRtt,
+    pub caller_rtt: CallerRtt,
     /// Usual durations of requests.
-    pub paces: ServiceTimes,
+    pub service_times: ServiceTimes,
     /// Requests that were running on replicas when these crashed.
     pub crashes: Crashes,
     /// How overloaded replicas are.
-    pub strains: Overload,
+    pub overload: Overload,
     /// The budget for repeats (retries and hedges).
     pub budget: Budget,
     mechanisms: Mechanisms,
@@ -123,11 +123,11 @@
     /// Creates a router without a configuration and without replicas.
     pub fn try_new(options: RouterOptions, registry: &Registry) -> Result<Rc<Router>> {
         let clock = registry.find::<Rc<dyn Clock>>(services::CLOCK)?;
-        let Place { centre, region, .. } = options.place.clone();
+        let LocalNode { centre, region, .. } = options.local_node.clone();
         let distances = Rc::new(Distances::from(centre, region));
         Ok(Rc::new(Router {
             names: options.names,
-            place: options.place,
+            local_node: options.local_node,
             journal: Journal::new(clock.clone()),
             budget: Budget::new(options.budget, clock.now()),
             inbound_peers: RefCell::default(),
@@ -140,10 +140,10 @@
             distances,
             grace_until: Cell::new(None),
             lags: Lags::default(),
-            callers: CallerRtt::default(),
-            paces: ServiceTimes::default(),
+            caller_rtt: CallerRtt::default(),
+            service_times: ServiceTimes::default(),
             crashes: Crashes::default(),
-            strains: Overload::default(),
+            overload: Overload::default(),
             mechanisms: options.mechanisms,
             table: RefCell::default(),
             nodes_known: Cell::new(false),
@@ -222,7 +222,7 @@
     pub fn is_standby(&self) -> bool {
         self.uses(Mechanism::Standby)
             && self.are_nodes_known()
-            && self.fleet.is_standby(&self.place)
+            && self.fleet.is_standby(&self.local_node)
     }
 
     /// Remembers the address of a node that contacted this one, while no other node is known.
@@ -248,14 +248,17 @@
     }
 
     /// Returns the requirements of a request of `route` for the choice of a replica of `service`.
-    pub fn need_at(&self, route: &Route, service: &ServiceName) -> RequestProfile {
-        RequestProfile { spent: self.budget.spent(service, self.clock.now()), ..self.need(route) }
+    pub fn profile_for(&self, route: &Route, service: &ServiceName) -> RequestProfile {
+        RequestProfile {
+            spent: self.budget.spent(service, self.clock.now()),
+            ..self.profile(route)
+        }
     }
 
     /// Returns the requirements of a request of `route`.
-    pub fn need(&self, route: &Route) -> RequestProfile {
-        let need = self.paces.need(&route.name, route.objective);
-        RequestProfile { mechanisms: self.mechanisms, ..need }
+    pub fn profile(&self, route: &Route) -> RequestProfile {
+        let profile = self.service_times.profile(&route.name, route.objective);
+        RequestProfile { mechanisms: self.mechanisms, ..profile }
     }
 
     /// Returns the path at which replicas of a service, or nodes of this tier, answer probes.
@@ -286,9 +289,9 @@
     pub fn peer_in(&self, host: &str, centre: &DataCentre) -> Option<Rc<Replica>> {
         let advice = self.advice(host)?;
         let region = self.fleet.region_of(centre)?;
-        let there = advice.nodes_for(&region).iter().filter(|(_, node)| node.centre == *centre);
-        let there: Vec<Candidate> = there.cloned().collect();
-        self.fleet.least_loaded_peer(&there)
+        let in_centre = advice.nodes_for(&region).iter().filter(|(_, node)| node.centre == *centre);
+        let in_centre: Vec<Candidate> = in_centre.cloned().collect();
+        self.fleet.least_loaded_peer(&in_centre)
     }
 
     /// Returns the versions of all inputs of advice and shares, which are valid until one changes.
@@ -297,21 +300,22 @@
     }
 
     /// Returns how long after its arrival a request may be answered to be in time for its caller.
-    pub fn waiting_time(&self, route: &Route, is_first: bool) -> Duration {
+    pub fn time_to_answer(&self, route: &Route, is_first: bool) -> Duration {
         let serves_others = self
             .advice(&route.host)
-            .is_some_and(|advice| advice.serves_other_regions(&self.place.region));
-        let way = if serves_others { self.distances.max_round_trip() } else { Duration::ZERO };
-        let (mut trip, mut lag) = (self.callers.usual(), self.lags.usual());
+            .is_some_and(|advice| advice.serves_other_regions(&self.local_node.region));
+        let remote_round_trip =
+            if serves_others { self.distances.max_round_trip() } else { Duration::ZERO };
+        let (mut round_trip, mut lag) = (self.caller_rtt.usual(), self.lags.usual());
         if !self.uses(Mechanism::CallerTrips) {
-            trip = CallerRtt::default().usual();
+            round_trip = CallerRtt::default().usual();
         }
         if !self.uses(Mechanism::Lags) {
             lag = Lags::default().usual();
         }
         answer_time::time_to_answer(
             route.objective,
-            Origin { round_trip: trip, remote_round_trip: way, lag, is_first },
+            RequestDelays { round_trip, remote_round_trip, lag, is_first },
         )
     }
 }
--- a/crates/kumquatnotch-route/src/sources.rs
+++ b/crates/kumquatnotch-route/src/sources.rs
@@ -74,9 +74,9 @@
 
     /// Queries a few nodes at once, and returns the first update that is not stale.
     async fn query_any(&self, peers: &[Rc<Replica>], after: u64) -> Option<PeerUpdate> {
-        let asked = peers.iter().take(MAX_PARALLEL_PEERS);
+        let queried = peers.iter().take(MAX_PARALLEL_PEERS);
         let mut running: FuturesUnordered<_> =
-            asked.map(|peer| self.query(peer, after, Duration::ZERO)).collect();
+            queried.map(|peer| self.query(peer, after, Duration::ZERO)).collect();
         while let Some(peer_update) = running.next().await {
             if peer_update.is_some() {
                 return peer_update;
--- a/crates/kumquatnotch-route/src/store_retry.rs
+++ b/crates/kumquatnotch-route/src/store_retry.rs
@@ -24,7 +24,7 @@
 pub(crate) struct Answer<T> {
     pub(crate) value: T,
     /// When the answered call was made.
-    pub(crate) asked_at: Instant,
+    pub(crate) called_at: Instant,
 }
 
 /// Repeats a call until it is answered, with no limit on time; earlier calls keep running.
@@ -41,14 +41,14 @@
     let clock = &*router.clock;
     let mut delay = delays.initial;
     let mut running = FuturesUnordered::new();
-    let mut again = std::future::ready(()).boxed_local().fuse();
+    let mut next_call = std::future::ready(()).boxed_local().fuse();
     loop {
-        let (asked_at, result) = select_biased! {
-            ended = running.select_next_some() => ended,
-            () = again => {
-                let asked_at = clock.now();
-                running.push(call().map(move |result| (asked_at, result)));
-                again = clock::sleep(clock, router.random.jitter(delay)).fuse();
+        let (called_at, result) = select_biased! {
+            answered = running.select_next_some() => answered,
+            () = next_call => {
+                let called_at = clock.now();
+                running.push(call().map(move |result| (called_at, result)));
+                next_call = clock::sleep(clock, router.random.jitter(delay)).fuse();
                 delay = (delay * 2).min(delays.max);
                 continue;
             }
@@ -58,7 +58,7 @@
                 if failures > 0 {
                     tracing::info!(failures, "mirror: the store answers again");
                 }
-                return Ok(Answer { value, asked_at });
+                return Ok(Answer { value, called_at });
             }
             Err(Error::VersionUnknown { version }) => {
                 return Err(Error::VersionUnknown { version });
--- a/crates/kumquatnotch-route/tests/admission.rs
+++ b/crates/kumquatnotch-route/tests/admission.rs
@@ -163,13 +163,13 @@
         fill_queue(&tier, &ids[1], 40);
 
         let needed = try_admit(&tier, &shards(4, 0.75)).await;
-        let spared = try_admit(&tier, &shards(4, 0.5)).await;
+        let not_needed = try_admit(&tier, &shards(4, 0.5)).await;
 
         let retry_after = needed.unwrap_err();
         assert!(
             retry_after >= Duration::from_millis(40) && retry_after <= Duration::from_millis(400)
         );
-        assert_eq!(spared, Ok(()));
+        assert_eq!(not_needed, Ok(()));
     });
 }
 
@@ -224,7 +224,7 @@
         ids.iter().for_each(|id| fill_queue(&tier, id, 800));
         let route = shards(2, 1.0);
         (0..3).for_each(|_| {
-            tier.router.strains.note(&route.name, SearchOutcome::Refused, RuntimeClock.now())
+            tier.router.overload.note(&route.name, SearchOutcome::Refused, RuntimeClock.now())
         });
 
         let (has_room, took) = wait_for_capacity(&tier, &route).await;
@@ -264,9 +264,9 @@
     run(async {
         let (tier, ids) = tier(2);
         let route = shards(2, 1.0);
-        let note = |count, fate| {
+        let note = |count, outcome| {
             (0..count)
-                .for_each(|_| tier.router.strains.note(&route.name, fate, RuntimeClock.now()));
+                .for_each(|_| tier.router.overload.note(&route.name, outcome, RuntimeClock.now()));
         };
         let fill_queues = || ids.iter().for_each(|id| fill_queue(&tier, id, 3));
 
@@ -294,7 +294,7 @@
         ids.iter().for_each(|id| fill_queue(&tier, id, 40));
         let route = shards(2, 1.0);
         (0..80).for_each(|_| {
-            tier.router.strains.note(&route.name, SearchOutcome::Refused, RuntimeClock.now())
+            tier.router.overload.note(&route.name, SearchOutcome::Refused, RuntimeClock.now())
         });
 
         let retry_after = try_admit(&tier, &route).await.unwrap_err();
--- a/crates/kumquatnotch-route/tests/advice.rs
+++ b/crates/kumquatnotch-route/tests/advice.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn nodes_beside_the_replicas_are_preferred_and_of_these_the_large_ones() {
+fn large_nodes_close_to_the_replicas_are_preferred() {
     let mut nodes = vec![node(0, "a1", 0.5), node(1, "a1", 0.5), node(2, "a1", 0.1)];
     nodes.extend([node(3, "a2", 0.5), node(4, "a2", 0.5), node(5, "a2", 0.1)]);
 
--- a/crates/kumquatnotch-route/tests/common/mod.rs
+++ b/crates/kumquatnotch-route/tests/common/mod.rs
@@ -30,7 +30,7 @@
     relay_front::RelayFront,
     replica::ReplicaSpec,
     route::{Destination, Limits, Route, RouteConfig, RouteKind, RouteTable, Service, ShardSet},
-    router::{Place, Router, RouterOptions},
+    router::{LocalNode, Router, RouterOptions},
 };
 use standins::{
     http::{Answer, Client, Request},
@@ -128,7 +128,7 @@
         let options = RouterOptions {
             names: HeaderNames::default(),
             budget: BudgetOptions { ratio: 0.2, slack, window: Duration::from_secs(10) },
-            place: Place {
+            local_node: LocalNode {
                 name: NodeName::from(name),
                 centre: DataCentre::from(centre),
                 region: Region::from(centre),
--- a/crates/kumquatnotch-route/tests/crashes.rs
+++ b/crates/kumquatnotch-route/tests/crashes.rs
@@ -8,28 +8,28 @@
 use kumquatnotch_core::{Clock, clock::RuntimeClock, ids::Fingerprint};
 use kumquatnotch_net::message::Request;
 use kumquatnotch_policy::crashes::{Crash, Crashes};
-use kumquatnotch_route::crash_check::fingerprint;
+use kumquatnotch_route::crash_check;
 use standins::scripted::{Scripted, Step};
 
 /// The suspected request of the tests, with its fingerprint.
 fn suspect() -> (Request, Fingerprint) {
     let request = Request::get("/a/crash");
-    let print = fingerprint(&request);
-    (request, print)
+    let fingerprint = crash_check::fingerprint(&request);
+    (request, fingerprint)
 }
 
 /// Records crashes with a request, in these attempts and `seconds` from now.
-fn crash(crashes: &Crashes, print: Fingerprint, seconds: u64, attempts: &[u64]) {
+fn crash(crashes: &Crashes, fingerprint: Fingerprint, seconds: u64, attempts: &[u64]) {
     let now = RuntimeClock.now() + Duration::from_secs(seconds);
     for attempt in attempts {
-        crashes.note(Crash { print, attempt: *attempt }, now);
+        crashes.note(Crash { fingerprint, attempt: *attempt }, now);
     }
 }
 
 /// Whether a request is refused `seconds` from now.
 fn is_refused(crashes: &Crashes, request: &Request, seconds: u64) -> bool {
     let now = RuntimeClock.now() + Duration::from_secs(seconds);
-    crashes.refused_for(fingerprint(request), now).is_some()
+    crashes.refused_for(crash_check::fingerprint(request), now).is_some()
 }
 
 /// Replicas crash with the same request three times, a few seconds apart. It is refused for
@@ -37,18 +37,18 @@
 /// 30 seconds.
 #[test]
 fn a_request_is_refused_after_three_crashes() {
-    let (crashes, (request, print)) = (Crashes::default(), suspect());
+    let (crashes, (request, fingerprint)) = (Crashes::default(), suspect());
 
-    crash(&crashes, print, 0, &[1]);
-    crash(&crashes, print, 3, &[2]);
+    crash(&crashes, fingerprint, 0, &[1]);
+    crash(&crashes, fingerprint, 3, &[2]);
     let before = is_refused(&crashes, &request, 3);
-    crash(&crashes, print, 6, &[3]);
+    crash(&crashes, fingerprint, 6, &[3]);
     let refused = is_refused(&crashes, &request, 20);
-    let let_in = is_refused(&crashes, &request, 22);
-    crash(&crashes, print, 22, &[4]);
+    let after = is_refused(&crashes, &request, 22);
+    crash(&crashes, fingerprint, 22, &[4]);
     let again = is_refused(&crashes, &request, 51);
 
-    assert_eq!([before, refused, let_in, again], [false, true, false, true]);
+    assert_eq!([before, refused, after, again], [false, true, false, true]);
 }
 
 /// Many callers have the same request running at a replica that crashes. Other nodes report
@@ -56,22 +56,22 @@
 /// count as one crash.
 #[test]
 fn a_request_of_many_callers_is_not_refused_for_one_crash() {
-    let (crashes, (request, print)) = (Crashes::default(), suspect());
-    let told: Vec<Crash> = (10..20).map(|attempt| Crash { print, attempt }).collect();
+    let (crashes, (request, fingerprint)) = (Crashes::default(), suspect());
+    let reported: Vec<Crash> = (10..20).map(|attempt| Crash { fingerprint, attempt }).collect();
 
-    crash(&crashes, print, 0, &[1, 2, 3, 4, 5]);
+    crash(&crashes, fingerprint, 0, &[1, 2, 3, 4, 5]);
     for seconds in [1, 2, 5, 8, 11] {
-        crashes.merge(&told, RuntimeClock.now() + Duration::from_secs(seconds));
+        crashes.merge(&reported, RuntimeClock.now() + Duration::from_secs(seconds));
     }
 
     assert!(!is_refused(&crashes, &request, 11));
-    assert_eq!(crashes.strikes_of(print), 1);
+    assert_eq!(crashes.strikes_of(fingerprint), 1);
 }
 
 #[test]
 fn another_request_is_not_refused() {
-    let (crashes, (_, print)) = (Crashes::default(), suspect());
-    [1, 2, 3].iter().for_each(|number| crash(&crashes, print, number * 3, &[*number]));
+    let (crashes, (_, fingerprint)) = (Crashes::default(), suspect());
+    [1, 2, 3].iter().for_each(|number| crash(&crashes, fingerprint, number * 3, &[*number]));
 
     let others = [Request::get("/a/other"), Request::get("/a/crash?x"), {
         let mut request = Request::get("/a/crash");
@@ -86,14 +86,14 @@
 /// clears it, so that a third crash counts as its first.
 #[test]
 fn a_successful_answer_clears_the_suspicion() {
-    let (crashes, (request, print)) = (Crashes::default(), suspect());
+    let (crashes, (request, fingerprint)) = (Crashes::default(), suspect());
 
-    crash(&crashes, print, 0, &[1]);
-    crash(&crashes, print, 3, &[2]);
-    crashes.clear(fingerprint(&request));
-    crash(&crashes, print, 6, &[3]);
+    crash(&crashes, fingerprint, 0, &[1]);
+    crash(&crashes, fingerprint, 3, &[2]);
+    crashes.clear(crash_check::fingerprint(&request));
+    crash(&crashes, fingerprint, 6, &[3]);
 
-    assert_eq!(crashes.strikes_of(print), 1);
+    assert_eq!(crashes.strikes_of(fingerprint), 1);
     assert!(!is_refused(&crashes, &request, 6));
 }
 
--- a/crates/kumquatnotch-route/tests/forwarding.rs
+++ b/crates/kumquatnotch-route/tests/forwarding.rs
@@ -262,9 +262,8 @@
         tier.add("s0", slow.address);
 
         let headers = [("host", HOST), ("x-request-id", "r1")];
-        let impatient =
-            standins::http::Client::new(tier.server.address(), Duration::from_millis(100));
-        impatient.send("GET", "/a/", &headers, Bytes::new()).await.unwrap_err();
+        let client = standins::http::Client::new(tier.server.address(), Duration::from_millis(100));
+        client.send("GET", "/a/", &headers, Bytes::new()).await.unwrap_err();
         pause(100).await;
 
         assert_eq!(slow.cut(), 1);
@@ -290,12 +289,12 @@
         let replica = replica("p", b"x");
         tier.add("s0", replica.address);
         let large = Bytes::from(vec![0; 1_001]);
-        let named = [("host", HOST), ("x-request-id", "r1")];
+        let headers = [("host", HOST), ("x-request-id", "r1")];
 
         let unknown = tier.get("/b/", "r1").await;
         let without_identity =
             tier.client().send("GET", "/a/", &[("host", HOST)], Bytes::new()).await;
-        let too_large = tier.client().send("POST", "/a/", &named, large).await;
+        let too_large = tier.client().send("POST", "/a/", &headers, large).await;
 
         assert_eq!(unknown.status, 404);
         assert_eq!(without_identity.unwrap().status, 400);
--- a/crates/kumquatnotch-route/tests/hedging.rs
+++ b/crates/kumquatnotch-route/tests/hedging.rs
@@ -28,9 +28,9 @@
             assert_eq!(tier.get("/a/", &format!("r{index}")).await.status, 200);
         }
 
-        let seen = silent.requests();
-        let asked = seen.iter().filter(|request| request.path == "/a/").count();
-        assert_eq!(asked, 1);
+        let requests = silent.requests();
+        let attempts = requests.iter().filter(|request| request.path == "/a/").count();
+        assert_eq!(attempts, 1);
     });
 }
 
@@ -43,7 +43,7 @@
         let route = Route { objective: Duration::from_secs(1), ..single() };
         let tier = Tier::serving(route.clone());
         (0..200).for_each(|_| {
-            tier.router.paces.note(&route.name, route.objective, Duration::from_millis(5))
+            tier.router.service_times.note(&route.name, route.objective, Duration::from_millis(5))
         });
         let slow = scripted_replica(move |request| {
             let wait = if request.headers["x-request-id"] == "r1" { 200 } else { 1 };
@@ -109,8 +109,8 @@
         let other = tier.add("s0", refusing_address());
         let pick = || {
             let replicas = tier.router.directory.of(&service("s0"));
-            let need = tier.router.need(&route);
-            replica::pick(&replicas, &[], need, RuntimeClock.now()).unwrap().replica.id.clone()
+            let profile = tier.router.profile(&route);
+            replica::pick(&replicas, &[], profile, RuntimeClock.now()).unwrap().replica.id.clone()
         };
 
         let at_once = pick();
@@ -129,12 +129,13 @@
     run(async {
         let tier = Tier::serving(single());
         // The replica that is called first replies 20 ms before the other one would.
-        let asked = Rc::new(Cell::new(0));
+        let request_count = Rc::new(Cell::new(0));
         let start = |tier: &Tier| {
-            let asked = asked.clone();
+            let request_count = request_count.clone();
             let replica = scripted_replica(move |request| {
-                asked.set(asked.get() + 1);
-                let (wait, body) = if asked.get() == 1 { (90, b"first") } else { (50, b"other") };
+                request_count.set(request_count.get() + 1);
+                let (wait, body) =
+                    if request_count.get() == 1 { (90, b"first") } else { (50, b"other") };
                 vec![Step::Wait(Duration::from_millis(wait)), proven_reply(request, "p", body)]
             });
             (tier.add("s0", replica.address), replica)
@@ -148,7 +149,7 @@
         pause(100).await;
 
         assert_eq!((answer.status, &answer.body[..]), (200, &b"first"[..]));
-        assert_eq!((asked.get(), open), (2, 1));
+        assert_eq!((request_count.get(), open), (2, 1));
         assert!(replicas.iter().all(|(_, replica)| replica.cut() == 0));
         for replica in known {
             assert_eq!(replica.observed.unanswered(), 0);
--- a/crates/kumquatnotch-route/tests/initial_sync.rs
+++ b/crates/kumquatnotch-route/tests/initial_sync.rs
@@ -46,14 +46,14 @@
         store.unresponsive.set(true);
         start(&tier, &store);
         pause(1_000).await;
-        let asked = store.calls.get();
+        let calls = store.calls.get();
 
         store.unresponsive.set(false);
         let back = Instant::now();
         until_ready(&tier).await;
 
         assert!(back.elapsed().as_millis() < 700, "after {:?}", back.elapsed());
-        assert!((2..=8).contains(&asked), "{asked} calls in a second");
+        assert!((2..=8).contains(&calls), "{calls} calls in a second");
     });
 }
 
--- a/crates/kumquatnotch-route/tests/searches.rs
+++ b/crates/kumquatnotch-route/tests/searches.rs
@@ -87,8 +87,8 @@
     run(async {
         let tier = Tier::serving(shards(3, 0.6));
 
-        let first = tier.router.waiting_time(&shards(3, 0.6), true);
-        let next = tier.router.waiting_time(&shards(3, 0.6), false);
+        let first = tier.router.time_to_answer(&shards(3, 0.6), true);
+        let next = tier.router.time_to_answer(&shards(3, 0.6), false);
 
         assert!(first < next && next < Duration::from_millis(200));
         assert!(first > Duration::from_millis(100));
@@ -177,19 +177,19 @@
 #[test]
 fn shards_of_another_region_are_gathered_by_a_relay() {
     run(async {
-        let world = TwoRegions::new();
+        let regions = TwoRegions::new();
 
-        let answer = world.home.get("/a/", "r1").await;
+        let answer = regions.home.get("/a/", "r1").await;
 
         assert_eq!(answer.status, 200);
         assert_eq!(&answer.body[..], [THREE, TWO, ONE].concat());
         assert_eq!(answer.headers["x-missing"], "0");
-        assert!(world.replicas.iter().all(|replica| replica.requests().len() == 1));
+        assert!(regions.replicas.iter().all(|replica| replica.requests().len() == 1));
         // The node in `home` has no connection to any of the replicas.
-        let direct = world.home.router.directory.all();
+        let direct = regions.home.router.directory.all();
         assert!(direct.iter().all(|replica| replica.observed.measured_round_trip().is_none()));
-        assert_eq!(header(&world.replicas[0].requests()[0], "x-request-id"), "r1");
-        drop(world.away);
+        assert_eq!(header(&regions.replicas[0].requests()[0], "x-request-id"), "r1");
+        drop(regions.away);
     });
 }
 
@@ -198,10 +198,10 @@
 #[test]
 fn shards_are_queried_directly_if_the_relay_is_gone() {
     run(async {
-        let world = TwoRegions::new();
-        world.home.add_node("a1", "away", refusing_address());
+        let regions = TwoRegions::new();
+        regions.home.add_node("a1", "away", refusing_address());
 
-        let answer = world.home.get("/a/", "r1").await;
+        let answer = regions.home.get("/a/", "r1").await;
 
         assert_eq!(answer.status, 200);
         assert_eq!(answer.headers["x-missing"], "0");
@@ -213,11 +213,11 @@
 #[test]
 fn shards_are_queried_directly_if_the_relay_is_silent() {
     run(async {
-        let world = TwoRegions::new();
+        let regions = TwoRegions::new();
         let silent = Scripted::start(|_| vec![Step::Silence]).unwrap();
-        world.home.add_node("a1", "away", silent.address);
+        regions.home.add_node("a1", "away", silent.address);
 
-        let answer = world.home.get("/a/", "r1").await;
+        let answer = regions.home.get("/a/", "r1").await;
 
         assert_eq!(answer.status, 200);
         assert_eq!(answer.headers["x-missing"], "0");
@@ -229,17 +229,17 @@
 #[test]
 fn shards_are_queried_directly_if_the_relay_never_got_the_request() {
     run(async {
-        let world = TwoRegions::new();
-        let unaware = Scripted::start(|request| match request.path.as_str() {
+        let regions = TwoRegions::new();
+        let relay = Scripted::start(|request| match request.path.as_str() {
             "/v1/running" => vec![answer(404, &[], b"")],
             PROBE_PATH => vec![answer(200, &[], b"")],
             _ => vec![Step::Silence],
         })
         .unwrap();
-        world.home.add_node("a1", "away", unaware.address);
+        regions.home.add_node("a1", "away", relay.address);
 
         let start = RuntimeClock.now();
-        let answer = world.home.get("/a/", "r1").await;
+        let answer = regions.home.get("/a/", "r1").await;
 
         assert_eq!(answer.status, 200);
         assert!(RuntimeClock.now() - start < Duration::from_millis(600));
@@ -263,8 +263,8 @@
 
         home.get("/a/", "r1").await;
 
-        let asked = lost.unwrap().requests();
-        let body = &asked[0].body;
+        let relayed = lost.unwrap().requests();
+        let body = &relayed[0].body;
         let message: kumquatnotch_route::relay_message::RelayRequest =
             kumquatnotch_core::codec::decode(body).unwrap();
         for (name, allowed) in &message.shards {
--- a/crates/kumquatnotch-route/tests/standby.rs
+++ b/crates/kumquatnotch-route/tests/standby.rs
@@ -52,7 +52,7 @@
 /// Callers are sent to the larger nodes, so an entry would only load the store. The node takes
 /// no share of what the nodes share, because the others don't count it.
 #[test]
-fn a_small_node_beside_larger_ones_announces_nothing() {
+fn a_small_node_next_to_larger_ones_is_not_announced() {
     run(async {
         let fixture = fixture();
         pause(900).await;
@@ -87,7 +87,7 @@
         let fixture = fixture();
         pause(300).await;
         let crashes = &fixture.tier.router.crashes;
-        crashes.note(Crash { print: Fingerprint(7), attempt: 1 }, Instant::now());
+        crashes.note(Crash { fingerprint: Fingerprint(7), attempt: 1 }, Instant::now());
         pause(1_500).await;
 
         assert!(fixture.store.items.borrow().contains_key("x/me"));
--- a/crates/kumquatnotch-route/tests/store.rs
+++ b/crates/kumquatnotch-route/tests/store.rs
@@ -251,7 +251,7 @@
         let fixture = fixture().await;
         announcer(&fixture).start();
         pause(100).await;
-        let crash = |attempt| Crash { print: Fingerprint(7), attempt };
+        let crash = |attempt| Crash { fingerprint: Fingerprint(7), attempt };
         let now = std::time::Instant::now();
 
         fixture.tier.router.crashes.note(crash(1), now);
@@ -270,7 +270,7 @@
 /// whether its statistics were kept.
 fn sent_requests(fixture: &Fixture, id: &str) -> Option<u64> {
     let replica = fixture.tier.router.directory.find(&ReplicaId::from(id))?;
-    Some(replica.observed.asked())
+    Some(replica.observed.requests_sent())
 }
 
 /// A replica restarts under its name and address. The statistics of its earlier incarnation do
@@ -310,7 +310,7 @@
         fixture.store.put("r/one", b"\xff\xfe");
         fixture.store.put("r/foreign", b"not an address");
         pause(60).await;
-        let taken = (
+        let sent = (
             sent_requests(&fixture, "one"),
             sent_requests(&fixture, "two"),
             sent_requests(&fixture, "foreign"),
@@ -318,7 +318,7 @@
         fixture.store.put("r/one", b"127.0.0.1:1");
         pause(60).await;
 
-        assert_eq!(taken, (None, Some(0), None));
+        assert_eq!(sent, (None, Some(0), None));
         assert_eq!(sent_requests(&fixture, "one"), Some(0));
     });
 }
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -51,8 +51,8 @@
     fn next_replica(&self, name: &str) -> Option<String> {
         let router = &self.tier.router;
         let replicas = router.directory.of(&service(name));
-        let need = router.need(&single());
-        let pick = replica::pick(&replicas, &[], need, router.clock.now())?;
+        let profile = router.profile(&single());
+        let pick = replica::pick(&replicas, &[], profile, router.clock.now())?;
         Some(pick.replica.id.as_str().to_owned())
     }
 
@@ -139,10 +139,10 @@
         pause(500).await;
 
         let router = &fixture.tier.router;
-        let need = router.need(&single());
+        let profile = router.profile(&single());
         let replicas = router.directory.of(&service("s0"));
         let now = router.clock.now();
-        assert!(replicas.iter().all(|replica| replica.rate(need, now).is_healthy()));
+        assert!(replicas.iter().all(|replica| replica.rate(profile, now).is_healthy()));
         assert_eq!(replicas.len(), 2);
     });
 }
--- a/crates/measure/src/routes.rs
+++ b/crates/measure/src/routes.rs
@@ -30,7 +30,7 @@
     names::{ReplicaId, RouteName, ServiceName},
     replica::ReplicaSpec,
     route::{Destination, Limits, Route, RouteConfig, RouteKind, RouteTable, Service, ShardSet},
-    router::{Place, Router, RouterOptions},
+    router::{LocalNode, Router, RouterOptions},
 };
 use standins::{http::Client, scripted};
 
@@ -122,7 +122,7 @@
     registry.register(services::RANDOM, Random::with_seed(1));
     registry.register(services::LIFECYCLE, Lifecycle::default());
     let node = NodeName::from("node");
-    let place = Place {
+    let local_node = LocalNode {
         name: node,
         centre: DataCentre::from("c"),
         region: Region::from("r"),
@@ -132,7 +132,7 @@
     let options = RouterOptions {
         names: HeaderNames::default(),
         budget,
-        place,
+        local_node,
         mechanisms: Mechanisms::default(),
     };
     let router = Router::try_new(options, &registry)?;
