--- a/crates/kumquatnotch-policy/src/overload.rs
+++ b/crates/kumquatnotch-policy/src/overload.rs
@@ -31,7 +31,7 @@
 /// Increase of the factor with the share of late searches: it reaches its maximum at a fifth.
 const MARGIN_GAIN: f64 = 7.0;
 
-/// Share of refused searches above which returning searches are not admitted.
+/// Share of refused searches above which late retries are not admitted.
 const REFUSING_SHARE: f64 = 0.05;
 
 /// Time constant with which the shares decay without searches (to a third after this time).
--- a/crates/kumquatnotch-policy/src/shares.rs
+++ b/crates/kumquatnotch-policy/src/shares.rs
@@ -17,7 +17,7 @@
 /// where more urgent ones can overtake them.
 const MAX_CONNECTIONS: u32 = 8;
 
-/// Share of a shared limit that is reserved for the nodes that callers are advised to use.
+/// Share of a limit that is reserved for the nodes that callers are advised to use.
 const SERVING_SHARE: f64 = 0.85;
 
 /// Time after its start before a node assumes that it knows all others.
--- a/crates/kumquatnotch-route/src/admission.rs
+++ b/crates/kumquatnotch-route/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission control of searches: at once, after waiting for capacity, or not at all.
+//! Admission control: whether a search is admitted at once, after waiting for capacity, or
+//! refused.
 
 use std::{
     rc::Rc,
@@ -37,8 +38,8 @@
 /// Waits until replicas have capacity for a late retry; `None` if they have none.
 ///
 /// The caller of such a search retries after the objective has passed, so the answer is
-/// late in any case. It waits for a share of its remaining time, but not while first-time
-/// searches are being refused, as it would make more of them late.
+/// late in any case. The search waits for a share of its remaining time, but not while
+/// first-time searches are being refused, as it would make more of them late.
 ///
 /// After an outage many callers retry at the same time. If all of them were admitted as
 /// soon as there is capacity, none would be left for first-time searches. `semaphore`
--- a/crates/kumquatnotch-route/src/announce.rs
+++ b/crates/kumquatnotch-route/src/announce.rs
@@ -17,7 +17,7 @@
 
 use crate::{mirror::Mirror, router::Router};
 
-/// How long the entry of a node outlives it.
+/// Lifetime of the lease, and so the time for which the entry of a node outlives it.
 ///
 /// Callers that are advised to use a node that has ended lose an attempt, so the time is short;
 /// renewals are cheap.
@@ -26,7 +26,7 @@
 /// How often the lease is renewed: two renewals may be lost.
 const RENEW_PERIOD: Duration = Duration::from_millis(900);
 
-/// Pause after a failure, before jitter.
+/// Delay between attempts to announce the node after a failure, before jitter.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How often a node that has just started checks whether it knows the other nodes.
@@ -40,7 +40,8 @@
 
 /// Number of successive renewals without need after which a node lets its entry expire.
 ///
-/// Long enough for a larger node to restart; otherwise this node would come and go with it.
+/// Long enough for a larger node to restart; otherwise this node would announce and withdraw
+/// itself with each restart.
 const STANDBY_RENEWALS: u32 = 10;
 
 /// Number of renewals for which the own entry may be missing in the mirror before it is rewritten.
@@ -153,8 +154,8 @@
                     self.mirror.note_store_failure();
                     tracing::info!(code = error.code(), "announce: lease renewal failed: {error}");
                 }
-                // A watch may return only seconds later. If the outage ended only then,
-                // replicas that leave until some time after that would still be used.
+                // The next watch may return only seconds later. If the outage lasted until then,
+                // replicas that leave soon after that would still be used.
                 Ok(()) => self.mirror.note_store_answer(),
             }
             self.publish_crashes(lease, &mut published).await;
--- a/crates/kumquatnotch-route/src/call.rs
+++ b/crates/kumquatnotch-route/src/call.rs
@@ -195,7 +195,7 @@
         self.router.budget.spend(self.call.service, self.router.clock.now())
     }
 
-    /// Picks the replica for a hedged request; only one in a healthy state.
+    /// Picks a healthy replica for a hedged request, if the hedge is worthwhile.
     fn hedge_target(&mut self) -> Option<Rc<Replica>> {
         let Pick { replica, rating } = self.best()?;
         let now = self.router.clock.now();
--- a/crates/kumquatnotch-route/src/change_summary.rs
+++ b/crates/kumquatnotch-route/src/change_summary.rs
@@ -1,17 +1,19 @@
 //! Summarises log lines when many entries change at once.
 //!
-//! On start a node reads over a thousand entries, and when an index is resharded as many change
-//! within seconds, on each of hundreds of nodes. A line for each entry would make up most of
-//! the log, so all of them are logged in one line. Changes that come a few at a time, and
+//! A starting node reads over a thousand entries, and resharding an index changes as many within
+//! seconds, on each of hundreds of nodes. A line for each entry would make up most of the log,
+//! so all of them are logged in one line. Changes that come a few at a time, and
 //! replicas that move or restart, get lines of their own. So do the first replicas that leave:
-//! when a request has reached a leaving replica, the log must show since when this node knew.
+//! if a request reaches a leaving replica, the log must show since when this node knew that the
+//! replica was leaving.
 
 use std::cell::Cell;
 
 /// Minimum number of entries that are logged as a summary.
 const MIN_ENTRIES: usize = 8;
 
-/// Number of leaving replicas that are logged individually beside a summary, for each kind.
+/// Number of leaving replicas that are logged individually in addition to a summary, for
+/// each kind of change.
 const MAX_NAMED_REPLICAS: u64 = 16;
 
 /// Kind of change to an entry.
--- a/crates/kumquatnotch-route/src/directory.rs
+++ b/crates/kumquatnotch-route/src/directory.rs
@@ -129,7 +129,7 @@
     /// Adds a replica to the list of its service, or removes it.
     ///
     /// Only this list is scanned, because a node refuses its callers until it has added all
-    /// replicas. Scanning all replicas on each addition took 10 s for 10,000 replicas in a
+    /// replicas. Scanning all replicas on each addition takes 10 s for 10,000 replicas in a
     /// debug build; this takes less than half a second.
     fn update_service(&self, service: &ServiceName, id: &ReplicaId, replica: Option<Rc<Replica>>) {
         self.note_change();
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -26,7 +26,7 @@
 
 /// Maximum number of nodes of a data centre that all watch the store, in a small fleet.
 ///
-/// With so few nodes, following saves fewer calls than its extra latency is worth.
+/// With so few nodes, following saves too few calls to justify its extra latency.
 const SMALL_CENTRE_NODES: usize = 4;
 
 /// Maximum number of nodes of a small fleet.
@@ -100,7 +100,7 @@
     // the old state, for as long as they wait here.
     let wait = wait.min(MAX_AGE.saturating_sub(journal.age()));
     // A node without any state can ask other nodes as well, so it may be refused; a follower
-    // that has fallen behind asks only here.
+    // that has fallen behind asks this node only.
     if after == 0 && !journal.admit_full_transfer() {
         return Err(Error::NotReady);
     }
@@ -210,7 +210,7 @@
 pub fn is_follower(router: &Router) -> bool {
     let local = &router.local_node;
     // A node that is about to announce itself watches the store until its entry is known: the
-    // others will rely on it like on the known readers.
+    // others will rely on it as they do on the known readers.
     let is_role_settled = router.fleet.knows(&local.name) || router.is_standby();
     let own = readers(&local.centre, &router.fleet.candidates());
     let is_reader = own.iter().any(|(name, _)| *name == local.name);
--- a/crates/kumquatnotch-route/src/front.rs
+++ b/crates/kumquatnotch-route/src/front.rs
@@ -247,7 +247,7 @@
 }
 
 impl RouteFront {
-    /// Returns for how much longer a request is refused because it crashes replicas.
+    /// Returns how much longer a request is refused because it crashes replicas.
     fn refused_for(&self, request: &Request, now: Instant) -> Option<Duration> {
         let crashes = &self.router.crashes;
         if crashes.is_empty() || !self.router.uses(Mechanism::Containment) {
@@ -274,7 +274,7 @@
         let in_time = answer_time::is_in_time(overdue);
         let outcome = match answer {
             Ok(_) if in_time => SearchOutcome::InTime,
-            // A refused search tells nothing about admitted ones.
+            // A refusal does not show whether admitted searches are in time.
             Err(CallError::NotRun { .. }) => return,
             _ => SearchOutcome::Late,
         };
--- a/crates/kumquatnotch-route/src/in_flight.rs
+++ b/crates/kumquatnotch-route/src/in_flight.rs
@@ -19,6 +19,7 @@
     pub(crate) call: &'a Call<'a>,
     /// The connection that the request was sent on, and its permit.
     pub(crate) held: Option<(OpaqueLink, Permit)>,
+    /// Usual duration of the request, without the round trip.
     pub(crate) usual: Duration,
     /// When the request was sent.
     pub(crate) sent_at: Instant,
--- a/crates/kumquatnotch-route/src/initial_sync.rs
+++ b/crates/kumquatnotch-route/src/initial_sync.rs
@@ -1,4 +1,4 @@
-//! How a node without any state loads what the store holds.
+//! Initial load of the store's state by a node without any state.
 //!
 //! After a power failure, many nodes start at the same moment, often while the store is
 //! unavailable, and each one refuses its callers until it has loaded everything. If all of them
@@ -27,13 +27,13 @@
     store_retry::{Answer, RetryDelays, call_until_answered},
 };
 
-/// Pause before the store is called a second time; it doubles.
+/// Delay before the store is called a second time, before jitter; it doubles.
 ///
 /// Many times the usual response time of the store, so that a start without an outage
 /// takes one call.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Maximum pause between two calls, before jitter.
+/// Maximum delay between two calls, before jitter.
 ///
 /// It bounds how long the recovery of the store goes unnoticed, and the load on a store that is
 /// unavailable: two to three of the cheapest calls a second from each node.
@@ -41,7 +41,7 @@
 
 /// Number of nodes of a data centre that read the full state from the store.
 ///
-/// As many as watch it, and twice as many again, because some of them may be gone.
+/// Three times as many as watch it, because some of them may be gone.
 const DIRECT_READERS: usize = 3 * follow::READERS_PER_CENTRE;
 
 /// How long a node that serves callers asks other nodes before it reads the store itself.
@@ -52,7 +52,7 @@
 /// How long a node on standby asks other nodes; no caller waits for it.
 const STANDBY_PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Pause between two requests to other nodes, before jitter.
+/// Delay between two requests to other nodes, before jitter.
 const PEER_RETRY_DELAY: Duration = Duration::from_millis(80);
 
 /// How often each of the other nodes may fail to answer before the store is read.
--- a/crates/kumquatnotch-route/src/journal.rs
+++ b/crates/kumquatnotch-route/src/journal.rs
@@ -126,8 +126,9 @@
 
     /// Notes that this node has no source of updates, until it gets the next one.
     ///
-    /// Waiting followers are sent elsewhere at once. Behind a node that the store rejects, they
-    /// would learn of a confirmed change only after the state here has become stale.
+    /// Waiting followers get a reply at once, so that they ask another node. If they kept waiting
+    /// for a node that the store rejects, they would learn of a confirmed change only after the
+    /// state of that node has become stale.
     pub fn note_source_lost(&self) {
         self.source_lost.set(true);
         self.wake_waiters();
--- a/crates/kumquatnotch-route/src/mirror.rs
+++ b/crates/kumquatnotch-route/src/mirror.rs
@@ -51,8 +51,8 @@
     pub backoff: Duration,
     /// Maximum backoff between calls while the store is unavailable, before jitter.
     ///
-    /// It bounds how long the recovery of the store goes unnoticed, and so how soon callers are
-    /// served by the state that it confirms.
+    /// It bounds how long the recovery of the store goes unnoticed; until then, callers are served
+    /// by the last known state.
     pub max_backoff: Duration,
 }
 
@@ -69,10 +69,10 @@
     }
 }
 
-/// How late the answer to a watch may be before the store is taken to have been unavailable.
+/// How late the answer to a watch may be before the store counts as unavailable.
 const LATE_ANSWER_MARGIN: Duration = Duration::from_millis(300);
 
-/// Wait of a watch that is to return at once, with the changes that there are.
+/// Wait of a watch that returns the existing changes at once.
 pub(crate) const NO_WAIT: Duration = Duration::from_millis(1);
 
 /// Keeps a local copy of the store's entries up to date.
--- a/crates/kumquatnotch-route/src/outage.rs
+++ b/crates/kumquatnotch-route/src/outage.rs
@@ -1,8 +1,8 @@
-//! What a node does while the store does not answer its calls.
+//! Recovery of a node whose calls the store does not answer.
 //!
 //! The store may be unavailable to all nodes, or reject this one indefinitely and serve
-//! others. Both look the same from here, so the node retries the store and polls other nodes
-//! at the same time.
+//! others. The node can't tell these cases apart, so it retries the store and polls other
+//! nodes at the same time.
 
 use std::time::Duration;
 
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -1,4 +1,4 @@
-//! The share of this node in connections and retry budget, which all nodes share.
+//! This node's share of the connections and the retry budget, which all nodes share.
 
 use kumquatnotch_core::{collections::HashSet, ids::NodeName};
 use kumquatnotch_policy::{
@@ -24,7 +24,7 @@
         replica.semaphore.set_limit(shares::connections(all, share));
     }
 
-    /// The share of this node in what all nodes share, from zero to one.
+    /// Returns this node's share of the limits that all nodes share, from zero to one.
     pub fn own_share(&self) -> f64 {
         let now = self.clock.now();
         let known_for = self.synced_at.get().map(|at| now.saturating_duration_since(at));
--- a/crates/kumquatnotch-route/src/relay.rs
+++ b/crates/kumquatnotch-route/src/relay.rs
@@ -30,7 +30,7 @@
 /// Path of probes of other nodes.
 pub const PROBE_PATH: &str = "/v1/health";
 
-/// Path at which a node tells whether it is running a request.
+/// Path at which a node reports whether it is running a request.
 pub const RUNNING_PATH: &str = "/v1/running";
 
 /// Header with the address at which the sending node accepts other nodes.
--- a/crates/kumquatnotch-route/src/router.rs
+++ b/crates/kumquatnotch-route/src/router.rs
@@ -52,13 +52,13 @@
     pub names: HeaderNames,
     /// The budget for repeats (retries and hedges).
     pub budget: BudgetOptions,
-    /// Name and location of this node.
+    /// This node.
     pub local_node: LocalNode,
     /// The mechanisms in use: all of them, except in experiments.
     pub mechanisms: Mechanisms,
 }
 
-/// Name and location of a node.
+/// Name, location and capacity of this node.
 #[derive(Clone, Debug)]
 pub struct LocalNode {
     /// Its name.
@@ -75,7 +75,7 @@
 pub struct Router {
     /// The names of headers.
     pub names: HeaderNames,
-    /// Name and location of this node.
+    /// This node.
     pub local_node: LocalNode,
     /// The clock.
     pub clock: Rc<dyn Clock>,
@@ -87,21 +87,21 @@
     pub directory: Directory,
     /// The known state of the store, for followers.
     pub journal: Journal,
-    /// Until when entries that vanish are retained for a while.
+    /// End of the grace period, in which entries that vanish are retained for a while.
     pub grace_until: Cell<Option<Instant>>,
     /// The known nodes.
     pub fleet: Fleet,
     /// The distances to the data centres.
     pub distances: Rc<Distances>,
-    /// How late the answers of this node leave, after they are due.
+    /// How much later than due this node sends its answers.
     pub lags: Lags,
-    /// Round trip times of callers.
+    /// Round-trip times between this node and its callers.
     pub caller_rtt: CallerRtt,
-    /// Usual durations of requests.
+    /// Usual service times of requests, by route.
     pub service_times: ServiceTimes,
     /// Requests that were running on replicas when these crashed.
     pub crashes: Crashes,
-    /// How overloaded replicas are.
+    /// Overload of replicas, by route.
     pub overload: Overload,
     /// The budget for repeats (retries and hedges).
     pub budget: Budget,
@@ -173,13 +173,13 @@
         true
     }
 
-    /// Returns the remaining time in which entries that vanish are retained.
+    /// Returns the rest of the grace period.
     pub fn remaining_grace(&self) -> Duration {
         let until = self.grace_until.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(self.clock.now()))
     }
 
-    /// Retains entries that vanish within at least `span` from now.
+    /// Extends the grace period to at least `span` from now.
     pub fn extend_grace(&self, span: Duration) {
         if !self.uses(Mechanism::LapseCaution) {
             return;
@@ -217,8 +217,8 @@
 
     /// Whether other nodes need not know this one, because callers are advised to use larger ones.
     ///
-    /// Of hundreds of nodes only some carry requests. Without standby, the entry of each other
-    /// one would cost the store two writes on start and a renewal every second, to no benefit.
+    /// Of hundreds of nodes, only some carry requests. Without standby, the entry of each of the
+    /// others would cost the store two writes on start and a renewal every second, to no benefit.
     pub fn is_standby(&self) -> bool {
         self.uses(Mechanism::Standby)
             && self.are_nodes_known()
@@ -241,13 +241,13 @@
         self.inbound_peers.borrow().clone()
     }
 
-    /// Returns after what time a caller is to retry while the node isn't ready, if its request
-    /// has `left` until its deadline.
+    /// Returns the retry delay for a caller with `left` until its deadline, while the node isn't
+    /// ready.
     pub(crate) fn not_ready_retry(&self, left: Duration) -> Duration {
         startup::retry_after(self.clock.now().saturating_duration_since(self.started), left)
     }
 
-    /// Returns the requirements of a request of `route` for the choice of a replica of `service`.
+    /// Returns the profile of a request of `route`, for the selection of a replica of `service`.
     pub fn profile_for(&self, route: &Route, service: &ServiceName) -> RequestProfile {
         RequestProfile {
             spent: self.budget.spent(service, self.clock.now()),
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Returns the requirements of a request of `route`.
+    /// Returns the profile of a request of `route`, without the spent retry budget.
     pub fn profile(&self, route: &Route) -> RequestProfile {
         let profile = self.service_times.profile(&route.name, route.objective);
         RequestProfile { mechanisms: self.mechanisms, ..profile }
@@ -299,7 +299,7 @@
         (table.version(), self.directory.generation(), self.fleet.generation())
     }
 
-    /// Returns how long after its arrival a request may be answered to be in time for its caller.
+    /// Returns the time after its arrival within which the answer to a request is in time.
     pub fn time_to_answer(&self, route: &Route, is_first: bool) -> Duration {
         let serves_others = self
             .advice(&route.host)
--- a/crates/kumquatnotch-route/src/sources.rs
+++ b/crates/kumquatnotch-route/src/sources.rs
@@ -2,8 +2,8 @@
 //!
 //! Most nodes receive changes from a node that watches the store, and a node that the store
 //! rejects can receive them from any node that the store accepts. Nodes whose own state is
-//! stale are skipped for a while: the store may reject many nodes at once, and waiting at each
-//! of them in turn kept a confirmed change from the callers of a node for seconds.
+//! stale are skipped for a while: the store may reject many nodes at once, and waiting for each
+//! of them in turn would delay a confirmed change by seconds.
 
 use std::{
     cell::RefCell,
--- a/crates/kumquatnotch-route/tests/admission.rs
+++ b/crates/kumquatnotch-route/tests/admission.rs
@@ -138,7 +138,8 @@
     });
 }
 
-/// The same for the caller: it gets 503 with `Retry-After`, and no replica has run the request.
+/// One of two shards has no replica, and the search needs both. The caller gets 503 with
+/// `Retry-After`, and no replica has run the request.
 #[test]
 fn a_search_refused_for_lack_of_replicas_has_not_run() {
     run(async {
--- a/crates/kumquatnotch-route/tests/advice.rs
+++ b/crates/kumquatnotch-route/tests/advice.rs
@@ -126,7 +126,7 @@
     assert_eq!(advice.addresses_for(&region("b")), [address(0), address(1)]);
 }
 
-/// Only one large node beside the replicas is left. Callers also get the smaller nodes there:
+/// Only one large node close to the replicas is left. Callers also get the smaller nodes there:
 /// with a single address, the loss of one node would leave them without any.
 #[test]
 fn a_single_suitable_node_is_supplemented_by_smaller_ones() {
--- a/crates/kumquatnotch-route/tests/initial_sync.rs
+++ b/crates/kumquatnotch-route/tests/initial_sync.rs
@@ -1,4 +1,4 @@
-//! How a node without any state loads what the store holds.
+//! Initial load of the store's state by a node without any state.
 
 mod common;
 #[path = "common/store.rs"]
@@ -136,7 +136,7 @@
 
 /// Six nodes precede this one in reading the store, so it asks them first, for a fraction of a
 /// second. All of them hang. The node must not wait for one of them until its request times
-/// out: that took two seconds when the deadline was only checked between two requests.
+/// out, which takes two seconds if the deadline is only checked between two requests.
 #[test]
 fn unresponsive_peers_delay_the_initial_sync_only_briefly() {
     run(async {
--- a/crates/kumquatnotch-route/tests/scale.rs
+++ b/crates/kumquatnotch-route/tests/scale.rs
@@ -92,8 +92,8 @@
 }
 
 /// The configuration grows by 1,400 routes, twice. Loading it must not delay requests, and the
-/// lookup of a route must not slow down: 40,000 lookups take 0.08 s in a debug build, and took
-/// 0.76 s when all routes of the host were searched for each.
+/// lookup of a route must not slow down: 40,000 lookups take 0.08 s in a debug build, and
+/// 0.76 s if all routes of the host are searched for each.
 #[test]
 fn a_request_finds_its_route_among_thousands() {
     let route = |number: usize| Route {
--- a/crates/kumquatnotch-route/tests/stale_readers.rs
+++ b/crates/kumquatnotch-route/tests/stale_readers.rs
@@ -80,10 +80,10 @@
     }
 }
 
-/// Callers of a small node got answers by a configuration that had been replaced seven seconds
-/// before. The store rejects all readers, and accepts the other nodes. Each reader still answered
-/// with its old state, and reported the age of that state only at the end of a long wait. The waits
-/// at the four readers, 1.5 s each, added up before the node asked any other source.
+/// The store rejects all readers, and accepts the other nodes. Each reader still answers with its
+/// old state, and may report the age of that state only at the end of a long wait. If the node
+/// waited for each of the four readers, 1.5 s each, before it asked any other source, its callers
+/// would get answers by a configuration that was replaced seven seconds before.
 #[test]
 fn a_change_takes_effect_in_time_while_the_store_rejects_all_readers() {
     run(async {
--- a/crates/kumquatnotch-route/tests/standby.rs
+++ b/crates/kumquatnotch-route/tests/standby.rs
@@ -26,7 +26,7 @@
     store: Rc<FakeStore>,
 }
 
-/// A node with a capacity of 1.0 beside two of 4.0, all of which have just started.
+/// A node with a capacity of 1.0 next to two of 4.0, all of which have just started.
 fn fixture() -> Fixture {
     let (tier, store) = (Tier::new(), Rc::new(FakeStore::default()));
     store.put("c", b"3");
@@ -50,7 +50,7 @@
 }
 
 /// Callers are sent to the larger nodes, so an entry would only load the store. The node takes
-/// no share of what the nodes share, because the others don't count it.
+/// no share of the common limits, because the others don't count it.
 #[test]
 fn a_small_node_next_to_larger_ones_is_not_announced() {
     run(async {
--- a/crates/kumquatnotch-route/tests/store.rs
+++ b/crates/kumquatnotch-route/tests/store.rs
@@ -87,7 +87,7 @@
 }
 
 /// The store loses the watch of a node, and is available again a moment later. Callers must not
-/// be answered by an old configuration until that watch fails: another call is made beside it.
+/// be answered by an old configuration until that watch fails: another call is made concurrently.
 #[test]
 fn a_lost_watch_is_retried_before_it_fails() {
     run(async {
--- a/crates/kumquatnotch-route/tests/vanished.rs
+++ b/crates/kumquatnotch-route/tests/vanished.rs
@@ -70,9 +70,9 @@
 }
 
 /// A replica leaves without draining. The store reports no changes for a second and then drops its
-/// history, so the node reloads everything and finds the entry missing. A start or a rescan is no
-/// outage, and a single missing entry no mass expiry, but the replica was retained from then on
-/// like one whose entry had expired: requests reached it four seconds after it had left.
+/// history, so the node reloads everything and finds the entry missing. A reload is no outage, and
+/// a single missing entry no mass expiry. If the replica were retained like one whose entry has
+/// expired, requests would reach it four seconds after it has left.
 #[test]
 fn a_replica_that_left_while_the_history_was_dropped_gets_no_requests() {
     run(async {
@@ -148,9 +148,9 @@
 }
 
 /// One renewal of a lease is lost, and the next one is answered. Seconds later the only
-/// replica of a service leaves without draining. Requests were still sent to it, because the
-/// node took the next return of its watch for the end of the outage, though the renewal had
-/// shown that long before.
+/// replica of a service leaves without draining. If the outage lasted until the next return of
+/// the watch, although the answered renewal ends it long before, requests would still be sent to
+/// that replica.
 #[test]
 fn an_outage_ends_with_the_first_answered_call() {
     run(async {
