--- a/crates/kumquatnotch-policy/src/answer_time.rs
+++ b/crates/kumquatnotch-policy/src/answer_time.rs
@@ -22,14 +22,14 @@
 /// answer is sent.
 const LAGS_RESERVED: u32 = 3;
 
-/// Minimum part of the objective that an answer is waited for.
-const MIN_WAIT_PART: f64 = 0.4;
+/// Minimum share of the objective that an answer is waited for.
+const MIN_WAIT_SHARE: f64 = 0.4;
 
-/// Minimum part of the answer time that must remain for an answer to be in time.
+/// Minimum share of the answer time that must remain for an answer to be in time.
 ///
 /// A part requested now takes about half of it when replicas are busy. With less time left the
 /// answer is late anyway, and the whole time is granted again.
-const MIN_REMAINING_PART: f64 = 0.5;
+const MIN_REMAINING_SHARE: f64 = 0.5;
 
 /// How late an answer may be given and still count as in time.
 const IN_TIME_SLACK: Duration = Duration::from_millis(10);
@@ -58,7 +58,7 @@
     let wait = objective.saturating_sub(
         delays.remote_round_trip + delays.round_trip * trips + delays.lag * LAGS_RESERVED,
     );
-    wait.max(objective.mul_f64(MIN_WAIT_PART))
+    wait.max(objective.mul_f64(MIN_WAIT_SHARE))
 }
 
 /// When an answer is due.
@@ -74,7 +74,7 @@
     /// Computes the due time for a caller that has already `waited`.
     pub fn new(time_to_answer: Duration, waited: Duration) -> Due {
         let remaining = time_to_answer.saturating_sub(waited);
-        let is_late_retry = remaining < time_to_answer.mul_f64(MIN_REMAINING_PART);
+        let is_late_retry = remaining < time_to_answer.mul_f64(MIN_REMAINING_SHARE);
         Due { within: if is_late_retry { time_to_answer } else { remaining }, is_late_retry }
     }
 }
--- a/crates/kumquatnotch-policy/src/fair.rs
+++ b/crates/kumquatnotch-policy/src/fair.rs
@@ -2,7 +2,7 @@
 //!
 //! Classes are served by priority, with a small share of slots guaranteed to the lower ones. Within
 //! a class, slots are shared among tenants by weight; within a tenant, the earliest deadline goes
-//! first. A request that would wait for too large a part of its time is refused at once, with the
+//! first. A request that would wait for too large a share of its time is refused at once, with the
 //! time after which to retry.
 
 use std::{
--- a/crates/kumquatnotch-policy/src/forecast.rs
+++ b/crates/kumquatnotch-policy/src/forecast.rs
@@ -13,11 +13,11 @@
 
 use crate::{
     rating::{Rating, SUSPECT_RANK},
-    startup::MAX_RETRY_PART,
+    startup::MAX_RETRY_SHARE,
 };
 
-/// Maximum part of the remaining time that an uncongested shard may be expected to take.
-const MAX_LATE_PART: f64 = 0.7;
+/// Maximum share of the remaining time that an uncongested shard may be expected to take.
+const MAX_LATE_SHARE: f64 = 0.7;
 
 /// Bounds of the retry delay of a refused search.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(400));
@@ -117,7 +117,7 @@
     /// be told that it has not run.
     pub fn unavailable_retry(&self, requirements: &Requirements) -> Option<Duration> {
         let absent = self.needed.last()?.expected == f64::MAX;
-        absent.then(|| requirements.time_left.mul_f64(MAX_RETRY_PART))
+        absent.then(|| requirements.time_left.mul_f64(MAX_RETRY_SHARE))
     }
 
     /// Returns the retry delay if the search must be refused because replicas are overloaded.
@@ -125,7 +125,7 @@
         let slowest = self.needed.last()?.expected;
         let is_congested = self.needed.iter().any(|late| late.is_congested);
         if slowest == f64::MAX
-            || (!is_congested && slowest < MAX_LATE_PART * requirements.time_left.as_secs_f64())
+            || (!is_congested && slowest < MAX_LATE_SHARE * requirements.time_left.as_secs_f64())
         {
             return None;
         }
--- a/crates/kumquatnotch-policy/src/hedge_timing.rs
+++ b/crates/kumquatnotch-policy/src/hedge_timing.rs
@@ -1,8 +1,8 @@
 //! When a request is hedged, and on which replicas.
 //!
 //! Replicas stall from time to time, and an answer is worth most in time. A hedge costs the work of
-//! a replica and a part of the retry budget, so it is sent as late as it can still help, and not at
-//! all if it would only lengthen a queue.
+//! a replica and a share of the retry budget, so it is sent as late as it can still help, and not
+//! at all if it would only lengthen a queue.
 
 use std::time::{Duration, Instant};
 
--- a/crates/kumquatnotch-policy/src/limit.rs
+++ b/crates/kumquatnotch-policy/src/limit.rs
@@ -24,7 +24,7 @@
     fn on_shed(&mut self, level: u32, now: Instant);
 }
 
-/// The part of `allowed` that each of `holders` may use, at least one.
+/// The share of `allowed` that each of `holders` may use, at least one.
 pub fn share(allowed: u32, holders: u32) -> u32 {
     (allowed / holders.max(1)).max(1)
 }
@@ -298,9 +298,9 @@
         for lower in self.levels.iter().take(level as usize) {
             let Some(at) = lower.at else { continue };
             let age = now.saturating_duration_since(at).as_secs_f64();
-            let part = lower.mean.count * 0.5f64.powf(age / HALF_LIFE.as_secs_f64());
-            sum += lower.mean.value * part;
-            weight += part;
+            let level_weight = lower.mean.count * 0.5f64.powf(age / HALF_LIFE.as_secs_f64());
+            sum += lower.mean.value * level_weight;
+            weight += level_weight;
             count += lower.mean.count;
         }
         let least = min_samples(level).min(16.0);
--- a/crates/kumquatnotch-policy/src/mechanisms.rs
+++ b/crates/kumquatnotch-policy/src/mechanisms.rs
@@ -42,7 +42,7 @@
     CallerTrips,
     /// The measured lag of answers; off: a fixed one.
     Lags,
-    /// A node that has just started takes a small part of shared limits; off: its part among the
+    /// A node that has just started takes a small share of common limits; off: its share among the
     /// nodes that it knows.
     SettleTime,
     /// Connections are divided among nodes; off: each opens the maximum.
--- a/crates/kumquatnotch-policy/src/observed.rs
+++ b/crates/kumquatnotch-policy/src/observed.rs
@@ -1,6 +1,6 @@
 //! The state of a replica as learned by this node, from its replies and its own reports.
 //!
-//! A node sees only its own part of a replica's load. The load reported by a replica includes the
+//! A node sees only its own share of a replica's load. The load reported by a replica includes the
 //! rest, but is as old as its last reply, so the reported requests are assumed to have been worked
 //! off since then, and measurements lose weight with age.
 
--- a/crates/kumquatnotch-policy/src/overload.rs
+++ b/crates/kumquatnotch-policy/src/overload.rs
@@ -13,7 +13,7 @@
 
 use kumquatnotch_core::{collections::HashMap, ids::RouteName};
 
-use crate::startup::MAX_RETRY_PART;
+use crate::startup::MAX_RETRY_SHARE;
 
 /// Weight of a new search, so that about the last twenty count.
 const SAMPLE_WEIGHT: f64 = 0.05;
@@ -71,8 +71,8 @@
     /// Returns the shares, decayed until `now`.
     fn decayed(self, now: Instant) -> RouteOverload {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
-        let part = (-age / DECAY_TIME.as_secs_f64()).exp();
-        RouteOverload { late: self.late * part, refused: self.refused * part, at: now }
+        let decay = (-age / DECAY_TIME.as_secs_f64()).exp();
+        RouteOverload { late: self.late * decay, refused: self.refused * decay, at: now }
     }
 }
 
@@ -98,9 +98,9 @@
     /// Retry delay of a refused search with `time` left.
     ///
     /// A burst that has just begun may soon be over. The longer it lasts, the longer is the delay,
-    /// up to [`MAX_RETRY_PART`] of the time.
+    /// up to [`MAX_RETRY_SHARE`] of the time.
     pub fn retry_delay(&self, route: &RouteName, time: Duration, now: Instant) -> Duration {
-        time.mul_f64(MAX_RETRY_PART * self.of(route, now).refused)
+        time.mul_f64(MAX_RETRY_SHARE * self.of(route, now).refused)
     }
 
     /// Whether first-time searches are being refused.
--- a/crates/kumquatnotch-policy/src/placement.rs
+++ b/crates/kumquatnotch-policy/src/placement.rs
@@ -15,8 +15,8 @@
 /// Fraction of the shards by which a nearer location may fall short of the best one.
 const PROXIMITY_BONUS: f64 = 0.25;
 
-/// Minimum capacity of an advised node, as a part of the largest.
-const MIN_CAPACITY_PART: f64 = 0.5;
+/// Minimum capacity of an advised node, as a share of the largest.
+const MIN_CAPACITY_SHARE: f64 = 0.5;
 
 /// Minimum number of advised nodes, so that one that has just terminated does no harm.
 const MIN_NODES: usize = 2;
@@ -26,7 +26,7 @@
 /// `others` are the capacities of the other known nodes there. A node is on standby only while
 /// enough other nodes are advised in its place.
 pub fn is_standby(capacity: f64, others: impl Iterator<Item = f64>) -> bool {
-    others.filter(|other| capacity < MIN_CAPACITY_PART * other).count() >= MIN_NODES
+    others.filter(|other| capacity < MIN_CAPACITY_SHARE * other).count() >= MIN_NODES
 }
 
 /// Location and capacity of a node.
@@ -55,16 +55,16 @@
         centres: &[DataCentre],
         regions: &HashMap<DataCentre, Region>,
     ) {
-        let part = 1.0 / total.max(1) as f64;
+        let share = 1.0 / total.max(1) as f64;
         let mut seen: Vec<&Region> = Vec::new();
         for region in centres.iter().filter_map(|centre| regions.get(centre)) {
             if !seen.contains(&region) {
                 seen.push(region);
-                *self.regions.entry(region.clone()).or_default() += part;
+                *self.regions.entry(region.clone()).or_default() += share;
             }
         }
         for centre in centres {
-            *self.centres.entry(centre.clone()).or_default() += part;
+            *self.centres.entry(centre.clone()).or_default() += share;
         }
     }
 
@@ -86,7 +86,7 @@
         let closest = keep(&candidates, &|node| share(node) + PROXIMITY_BONUS >= best);
         // Nodes that are not much smaller than the largest.
         let most = closest.iter().map(|index| nodes[*index].capacity).fold(0.0, f64::max);
-        let large = keep(&closest, &|node| node.capacity >= MIN_CAPACITY_PART * most);
+        let large = keep(&closest, &|node| node.capacity >= MIN_CAPACITY_SHARE * most);
         // Takes the narrowest selection that the loss of a node does not leave empty.
         let choices = [large, closest, candidates];
         choices.into_iter().find(|choice| choice.len() >= MIN_NODES).unwrap_or(all)
--- a/crates/kumquatnotch-policy/src/rating.rs
+++ b/crates/kumquatnotch-policy/src/rating.rs
@@ -19,11 +19,11 @@
 /// one request in twenty fails.
 const SCARCITY_START: f64 = 0.25;
 
-/// Minimum cost of a replica in another region, as a part of the objective.
+/// Minimum cost of a replica in another region, as a share of the objective.
 ///
 /// Traffic between regions is expensive, and a reply within the objective is as good as an earlier
 /// one.
-const MIN_FAR_PART: f64 = 0.2;
+const MIN_FAR_SHARE: f64 = 0.2;
 
 /// Rank of a replica that broke connections or stalled.
 pub const SUSPECT_RANK: u8 = 2;
@@ -141,7 +141,7 @@
     if !observed.is_far() || !profile.mechanisms.uses(Mechanism::FarCost) {
         return 0.0;
     }
-    let least = MIN_FAR_PART * profile.objective.as_secs_f64();
+    let least = MIN_FAR_SHARE * profile.objective.as_secs_f64();
     (least - observed.round_trip().as_secs_f64()).max(0.0)
 }
 
--- a/crates/kumquatnotch-policy/src/service_times.rs
+++ b/crates/kumquatnotch-policy/src/service_times.rs
@@ -6,8 +6,8 @@
 
 use crate::{mechanisms::Mechanisms, rating::RequestProfile};
 
-/// Part of the objective assumed before the first measurement.
-const INITIAL_PART: f64 = 0.125;
+/// Share of the objective assumed before the first measurement.
+const INITIAL_SHARE: f64 = 0.125;
 
 /// Weight of a new measurement.
 const SAMPLE_WEIGHT: f64 = 0.04;
@@ -47,5 +47,5 @@
 }
 
 fn first(objective: Duration) -> f64 {
-    (objective.as_secs_f64() * INITIAL_PART).max(0.002)
+    (objective.as_secs_f64() * INITIAL_SHARE).max(0.002)
 }
--- a/crates/kumquatnotch-policy/src/startup.rs
+++ b/crates/kumquatnotch-policy/src/startup.rs
@@ -8,10 +8,10 @@
 /// Maximum startup time while the store is available.
 const MAX_STARTUP_TIME: Duration = Duration::from_secs(1);
 
-/// Maximum retry delay, as a part of the time left.
+/// Maximum retry delay, as a share of the time left.
 ///
 /// Callers do not wait for longer than a third of it.
-pub const MAX_RETRY_PART: f64 = 1.0 / 3.0;
+pub const MAX_RETRY_SHARE: f64 = 1.0 / 3.0;
 
 /// Start delay of a node with one core, when all nodes start.
 ///
@@ -37,6 +37,6 @@
 /// not ready for longer waits for the store, and so do those started with it: the later its callers
 /// retry, the more of them are served.
 pub fn retry_after(age: Duration, left: Duration) -> Duration {
-    let later = if age > MAX_STARTUP_TIME { left.mul_f64(MAX_RETRY_PART) } else { Duration::ZERO };
+    let later = if age > MAX_STARTUP_TIME { left.mul_f64(MAX_RETRY_SHARE) } else { Duration::ZERO };
     later.max(NOT_READY_RETRY)
 }
--- a/crates/kumquatnotch-policy/tests/limits.rs
+++ b/crates/kumquatnotch-policy/tests/limits.rs
@@ -20,9 +20,9 @@
 
 /// Result of a run.
 struct Run {
-    /// Mean number of calls in flight beyond the slots, as a part of the slots.
+    /// Mean number of calls in flight beyond the slots, as a share of the slots.
     excess: f64,
-    /// Number of calls answered, as a part of the capacity of the slots.
+    /// Number of calls answered, as a share of the capacity of the slots.
     goodput: f64,
 }
 
--- a/crates/kumquatnotch-route/src/follow.rs
+++ b/crates/kumquatnotch-route/src/follow.rs
@@ -66,6 +66,7 @@
 /// Reply to a follower.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FollowReply {
+    /// Whether `changes` is the full state.
     whole: bool,
     changes: Vec<Change>,
     revision: u64,
