--- a/crates/kumquatnotch-policy/src/mechanisms.rs
+++ b/crates/kumquatnotch-policy/src/mechanisms.rs
@@ -20,7 +20,7 @@
     Refusals,
     /// A safety margin that grows with the share of late searches; off: the minimum margin.
     Strain,
-    /// Late callers wait for capacity; off: they are admitted like others.
+    /// Late retries wait for capacity; off: they are admitted like other searches.
     WaitingCallers,
     /// Retry delays depend on the load of the replicas; off: a fixed delay.
     RetryTimes,
--- a/crates/kumquatnotch-policy/tests/calls.rs
+++ b/crates/kumquatnotch-policy/tests/calls.rs
@@ -278,7 +278,7 @@
     assert_eq!(crashes(&mut NoContainment), 10);
 }
 
-// A popular request is in flight beside the culprit whenever a target crashes. If only crashes were
+// A popular request is in flight with the culprit whenever a target crashes. If only crashes were
 // counted, all its callers would be refused.
 #[test]
 fn bystander_of_two_crashes_is_not_contained() {
