--- a/crates/kumquatnotch-policy/src/forecast.rs
+++ b/crates/kumquatnotch-policy/src/forecast.rs
@@ -13,11 +13,11 @@
 
 use crate::{
     rating::{Rating, SUSPECT_RANK},
-    startup::MAX_RETRY_PART,
+    startup::MAX_RETRY_SHARE,
 };
 
-/// Maximum part of the remaining time that an uncongested shard may be expected to take.
-const MAX_LATE_PART: f64 = 0.7;
+/// Maximum share of the remaining time that an uncongested shard may be expected to take.
+const MAX_LATE_SHARE: f64 = 0.7;
 
 /// Bounds of the retry delay of a refused search.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(400));
@@ -69,7 +69,7 @@
     /// Expected time to its part, in seconds; `f64::MAX` without replicas.
     pub expected: f64,
     /// Whether it is late because too many requests are queued at its replicas.
-    pub is_crowded: bool,
+    pub is_congested: bool,
 }
 
 /// Shards of a search, grouped by whether their parts are expected in time.
@@ -93,14 +93,14 @@
         let mut late: Vec<LateShard> = Vec::new();
         for (index, best) in best.into_iter().enumerate() {
             let Some(best) = best else {
-                late.push(LateShard { index, expected: f64::MAX, is_crowded: false });
+                late.push(LateShard { index, expected: f64::MAX, is_congested: false });
                 continue;
             };
             match Prediction::new(&best, requirements) {
                 Prediction::InTime => in_time.push(index),
                 prediction => {
-                    let is_crowded = prediction == Prediction::Congested;
-                    late.push(LateShard { index, expected: best.expected, is_crowded });
+                    let is_congested = prediction == Prediction::Congested;
+                    late.push(LateShard { index, expected: best.expected, is_congested });
                 }
             }
         }
@@ -117,15 +117,15 @@
     /// be told that it has not run.
     pub fn unavailable_retry(&self, requirements: &Requirements) -> Option<Duration> {
         let absent = self.needed.last()?.expected == f64::MAX;
-        absent.then(|| requirements.time_left.mul_f64(MAX_RETRY_PART))
+        absent.then(|| requirements.time_left.mul_f64(MAX_RETRY_SHARE))
     }
 
     /// Returns the retry delay if the search must be refused because replicas are overloaded.
     pub fn overload_retry(&self, requirements: &Requirements) -> Option<Duration> {
         let slowest = self.needed.last()?.expected;
-        let is_crowded = self.needed.iter().any(|late| late.is_crowded);
+        let is_congested = self.needed.iter().any(|late| late.is_congested);
         if slowest == f64::MAX
-            || (!is_crowded && slowest < MAX_LATE_PART * requirements.time_left.as_secs_f64())
+            || (!is_congested && slowest < MAX_LATE_SHARE * requirements.time_left.as_secs_f64())
         {
             return None;
         }
--- a/crates/kumquatnotch-policy/src/mechanisms.rs
+++ b/crates/kumquatnotch-policy/src/mechanisms.rs
@@ -20,7 +20,7 @@
     Refusals,
     /// A safety margin that grows with the share of late searches; off: the minimum margin.
     Strain,
-    /// Late callers wait for capacity; off: they are admitted like others.
+    /// Late retries wait for capacity; off: they are admitted like other searches.
     WaitingCallers,
     /// Retry delays depend on the load of the replicas; off: a fixed delay.
     RetryTimes,
@@ -42,7 +42,7 @@
     CallerTrips,
     /// The measured lag of answers; off: a fixed one.
     Lags,
-    /// A node that has just started takes a small part of shared limits; off: its part among the
+    /// A node that has just started takes a small share of common limits; off: its share among the
     /// nodes that it knows.
     SettleTime,
     /// Connections are divided among nodes; off: each opens the maximum.
--- a/crates/kumquatnotch-route/src/own_share.rs
+++ b/crates/kumquatnotch-route/src/own_share.rs
@@ -1,4 +1,4 @@
-//! The share of this node in connections and retry budget, which all nodes share.
+//! This node's share of the connections and the retry budget, which all nodes share.
 
 use kumquatnotch_core::{collections::HashSet, ids::NodeName};
 use kumquatnotch_policy::{
@@ -24,14 +24,14 @@
         replica.semaphore.set_limit(shares::connections(all, share));
     }
 
-    /// The share of this node in what all nodes share, from zero to one.
+    /// Returns this node's share of the limits that all nodes share, from zero to one.
     pub fn own_share(&self) -> f64 {
         let now = self.clock.now();
         let known_for = self.synced_at.get().map(|at| now.saturating_duration_since(at));
         if !self.uses(Mechanism::SettleTime) {
             return self.cached_share();
         }
-        shares::capped_part(self.cached_share(), known_for)
+        shares::capped_share(self.cached_share(), known_for)
     }
 
     fn cached_share(&self) -> f64 {
@@ -53,12 +53,12 @@
                 serving.extend(advice.advised_nodes().cloned());
             }
         }
-        if self.is_standby() && !self.fleet.knows(&self.place.name) {
+        if self.is_standby() && !self.fleet.knows(&self.local_node.name) {
             // Any number of standby nodes may be unknown to the other nodes, so none of them
             // takes a share.
             return 0.0;
         }
-        let is_serving = serving.contains(&self.place.name);
-        SharingNodes { all: self.fleet.len(), serving: serving.len(), is_serving }.part()
+        let is_serving = serving.contains(&self.local_node.name);
+        SharingNodes { all: self.fleet.len(), serving: serving.len(), is_serving }.share()
     }
 }
--- a/crates/kumquatnotch-route/src/sources.rs
+++ b/crates/kumquatnotch-route/src/sources.rs
@@ -2,8 +2,8 @@
 //!
 //! Most nodes receive changes from a node that watches the store, and a node that the store
 //! rejects can receive them from any node that the store accepts. Nodes whose own state is
-//! stale are skipped for a while: the store may reject many nodes at once, and waiting at each
-//! of them in turn kept a confirmed change from the callers of a node for seconds.
+//! stale are skipped for a while: the store may reject many nodes at once, and waiting for each
+//! of them in turn would delay a confirmed change by seconds.
 
 use std::{
     cell::RefCell,
@@ -74,9 +74,9 @@
 
     /// Queries a few nodes at once, and returns the first update that is not stale.
     async fn query_any(&self, peers: &[Rc<Replica>], after: u64) -> Option<PeerUpdate> {
-        let asked = peers.iter().take(MAX_PARALLEL_PEERS);
+        let queried = peers.iter().take(MAX_PARALLEL_PEERS);
         let mut running: FuturesUnordered<_> =
-            asked.map(|peer| self.query(peer, after, Duration::ZERO)).collect();
+            queried.map(|peer| self.query(peer, after, Duration::ZERO)).collect();
         while let Some(peer_update) = running.next().await {
             if peer_update.is_some() {
                 return peer_update;
--- a/crates/kumquatnotch-route/tests/advice.rs
+++ b/crates/kumquatnotch-route/tests/advice.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn nodes_beside_the_replicas_are_preferred_and_of_these_the_large_ones() {
+fn large_nodes_close_to_the_replicas_are_preferred() {
     let mut nodes = vec![node(0, "a1", 0.5), node(1, "a1", 0.5), node(2, "a1", 0.1)];
     nodes.extend([node(3, "a2", 0.5), node(4, "a2", 0.5), node(5, "a2", 0.1)]);
 
@@ -126,7 +126,7 @@
     assert_eq!(advice.addresses_for(&region("b")), [address(0), address(1)]);
 }
 
-/// Only one large node beside the replicas is left. Callers also get the smaller nodes there:
+/// Only one large node close to the replicas is left. Callers also get the smaller nodes there:
 /// with a single address, the loss of one node would leave them without any.
 #[test]
 fn a_single_suitable_node_is_supplemented_by_smaller_ones() {
