--- a/crates/measure/src/capacity_control.rs
+++ b/crates/measure/src/capacity_control.rs
@@ -146,7 +146,7 @@
             amount: everywhere.map(|ms| ms / 1_000.0),
             unit: "s",
             allowed: Some(budget.change_seconds),
-            carrier: "pushed on by each node, member/src/spread.rs",
+            carrier: "pushed on by each node, member/src/gossip.rs",
             from: "change_ms",
         },
     ]
--- a/crates/measure/src/capacity_rows.rs
+++ b/crates/measure/src/capacity_rows.rs
@@ -206,7 +206,7 @@
             amount: inputs.value("target_idle_percent").map(|each| each * size.replicas),
             unit: "% of a core",
             allowed: Some(budget.cpu_percent),
-            carrier: "`Core::read_marks`, holder/src/probes.rs",
+            carrier: "`Core::apply_marks`, holder/src/probes.rs",
             from: "target_idle_percent",
         },
         Row {
