--- a/crates/kumquatnotch-route/tests/copies.rs
+++ b/crates/kumquatnotch-route/tests/copies.rs
@@ -147,7 +147,7 @@
 
         assert_eq!((answer.status, &answer.body[..]), (200, &b"first"[..]));
         assert_eq!((asked.get(), open), (2, 1));
-        assert!(replicas.iter().all(|(_, replica)| replica.cut() == 0));
+        assert!(replicas.iter().all(|(_, replica)| replica.disconnects() == 0));
         for replica in known {
             assert_eq!(replica.observed.unanswered(), 0);
             assert!(replica.links.take(RuntimeClock.now(), Duration::from_secs(9)).is_some());
@@ -173,6 +173,6 @@
         pause(100).await;
 
         assert!(left.is_err());
-        assert_eq!((first.cut(), second.cut()), (1, 1));
+        assert_eq!((first.disconnects(), second.disconnects()), (1, 1));
     });
 }
--- a/crates/kumquatnotch-route/tests/forwarding.rs
+++ b/crates/kumquatnotch-route/tests/forwarding.rs
@@ -265,7 +265,7 @@
         hasty.send("GET", "/a/", &headers, Bytes::new()).await.unwrap_err();
         pause(100).await;
 
-        assert_eq!(slow.cut(), 1);
+        assert_eq!(slow.disconnects(), 1);
     });
 }
 
--- a/crates/standins/src/data.rs
+++ b/crates/standins/src/data.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 /// How many entries each shard has.
-pub const ENTRIES: u32 = 8;
+pub const ENTRIES_PER_SHARD: u32 = 8;
 
 /// The tenants whose entries the index holds.
 pub const OWNERS: [&str; 2] = ["siam", "barid"];
@@ -22,7 +22,7 @@
 pub fn hits(shard: &ShardName, version: IndexVersion, body: &str, limit: u32) -> Vec<Hit> {
     let nonce = field(body, NONCE_FIELD);
     let mut hits: Vec<Hit> =
-        (0..ENTRIES).map(|number| hit(shard, version, number, &nonce)).collect();
+        (0..ENTRIES_PER_SHARD).map(|number| hit(shard, version, number, &nonce)).collect();
     hits.sort_by(|a, b| b.score.total_cmp(&a.score).then_with(|| a.key.cmp(&b.key)));
     hits.truncate(limit as usize);
     hits
@@ -31,13 +31,13 @@
 /// One hit: its score and owner depend on the shard, version and number alone.
 pub fn hit(shard: &ShardName, version: IndexVersion, number: u32, nonce: &Value) -> Hit {
     let parts: [&[u8]; 3] = [shard.as_bytes(), &version.0.to_be_bytes(), &number.to_be_bytes()];
-    let draw = stable_hash(&parts);
+    let hash = stable_hash(&parts);
     Hit {
         key: format!("{shard}/{number}"),
-        score: (draw % 1_000_000) as f64 / 1_000.0,
-        owner: Some(TenantName::from(OWNERS[(draw >> 32) as usize % OWNERS.len()])),
+        score: (hash % 1_000_000) as f64 / 1_000.0,
+        owner: Some(TenantName::from(OWNERS[(hash >> 32) as usize % OWNERS.len()])),
         fields: json!({ SHARD_FIELD: shard, VERSION_FIELD: version, NONCE_FIELD: nonce }),
-        private: Some(json!({ "rate": draw % 1_000 })),
+        private: Some(json!({ "rate": hash % 1_000 })),
     }
 }
 
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -177,13 +177,13 @@
 pub struct Client {
     address: SocketAddr,
     timeout: Duration,
-    open: RefCell<Option<ClientCodec<TcpStream>>>,
+    idle: RefCell<Option<ClientCodec<TcpStream>>>,
 }
 
 impl Client {
     /// A client of `address` that waits for `timeout` at most.
     pub fn new(address: SocketAddr, timeout: Duration) -> Client {
-        Client { address, timeout, open: RefCell::new(None) }
+        Client { address, timeout, idle: RefCell::new(None) }
     }
 
     /// The address it sends to.
@@ -193,7 +193,7 @@
 
     /// Whether a connection is kept open.
     pub fn is_open(&self) -> bool {
-        self.open.borrow().is_some()
+        self.idle.borrow().is_some()
     }
 
     /// Sends a request with a JSON body.
@@ -240,7 +240,7 @@
     }
 
     async fn exchange(&self, request: http::Request<Payload>) -> io::Result<Answer> {
-        let mut codec = match self.kept() {
+        let mut codec = match self.take_idle() {
             Some(codec) => codec,
             None => self.connect().await?,
         };
@@ -259,7 +259,7 @@
         }
         let closes = parts.headers.get("connection").is_some_and(|value| value == "close");
         if !closes {
-            self.open.replace(Some(codec));
+            self.idle.replace(Some(codec));
         }
         let status = parts.status.as_u16();
         Ok(Answer { status, headers: parts.headers, body: content.into() })
@@ -269,8 +269,8 @@
     ///
     /// A client that sent on a connection closed long ago would take that for a
     /// request cut in flight.
-    fn kept(&self) -> Option<ClientCodec<TcpStream>> {
-        let mut codec = self.open.borrow_mut().take()?;
+    fn take_idle(&self) -> Option<ClientCodec<TcpStream>> {
+        let mut codec = self.idle.borrow_mut().take()?;
         let is_open = codec.next().now_or_never().is_none();
         is_open.then_some(codec)
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -10,11 +10,11 @@
 pub mod data;
 pub mod faults;
 pub mod http;
-pub mod hub;
 pub mod plan;
 pub mod records;
 pub mod relay;
 pub mod scripted;
+pub mod server;
 pub mod signal;
 pub mod slots;
 pub mod target;
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -18,16 +18,16 @@
 
 use crate::{
     http::{Handler, Reply, Request},
-    hub::{self, Serving},
     listen,
+    server::{self, ServerHandle},
     signal::Signal,
 };
 
 /// How often a cut link looks whether it is whole again.
-const CUT_PAUSE: Duration = Duration::from_millis(10);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The bytes read at once.
-const BUFFER: usize = 16 * 1024;
+const BUFFER_SIZE: usize = 16 * 1024;
 
 /// A change of a link: what is left out stays as it is.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -62,12 +62,12 @@
     pub ports: RelayPorts,
     links: Rc<Links>,
     stop: Rc<Signal>,
-    _control: Serving,
+    _control: ServerHandle,
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.stop.give();
+        self.stop.trigger();
         self.links.apply(&LinkChange { close: true, ..LinkChange::default() });
     }
 }
@@ -79,7 +79,7 @@
     cut_down: Cell<bool>,
     delay: Cell<Duration>,
     opened: Cell<u64>,
-    silent_below: Cell<u64>,
+    first_live: Cell<u64>,
     close: RefCell<Rc<Signal>>,
 }
 
@@ -98,13 +98,13 @@
             states.push(link.clone());
             let (upstream, stop) = (*upstream, stop.clone());
             monoio::spawn(async move {
-                while let Some(stream) = hub::accept(&listener, &stop).await {
-                    monoio::spawn(carry(stream, upstream, link.clone()));
+                while let Some(stream) = server::accept(&listener, &stop).await {
+                    monoio::spawn(forward_connection(stream, upstream, link.clone()));
                 }
             });
         }
         let links = Rc::new(Links(states));
-        let control = hub::spawn(listen(control)?, links.clone())?;
+        let control = server::spawn(listen(control)?, links.clone())?;
         let ports = RelayPorts { control: control.address, links: addresses };
         Ok(Relay { ports, links, stop, _control: control })
     }
@@ -123,10 +123,10 @@
             link.cut_down.set(change.cut_down.unwrap_or(link.cut_down.get()));
             link.delay.set(change.delay_ms.map_or(link.delay.get(), Duration::from_millis));
             if change.silence {
-                link.silent_below.set(link.opened.get());
+                link.first_live.set(link.opened.get());
             }
             if change.close {
-                link.close.replace(Rc::default()).give();
+                link.close.replace(Rc::default()).trigger();
             }
         }
     }
@@ -149,7 +149,7 @@
 }
 
 /// Carries one connection until either side ends it or it is closed.
-async fn carry(down: TcpStream, upstream: SocketAddr, link: Rc<Link>) {
+async fn forward_connection(down: TcpStream, upstream: SocketAddr, link: Rc<Link>) {
     let number = link.opened.get();
     link.opened.set(number + 1);
     let close = link.close.borrow().clone();
@@ -159,10 +159,10 @@
     let _ = (down.set_nodelay(true), up.set_nodelay(true));
     let (down_reader, down_writer) = down.into_split();
     let (up_reader, up_writer) = up.into_split();
-    let there = pump(down_reader, up_writer, &link, number, |link| link.cut_up.get());
+    let upward = pump(down_reader, up_writer, &link, number, |link| link.cut_up.get());
     let back = pump(up_reader, down_writer, &link, number, |link| link.cut_down.get());
-    let (there, back) = (std::pin::pin!(there), std::pin::pin!(back));
-    select(select(there, back), close.wait()).await;
+    let (upward, back) = (std::pin::pin!(upward), std::pin::pin!(back));
+    select(select(upward, back), close.wait()).await;
 }
 
 async fn pump(
@@ -172,7 +172,7 @@
     number: u64,
     is_cut: impl Fn(&Link) -> bool,
 ) {
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_SIZE];
     loop {
         let (count, back) = from.read(buffer).await;
         buffer = back;
@@ -184,15 +184,15 @@
         // What a cut holds back goes out once it is over, as TCP sends it again;
         // dropping it would tear a hole into the stream that no network makes.
         while is_cut(link) {
-            monoio::time::sleep(CUT_PAUSE).await;
+            monoio::time::sleep(CUT_POLL_INTERVAL).await;
         }
-        if number >= link.silent_below.get() {
+        if number >= link.first_live.get() {
             let (written, back) = to.write_all(buffer).await;
             buffer = back;
             if written.is_err() {
                 return;
             }
         }
-        buffer.resize(BUFFER, 0);
+        buffer.resize(BUFFER_SIZE, 0);
     }
 }
--- a/crates/standins/src/scripted.rs
+++ b/crates/standins/src/scripted.rs
@@ -21,7 +21,7 @@
     h1::codec::decoder::{FillPayload, RequestDecoder},
 };
 
-use crate::{http::Request, hub, listen, signal::Signal};
+use crate::{http::Request, listen, server, signal::Signal};
 
 /// What goes over a connection in answer to a request.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
 struct Shared {
     script: Box<Script>,
     requests: RefCell<Vec<Request>>,
-    cut: Cell<u32>,
+    disconnects: Cell<u32>,
 }
 
 /// A server that answers by a script, until it is dropped.
@@ -66,7 +66,7 @@
 
 impl Drop for Scripted {
     fn drop(&mut self) {
-        self.stop.give();
+        self.stop.trigger();
     }
 }
 
@@ -78,7 +78,7 @@
         let shared = Rc::new(Shared {
             script: Box::new(script),
             requests: RefCell::default(),
-            cut: Cell::new(0),
+            disconnects: Cell::new(0),
         });
         let stop = Rc::new(Signal::default());
         monoio::spawn(accept(listener, shared.clone(), stop.clone()));
@@ -91,13 +91,13 @@
     }
 
     /// How often the other side left while the script was at work.
-    pub fn cut(&self) -> u32 {
-        self.shared.cut.get()
+    pub fn disconnects(&self) -> u32 {
+        self.shared.disconnects.get()
     }
 }
 
 async fn accept(listener: TcpListener, shared: Rc<Shared>, stop: Rc<Signal>) {
-    while let Some(stream) = hub::accept(&listener, &stop).await {
+    while let Some(stream) = server::accept(&listener, &stop).await {
         let (shared, stop) = (shared.clone(), stop.clone());
         monoio::spawn(async move {
             let served = std::pin::pin!(serve(stream, shared));
@@ -116,13 +116,13 @@
         shared.requests.borrow_mut().push(request);
         // The end of the connection, or the next request, shows while one is in work.
         let played = std::pin::pin!(play(&mut writer, steps));
-        let coming = std::pin::pin!(read(&mut decoder));
-        next = match select(played, coming).await {
-            Either::Left((true, coming)) => coming.await,
+        let next_request = std::pin::pin!(read(&mut decoder));
+        next = match select(played, next_request).await {
+            Either::Left((true, next_request)) => next_request.await,
             Either::Left((false, _)) => return,
             Either::Right((Some(request), played)) => played.await.then_some(request),
             Either::Right((None, _)) => {
-                shared.cut.set(shared.cut.get() + 1);
+                shared.disconnects.set(shared.disconnects.get() + 1);
                 return;
             }
         };
--- a/crates/standins/src/signal.rs
+++ b/crates/standins/src/signal.rs
@@ -21,12 +21,12 @@
 
 impl Signal {
     /// Gives the signal; giving it again changes nothing.
-    pub fn give(&self) {
+    pub fn trigger(&self) {
         self.sender.borrow_mut().take();
     }
 
     /// Whether it was given.
-    pub fn is_given(&self) -> bool {
+    pub fn is_triggered(&self) -> bool {
         self.sender.borrow().is_none()
     }
 
--- a/crates/standins/src/slots.rs
+++ b/crates/standins/src/slots.rs
@@ -18,7 +18,7 @@
 struct State {
     free: BTreeSet<usize>,
     waiting: VecDeque<oneshot::Sender<Slot>>,
-    bound: usize,
+    queue_limit: usize,
     running: usize,
 }
 
@@ -35,19 +35,19 @@
 pub struct Full;
 
 impl Slots {
-    /// `count` slots for which up to `bound` requests wait.
-    pub fn new(count: usize, bound: usize) -> Slots {
+    /// `count` slots for which up to `queue_limit` requests wait.
+    pub fn new(count: usize, queue_limit: usize) -> Slots {
         let state =
-            State { free: (0..count).collect(), waiting: VecDeque::new(), bound, running: 0 };
+            State { free: (0..count).collect(), waiting: VecDeque::new(), queue_limit, running: 0 };
         Slots { state: Rc::new(RefCell::new(state)) }
     }
 
     /// A place in the queue, which gives the slot when its turn has come.
-    pub fn enter(&self) -> Result<oneshot::Receiver<Slot>, Full> {
+    pub fn acquire(&self) -> Result<oneshot::Receiver<Slot>, Full> {
         let (sender, receiver) = oneshot::channel();
         let mut state = self.state.borrow_mut();
         state.waiting.retain(|waiting| !waiting.is_canceled());
-        if state.free.is_empty() && state.waiting.len() >= state.bound {
+        if state.free.is_empty() && state.waiting.len() >= state.queue_limit {
             return Err(Full);
         }
         state.waiting.push_back(sender);
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -28,13 +28,13 @@
 };
 
 /// When a shed caller should come back, in milliseconds.
-const RETRY_MS: u64 = 50;
+const RETRY_AFTER_MS: u64 = 50;
 
 /// How many times as long a cold target takes.
 const COLD_FACTOR: f64 = 5.0;
 
 /// The longest deadline that is honoured.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
+const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// A stand-in target.
 pub struct Target {
@@ -45,36 +45,36 @@
     random: Random,
     log: Rc<RefCell<RunLog>>,
     held: RefCell<Vec<HeldVersion>>,
-    life: RefCell<Rc<Life>>,
+    incarnation: RefCell<Rc<Incarnation>>,
     cold_until: Cell<Instant>,
-    connected: Cell<u64>,
-    silent_below: Cell<u64>,
+    opened: Cell<u64>,
+    first_live: Cell<u64>,
 }
 
 /// One life of a target, from one crash to the next.
-pub struct Life {
+pub struct Incarnation {
     /// Given at the crash.
     pub stop: Signal,
-    incarnation: u64,
+    id: u64,
     slots: Slots,
     calls: RefCell<HashMap<u64, Rc<Signal>>>,
     open: Cell<usize>,
-    connect_free: Cell<Instant>,
+    next_setup: Cell<Instant>,
 }
 
 impl Target {
     /// A target after `plan` that records its runs in `log`.
     pub fn new(plan: TargetPlan, random: Random, log: Rc<RefCell<RunLog>>) -> Target {
-        let life = Life::new(&plan, random.number());
+        let incarnation = Incarnation::new(&plan, random.number());
         Target {
             faults: RefCell::default(),
             random,
             log,
             held: RefCell::new(plan.held.clone()),
-            life: RefCell::new(Rc::new(life)),
+            incarnation: RefCell::new(Rc::new(incarnation)),
             cold_until: Cell::new(Instant::now()),
-            connected: Cell::new(0),
-            silent_below: Cell::new(0),
+            opened: Cell::new(0),
+            first_live: Cell::new(0),
             plan,
         }
     }
@@ -86,7 +86,7 @@
             self.cold_until.set(Instant::now() + Duration::from_millis(span));
         }
         if change.silence {
-            self.silent_below.set(self.connected.get());
+            self.first_live.set(self.opened.get());
         }
         if let Some(held) = &change.held {
             self.held.replace(held.clone());
@@ -98,23 +98,23 @@
             self.held.borrow_mut().push(held.clone());
         }
         if change.crash {
-            self.life().stop.give();
+            self.incarnation().stop.trigger();
         }
     }
 
     /// The life it is in.
-    pub fn life(&self) -> Rc<Life> {
-        self.life.borrow().clone()
+    pub fn incarnation(&self) -> Rc<Incarnation> {
+        self.incarnation.borrow().clone()
     }
 
     /// Starts another life.
     pub fn restart(&self) {
-        self.life.replace(Rc::new(Life::new(&self.plan, self.random.number())));
+        self.incarnation.replace(Rc::new(Incarnation::new(&self.plan, self.random.number())));
     }
 
     /// How many requests wait or run.
     pub fn load(&self) -> usize {
-        self.life().slots.load()
+        self.incarnation().slots.load()
     }
 
     fn status(&self) -> TargetStatus {
@@ -129,7 +129,7 @@
             phase,
             load: faults.load.unwrap_or(self.load() as u32),
             held: self.held.borrow().clone(),
-            incarnation: self.life().incarnation,
+            incarnation: self.incarnation().id,
         }
     }
 
@@ -155,15 +155,15 @@
     }
 }
 
-impl Life {
-    fn new(plan: &TargetPlan, incarnation: u64) -> Life {
-        Life {
+impl Incarnation {
+    fn new(plan: &TargetPlan, id: u64) -> Incarnation {
+        Incarnation {
             stop: Signal::default(),
-            incarnation,
+            id,
             slots: Slots::new(plan.slots, plan.queue),
             calls: RefCell::default(),
             open: Cell::new(0),
-            connect_free: Cell::new(Instant::now()),
+            next_setup: Cell::new(Instant::now()),
         }
     }
 }
@@ -171,35 +171,35 @@
 /// One connection to a target.
 pub struct Connection {
     target: Rc<Target>,
-    life: Rc<Life>,
+    incarnation: Rc<Incarnation>,
     number: u64,
-    over: bool,
+    is_over_limit: bool,
 }
 
 impl Connection {
     /// Opens a connection to the life that `target` is in.
     pub fn open(target: &Rc<Target>) -> Connection {
-        let life = target.life();
-        let number = target.connected.get();
-        target.connected.set(number + 1);
-        life.open.set(life.open.get() + 1);
-        let over = life.open.get() > target.plan.connections;
-        if over {
+        let incarnation = target.incarnation();
+        let number = target.opened.get();
+        target.opened.set(number + 1);
+        incarnation.open.set(incarnation.open.get() + 1);
+        let is_over_limit = incarnation.open.get() > target.plan.connections;
+        if is_over_limit {
             target.log.borrow_mut().over_limit += 1;
         }
-        Connection { target: target.clone(), life, number, over }
+        Connection { target: target.clone(), incarnation, number, is_over_limit }
     }
 
     /// Does the work of a new connection; one after the other.
-    pub async fn prepare(&self) {
-        let from = self.life.connect_free.get().max(Instant::now());
+    pub async fn simulate_setup(&self) {
+        let from = self.incarnation.next_setup.get().max(Instant::now());
         let ready = from + Duration::from_millis(self.target.plan.connect_ms);
-        self.life.connect_free.set(ready);
+        self.incarnation.next_setup.set(ready);
         monoio::time::sleep_until(ready.into()).await;
     }
 
     fn is_silent(&self) -> bool {
-        self.number < self.target.silent_below.get()
+        self.number < self.target.first_live.get()
     }
 
     async fn run(&self, request: &Request) -> Reply {
@@ -207,7 +207,7 @@
             Ok(call) => call,
             Err(reply) => return reply,
         };
-        let shed = self.target.faults.borrow().shed || self.over;
+        let shed = self.target.faults.borrow().shed || self.is_over_limit;
         if shed {
             return self.shed();
         }
@@ -220,46 +220,46 @@
             return Reply::json(410, &json!({ "version": call.version }));
         }
         let arrived_us = now_us();
-        let span = request.header("x-deadline-ms").map_or(LONGEST_DEADLINE, Duration::from_millis);
-        let deadline = Instant::now() + span.min(LONGEST_DEADLINE);
-        let Ok(turn) = self.life.slots.enter() else {
+        let span = request.header("x-deadline-ms").map_or(MAX_DEADLINE, Duration::from_millis);
+        let deadline = Instant::now() + span.min(MAX_DEADLINE);
+        let Ok(pending_slot) = self.incarnation.slots.acquire() else {
             return self.shed();
         };
         let cancel = Rc::new(Signal::default());
-        self.life.calls.borrow_mut().insert(call.id, cancel.clone());
-        let reply = self.run_in_turn(&call, turn, &cancel, deadline, arrived_us).await;
-        self.life.calls.borrow_mut().remove(&call.id);
+        self.incarnation.calls.borrow_mut().insert(call.id, cancel.clone());
+        let reply = self.run_queued(&call, pending_slot, &cancel, deadline, arrived_us).await;
+        self.incarnation.calls.borrow_mut().remove(&call.id);
         reply
     }
 
-    async fn run_in_turn(
+    async fn run_queued(
         &self,
         call: &TargetCall,
-        turn: futures_channel::oneshot::Receiver<crate::slots::Slot>,
+        pending_slot: futures_channel::oneshot::Receiver<crate::slots::Slot>,
         cancel: &Signal,
         deadline: Instant,
         arrived_us: u64,
     ) -> Reply {
-        let slot = match unless_stopped(turn, cancel, deadline).await {
+        let slot = match cancellable(pending_slot, cancel, deadline).await {
             Ok(Ok(slot)) => slot,
             Ok(Err(_)) => return Reply::Close,
             Err(RunEnd::Cancelled) => return Reply::json(499, &json!({ "ran": false })),
             Err(_) => return Reply::json(504, &json!({ "ran": false })),
         };
         let run = self.record(call, slot.number, arrived_us);
-        let marked = self
+        let is_poisoned = self
             .target
             .faults
             .borrow()
             .marker
             .as_deref()
             .is_some_and(|marker| call.body.contains(marker));
-        if marked {
-            self.life.stop.give();
+        if is_poisoned {
+            self.incarnation.stop.trigger();
             return Reply::Close;
         }
         let service = monoio::time::sleep(self.target.service_time());
-        match unless_stopped(service, cancel, deadline).await {
+        match cancellable(service, cancel, deadline).await {
             Ok(()) => run.finish(RunEnd::Done),
             Err(end) => {
                 run.finish(end);
@@ -272,7 +272,7 @@
     }
 
     fn reply(&self, call: &TargetCall) -> TargetReply {
-        let load = self.life.slots.load() as u32;
+        let load = self.incarnation.slots.load() as u32;
         if call.exclusive {
             let key = data::field(&call.body, "key");
             let nonce = data::field(&call.body, "nonce");
@@ -286,9 +286,9 @@
 
     fn shed(&self) -> Reply {
         self.target.log.borrow_mut().shed += 1;
-        match Reply::json(429, &json!({ "retry_ms": RETRY_MS })) {
+        match Reply::json(429, &json!({ "retry_ms": RETRY_AFTER_MS })) {
             Reply::Answer { status, revision, body, .. } => {
-                Reply::Answer { status, revision, body, close: self.over }
+                Reply::Answer { status, revision, body, close: self.is_over_limit }
             }
             reply => reply,
         }
@@ -298,7 +298,7 @@
         let mut log = self.target.log.borrow_mut();
         log.runs.push(RunRecord {
             target: self.target.plan.name.clone(),
-            incarnation: self.life.incarnation,
+            incarnation: self.incarnation.id,
             id: call.id,
             shard: call.shard.clone(),
             version: call.version,
@@ -309,10 +309,10 @@
             start_us: now_us(),
             end_us: 0,
             slot,
-            running: self.life.slots.running(),
+            running: self.incarnation.slots.running(),
             end: RunEnd::Running,
         });
-        Run { log: self.target.log.clone(), at: log.runs.len() - 1 }
+        Run { log: self.target.log.clone(), index: log.runs.len() - 1 }
     }
 
     fn cancel(&self, request: &Request) -> Reply {
@@ -320,8 +320,8 @@
             Ok(call) => call,
             Err(reply) => return reply,
         };
-        if let Some(cancel) = self.life.calls.borrow().get(&call.id) {
-            cancel.give();
+        if let Some(cancel) = self.incarnation.calls.borrow().get(&call.id) {
+            cancel.trigger();
         }
         Reply::status(204)
     }
@@ -329,7 +329,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.life.open.set(self.life.open.get() - 1);
+        self.incarnation.open.set(self.incarnation.open.get() - 1);
     }
 }
 
@@ -360,12 +360,12 @@
 /// A run that is recorded; one that is dropped before its end was lost.
 struct Run {
     log: Rc<RefCell<RunLog>>,
-    at: usize,
+    index: usize,
 }
 
 impl Run {
     fn finish(&self, end: RunEnd) {
-        let run = &mut self.log.borrow_mut().runs[self.at];
+        let run = &mut self.log.borrow_mut().runs[self.index];
         if run.end == RunEnd::Running {
             run.end = end;
             run.end_us = now_us();
@@ -380,7 +380,7 @@
 }
 
 /// Waits for `work` unless it is cancelled or its deadline passes first.
-async fn unless_stopped<T>(
+async fn cancellable<T>(
     work: impl Future<Output = T>,
     cancel: &Signal,
     deadline: Instant,
--- a/crates/standins/src/targets.rs
+++ b/crates/standins/src/targets.rs
@@ -9,17 +9,17 @@
 use crate::{
     faults::FaultChange,
     http::{self, Handler, Reply, Request},
-    hub::{self, Serving},
     listen,
     plan::Plan,
     records::RunLog,
+    server::{self, ServerHandle},
     signal::Signal,
     target::{Connection, Target},
 };
 
 /// How often a target tries to listen on its port again, and the pause between.
-const LISTEN_TRIES: usize = 100;
-const LISTEN_PAUSE: Duration = Duration::from_millis(20);
+const LISTEN_ATTEMPTS: usize = 100;
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Where the targets of a process listen.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
     /// Where they listen.
     pub ports: FleetPorts,
     inner: Rc<Inner>,
-    _control: Serving,
+    _control: ServerHandle,
 }
 
 struct Inner {
@@ -71,9 +71,9 @@
         }
         let inner = Rc::new(Inner { targets, log, stop: Signal::default() });
         for (target, (listener, port)) in inner.targets.iter().zip(listeners) {
-            monoio::spawn(live(target.clone(), listener, port, inner.clone()));
+            monoio::spawn(run_target(target.clone(), listener, port, inner.clone()));
         }
-        let control = hub::spawn(listen(plan.control)?, Rc::new(Control(inner.clone())))?;
+        let control = server::spawn(listen(plan.control)?, Rc::new(Control(inner.clone())))?;
         let ports = FleetPorts { control: control.address, targets: ports };
         Ok(Fleet { ports, inner, _control: control })
     }
@@ -97,8 +97,8 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.inner.stop.give();
-        self.inner.targets.iter().for_each(|target| target.life().stop.give());
+        self.inner.stop.trigger();
+        self.inner.targets.iter().for_each(|target| target.incarnation().stop.trigger());
     }
 }
 
@@ -115,15 +115,15 @@
 }
 
 /// Runs a target from life to life.
-async fn live(target: Rc<Target>, mut listener: TcpListener, port: u16, inner: Rc<Inner>) {
+async fn run_target(target: Rc<Target>, mut listener: TcpListener, port: u16, inner: Rc<Inner>) {
     loop {
-        let life = target.life();
-        while let Some(stream) = hub::accept(&listener, &life.stop).await {
+        let incarnation = target.incarnation();
+        while let Some(stream) = server::accept(&listener, &incarnation.stop).await {
             let connection = Rc::new(Connection::open(&target));
-            let life = life.clone();
+            let incarnation = incarnation.clone();
             monoio::spawn(async move {
-                connection.prepare().await;
-                http::serve(stream, connection, &life.stop).await;
+                connection.simulate_setup().await;
+                http::serve(stream, connection, &incarnation.stop).await;
             });
         }
         // While the port is closed, connects are refused, as with a process
@@ -131,23 +131,23 @@
         drop(listener);
         let down = target.faults.borrow().restart_ms;
         monoio::time::sleep(Duration::from_millis(down)).await;
-        if inner.stop.is_given() {
+        if inner.stop.is_triggered() {
             return;
         }
         target.restart();
-        listener = match listen_again(port).await {
+        listener = match listen_with_retry(port).await {
             Ok(listener) => listener,
             Err(_) => return,
         };
     }
 }
 
-async fn listen_again(port: u16) -> io::Result<TcpListener> {
-    for _ in 0..LISTEN_TRIES {
+async fn listen_with_retry(port: u16) -> io::Result<TcpListener> {
+    for _ in 0..LISTEN_ATTEMPTS {
         if let Ok(listener) = listen(port) {
             return Ok(listener);
         }
-        monoio::time::sleep(LISTEN_PAUSE).await;
+        monoio::time::sleep(LISTEN_RETRY_DELAY).await;
     }
     listen(port)
 }
