--- a/crates/measure/src/bench.rs
+++ b/crates/measure/src/bench.rs
@@ -34,9 +34,9 @@
 };
 
 use crate::{
-    fake::Fake,
-    fakes::{FakeTargets, POISON, SERVICE, VERSION},
-    nodes::{BenchNode, FakeMarks, HOP, Shared, start_nodes},
+    fake::FakeTarget,
+    fakes::{FakeTargets, POISON, SERVICE_TIME, VERSION},
+    nodes::{BenchNode, FakeMarks, HOP_DELAY, Shared, start_nodes},
     virtual_time::VirtualTime,
 };
 
@@ -49,7 +49,7 @@
 /// The time before anything is counted.
 pub const WARM_UP: Duration = Duration::from_secs(4);
 /// The coverage that is enough for an answer to count as good.
-const ENOUGH: f64 = 0.9;
+const MIN_COVERAGE: f64 = 0.9;
 /// The queries that many callers send, and the share of all that these are.
 const POPULAR: (usize, f64) = (500, 0.9);
 
@@ -72,7 +72,7 @@
 
 /// The queries that all slots together can answer in a second.
 pub fn capacity() -> f64 {
-    2.0 * f64::from(SLOTS) / SERVICE.as_secs_f64()
+    2.0 * f64::from(SLOTS) / SERVICE_TIME.as_secs_f64()
 }
 
 /// What came of the queries of one class.
@@ -97,10 +97,10 @@
     pub targets: Rc<FakeTargets>,
     pub tallies: RefCell<HashMap<Class, Tally>>,
     /// The good answers in each tenth of a second.
-    pub good_at: RefCell<HashMap<u64, u64>>,
+    pub good_by_tenth: RefCell<HashMap<u64, u64>>,
     /// The shards that answered.
     pub covered: Cell<u64>,
-    pub counts: Cell<bool>,
+    pub counting: Cell<bool>,
     root: Root,
     random: Random,
     nodes: Vec<BenchNode>,
@@ -125,7 +125,7 @@
             for replica in 0..2 {
                 let name = target_name(shard, replica);
                 let delay = Duration::from_micros(if replica == 0 { 100 } else { 500 });
-                let fake = Fake::new(shard_name(shard), delay, SLOTS);
+                let fake = FakeTarget::new(shard_name(shard), delay, SLOTS);
                 targets.targets.insert(name.clone(), Rc::new(fake));
                 document.targets.insert(name, spec(shard, replica));
             }
@@ -145,9 +145,9 @@
             time,
             targets,
             tallies: RefCell::default(),
-            good_at: RefCell::default(),
+            good_by_tenth: RefCell::default(),
             covered: Cell::new(0),
-            counts: Cell::new(false),
+            counting: Cell::new(false),
             root: setup.root,
             random,
             nodes,
@@ -157,29 +157,29 @@
     }
 
     /// The fake of a replica.
-    pub fn fake(&self, shard: usize, replica: usize) -> Rc<Fake> {
+    pub fn fake(&self, shard: usize, replica: usize) -> Rc<FakeTarget> {
         self.targets.targets[&target_name(shard, replica)].clone()
     }
 
     /// Every fake.
-    pub fn fakes(&self) -> Vec<Rc<Fake>> {
+    pub fn fakes(&self) -> Vec<Rc<FakeTarget>> {
         (0..SHARDS).flat_map(|shard| [self.fake(shard, 0), self.fake(shard, 1)]).collect()
     }
 
     /// Sends queries of `class` at `rate` a second for ever.
-    pub fn offer(self: &Rc<Self>, class: Class, rate: f64) {
+    pub fn offer_load(self: &Rc<Self>, class: Class, rate: f64) {
         let bench = self.clone();
         self.time.spawn(async move {
             loop {
                 let gap = -(1.0 - bench.random.fraction()).ln() / rate;
                 bench.time.sleep(Duration::from_secs_f64(gap)).await;
                 let query = bench.clone();
-                bench.time.spawn(async move { query.ask(class).await });
+                bench.time.spawn(async move { query.send_query(class).await });
             }
         });
     }
 
-    async fn ask(self: Rc<Self>, class: Class) {
+    async fn send_query(self: Rc<Self>, class: Class) {
         let serial = self.serial.get() + 1;
         self.serial.set(serial);
         let tenant = if serial.is_multiple_of(2) { "siam" } else { "barid" };
@@ -189,11 +189,11 @@
         };
         let start = self.time.now();
         let outcome = self.search(class, tenant, &format!("query {number}")).await;
-        self.count(class, self.time.now() - start, &outcome);
+        self.record_outcome(class, self.time.now() - start, &outcome);
     }
 
     /// Sends the poisoned request as its caller does.
-    pub async fn ask_poison(&self) {
+    pub async fn send_poison(&self) {
         self.search(Class::Desk, "siam", POISON).await;
     }
 
@@ -270,26 +270,26 @@
 
     async fn send(&self, group: usize, request: GroupRequest) -> Result<GroupAnswer> {
         let deadline = self.time.now() + Duration::from_millis(request.deadline_ms);
-        self.time.sleep(HOP).await;
+        self.time.sleep(HOP_DELAY).await;
         let message = PeerMessage::Group(Box::new(request));
         let reply = self.nodes[group].holder.handle(message);
         let reply = timeout_at(&self.time, deadline, reply).await??;
-        self.time.sleep(HOP).await;
+        self.time.sleep(HOP_DELAY).await;
         match reply {
             PeerReply::Group(answer) => Ok(*answer),
             _ => Err(Error::protocol("not an answer of a group")),
         }
     }
 
-    fn count(&self, class: Class, span: Duration, outcome: &Outcome) {
+    fn record_outcome(&self, class: Class, span: Duration, outcome: &Outcome) {
         let share = outcome.covered as f64 / SHARDS as f64;
         let deadline = Duration::from_millis(deadline_ms(class));
-        let good = !outcome.refused && share >= ENOUGH && span <= deadline;
+        let good = !outcome.refused && share >= MIN_COVERAGE && span <= deadline;
         if good {
             let tenth = self.time.elapsed().as_millis() as u64 / 100;
-            *self.good_at.borrow_mut().entry(tenth).or_default() += 1;
+            *self.good_by_tenth.borrow_mut().entry(tenth).or_default() += 1;
         }
-        if !self.counts.get() {
+        if !self.counting.get() {
             return;
         }
         let mut tallies = self.tallies.borrow_mut();
@@ -331,7 +331,7 @@
         rules.selectors.insert(SelectorName::from(class.as_str()), spec);
     }
     for tenant in ["siam", "barid"] {
-        let stop = StopSpec { patience: 0.5, enough: ENOUGH };
+        let stop = StopSpec { patience: 0.5, enough: MIN_COVERAGE };
         let spec = TenantSpec { keys: vec![key_digest(tenant)], weight: 1, stop };
         rules.tenants.insert(TenantName::from(tenant), spec);
     }
--- a/crates/measure/src/capacity.rs
+++ b/crates/measure/src/capacity.rs
@@ -217,12 +217,12 @@
         let (groups, met) = match design.grouping {
             Grouping::Hash => {
                 let groups = group_count(shards, design);
-                (groups, hit(groups, size.fanout))
+                (groups, expected_groups(groups, size.fanout))
             }
             // As many selectors as it takes to reach every shard once.
             Grouping::Selector => {
                 let groups = group_count(size.fanout, design);
-                (groups * (shards / size.fanout).ceil(), hit(groups, size.fanout))
+                (groups * (shards / size.fanout).ceil(), expected_groups(groups, size.fanout))
             }
         };
         let holders = design.holders * size.regions;
@@ -246,6 +246,6 @@
 }
 
 /// How many of `groups` groups get at least one of `shards` shards by hashing.
-fn hit(groups: f64, shards: f64) -> f64 {
+fn expected_groups(groups: f64, shards: f64) -> f64 {
     groups * (1.0 - (1.0 - 1.0 / groups).powf(shards))
 }
--- a/crates/measure/src/capacity_control.rs
+++ b/crates/measure/src/capacity_control.rs
@@ -38,7 +38,7 @@
             amount: memory,
             unit: "MiB",
             allowed: Some(budget.memory_mib),
-            carrier: "member/src/table.rs",
+            mechanism: "member/src/table.rs",
             from: "idle_mib",
         },
         Row {
@@ -47,7 +47,7 @@
             amount: inputs.at("control_bytes", size.nodes),
             unit: "bytes/s",
             allowed: Some(budget.bytes),
-            carrier: "probes and deltas, member/src/probe.rs, member/src/deltas.rs",
+            mechanism: "probes and deltas, member/src/probe.rs, member/src/deltas.rs",
             from: "control_bytes",
         },
         Row {
@@ -56,7 +56,7 @@
             amount: inputs.at("idle_percent", size.nodes),
             unit: "% of a core",
             allowed: Some(budget.cpu_percent),
-            carrier: "member/src/probe.rs, member/src/exchange.rs",
+            mechanism: "member/src/probe.rs, member/src/exchange.rs",
             from: "idle_percent",
         },
         Row {
@@ -65,7 +65,7 @@
             amount: inputs.at("death_bytes", size.nodes),
             unit: "bytes",
             allowed: None,
-            carrier: "member/src/deltas.rs",
+            mechanism: "member/src/deltas.rs",
             from: "death_bytes",
         },
         Row {
@@ -74,7 +74,7 @@
             amount: control,
             unit: "% of a core",
             allowed: Some(budget.cpu_percent),
-            carrier: "as above",
+            mechanism: "as above",
             from: "idle_percent, target_idle_percent, probe_percent",
         },
         Row {
@@ -83,7 +83,7 @@
             amount: bytes,
             unit: "bytes/s",
             allowed: Some(budget.bytes),
-            carrier: "as above",
+            mechanism: "as above",
             from: "control_bytes, head_bytes, change_bytes, death_bytes",
         },
         Row {
@@ -92,7 +92,7 @@
             amount: all,
             unit: "MiB",
             allowed: Some(budget.memory_mib),
-            carrier: "as above",
+            mechanism: "as above",
             from: "idle_mib, target_kib, node_record_bytes",
         },
     ]
@@ -110,7 +110,7 @@
             amount: inputs.value("document_bytes").map(|bytes| bytes / MIB),
             unit: "MiB",
             allowed: None,
-            carrier: "member/src/config_service.rs",
+            mechanism: "member/src/config_service.rs",
             from: "document_bytes",
         },
         Row {
@@ -119,7 +119,7 @@
             amount: inputs.at("platform_idle", size.nodes),
             unit: "calls/s",
             allowed: Some(budget.reads),
-            carrier: "five readers, member/src/readers.rs",
+            mechanism: "five readers, member/src/readers.rs",
             from: "platform_idle",
         },
         Row {
@@ -128,7 +128,7 @@
             amount: inputs.value("change_calls"),
             unit: "calls",
             allowed: Some(budget.reads),
-            carrier: "member/src/fetch.rs, config/src/document_store.rs",
+            mechanism: "member/src/fetch.rs, config/src/document_store.rs",
             from: "change_calls",
         },
         Row {
@@ -137,7 +137,7 @@
             amount: inputs.value("change_bytes").map(|bytes| bytes * size.changes / DAY),
             unit: "bytes/s",
             allowed: Some(budget.bytes),
-            carrier: "values by digest from peers, member/src/fetch.rs",
+            mechanism: "values by digest from peers, member/src/fetch.rs",
             from: "change_bytes",
         },
         Row {
@@ -146,7 +146,7 @@
             amount: everywhere.map(|ms| ms / 1_000.0),
             unit: "s",
             allowed: Some(budget.change_seconds),
-            carrier: "pushed on by each node, member/src/spread.rs",
+            mechanism: "pushed on by each node, member/src/spread.rs",
             from: "change_ms",
         },
     ]
@@ -164,7 +164,7 @@
             amount: Some(size.nodes),
             unit: "messages",
             allowed: None,
-            carrier: "`NodeOperator::config`, kumquatnotch/src/operator.rs",
+            mechanism: "`NodeOperator::config`, kumquatnotch/src/operator.rs",
             from: "size",
         },
         Row {
@@ -173,7 +173,7 @@
             amount: inputs.at("status_ms", size.nodes).map(|ms| ms / 1_000.0),
             unit: "s",
             allowed: Some(inputs.budget.change_seconds),
-            carrier: "kumquatnotch/src/operator.rs",
+            mechanism: "kumquatnotch/src/operator.rs",
             from: "status_ms",
         },
         Row {
@@ -182,7 +182,7 @@
             amount: Some((lost / design.asked_at_once).ceil() * design.ask_seconds),
             unit: "s",
             allowed: Some(inputs.budget.change_seconds),
-            carrier: "kumquatnotch/src/operator.rs",
+            mechanism: "kumquatnotch/src/operator.rs",
             from: "design",
         },
     ]
@@ -191,13 +191,13 @@
 /// The lines of storms.
 pub(crate) fn storms(inputs: &Inputs) -> Vec<Row> {
     let Inputs { size, budget, design, .. } = inputs;
-    let storm = |role, what, name, unit, allowed, carrier| Row {
+    let storm = |role, what, name, unit, allowed, mechanism| Row {
         role,
         what,
         amount: inputs.at(name, size.nodes),
         unit,
         allowed,
-        carrier,
+        mechanism,
         from: name,
     };
     let join = "member/src/exchange.rs, member/src/fetch.rs";
@@ -214,7 +214,7 @@
             amount: news.map(|bytes| bytes / 1_024.0),
             unit: "KiB",
             allowed: None,
-            carrier: "member/src/deltas.rs",
+            mechanism: "member/src/deltas.rs",
             from: "death_bytes",
         },
         Row {
@@ -223,7 +223,7 @@
             amount: news.map(|bytes| bytes / design.news_rate),
             unit: "s",
             allowed: None,
-            carrier: "member/src/deltas.rs",
+            mechanism: "member/src/deltas.rs",
             from: "death_bytes, design",
         },
         storm("its return", "until all agree", "return_seconds", "s", None, join),
--- a/crates/measure/src/capacity_rows.rs
+++ b/crates/measure/src/capacity_rows.rs
@@ -19,7 +19,7 @@
     /// How much is allowed, where something is.
     pub allowed: Option<f64>,
     /// What carries it, and the file where that stands.
-    pub carrier: &'static str,
+    pub mechanism: &'static str,
     /// The names in capacity.toml that it was worked out from.
     pub from: &'static str,
 }
@@ -53,7 +53,7 @@
 
 impl Row {
     fn to_line(&self) -> String {
-        let Row { role, what, unit, carrier, from, .. } = self;
+        let Row { role, what, unit, mechanism, from, .. } = self;
         let amount = match self.amount {
             Some(amount) => format!("{} {unit}", number(amount)),
             None => "not measured".to_owned(),
@@ -69,7 +69,7 @@
             (Some(amount), Some(allowed)) => number(amount / allowed),
             _ => "-".to_owned(),
         };
-        format!("| {role} | {what} | {amount} | {allowed} | {factor} | {carrier} | {from} |\n")
+        format!("| {role} | {what} | {amount} | {allowed} | {factor} | {mechanism} | {from} |\n")
     }
 }
 
@@ -108,7 +108,7 @@
             amount: Some(derived.queries * 0.3),
             unit: "queries",
             allowed: None,
-            carrier: "a task a query, query/src/search.rs",
+            mechanism: "a task a query, query/src/search.rs",
             from: "size",
         },
         Row {
@@ -117,7 +117,7 @@
             amount: Some(derived.messages),
             unit: "/s",
             allowed: Some(aimed),
-            carrier: "groups of shards, query/src/groups.rs",
+            mechanism: "groups of shards, query/src/groups.rs",
             from: "size, design",
         },
         Row {
@@ -126,7 +126,7 @@
             amount: message.map(|us| derived.messages * us / 1e6),
             unit: "cores",
             allowed: Some(budget.cores),
-            carrier: "net/src/peer_links.rs, query/src/router.rs",
+            mechanism: "net/src/peer_links.rs, query/src/router.rs",
             from: "peer_message_us",
         },
         Row {
@@ -135,7 +135,7 @@
             amount: copy.map(|ns| derived.messages * derived.ranked * ns / 1e9),
             unit: "cores",
             allowed: Some(budget.cores),
-            carrier: "`Router::holders`, query/src/router.rs",
+            mechanism: "`Router::holders`, query/src/router.rs",
             from: "rank_entry_ns",
         },
         Row {
@@ -144,7 +144,7 @@
             amount: entry.map(|bytes| derived.groups * derived.ranked * bytes / MIB),
             unit: "MiB",
             allowed: Some(budget.memory_mib),
-            carrier: "`Ranks`, query/src/groups.rs",
+            mechanism: "`Ranks`, query/src/groups.rs",
             from: "node_record_bytes",
         },
     ]
@@ -161,7 +161,7 @@
             amount: Some(derived.held),
             unit: "replicas",
             allowed: None,
-            carrier: "holder/src/table.rs",
+            mechanism: "holder/src/table.rs",
             from: "size, design",
         },
         Row {
@@ -170,7 +170,7 @@
             amount: Some(derived.holders * design.connections),
             unit: "connections",
             allowed: Some(budget.connections),
-            carrier: "holders of each region, query/src/groups.rs; net/src/target_links.rs",
+            mechanism: "holders of each region, query/src/groups.rs; net/src/target_links.rs",
             from: "design",
         },
         Row {
@@ -179,7 +179,7 @@
             amount: Some(derived.sub_requests),
             unit: "/s",
             allowed: None,
-            carrier: "one call at a time on a connection, net/src/pool.rs",
+            mechanism: "one call at a time on a connection, net/src/pool.rs",
             from: "size",
         },
         Row {
@@ -188,7 +188,7 @@
             amount: Some(derived.at_replica),
             unit: "/s",
             allowed: Some(slots),
-            carrier: "net/src/pool.rs",
+            mechanism: "net/src/pool.rs",
             from: "size, design",
         },
         Row {
@@ -197,7 +197,7 @@
             amount: inputs.value("sub_request_us").map(|us| derived.sub_requests * us / 1e6),
             unit: "cores",
             allowed: Some(budget.cores),
-            carrier: "holder/src/calls.rs, net/src/target_links.rs",
+            mechanism: "holder/src/calls.rs, net/src/target_links.rs",
             from: "sub_request_us",
         },
         Row {
@@ -206,7 +206,7 @@
             amount: inputs.value("target_idle_percent").map(|each| each * size.replicas),
             unit: "% of a core",
             allowed: Some(budget.cpu_percent),
-            carrier: "`Core::read_marks`, holder/src/probes.rs",
+            mechanism: "`Core::read_marks`, holder/src/probes.rs",
             from: "target_idle_percent",
         },
         Row {
@@ -215,7 +215,7 @@
             amount: inputs.value("probe_percent").map(|each| each * derived.held),
             unit: "% of a core",
             allowed: Some(budget.cpu_percent),
-            carrier: "holder/src/probes.rs",
+            mechanism: "holder/src/probes.rs",
             from: "probe_percent",
         },
         Row {
@@ -224,7 +224,7 @@
             amount: inputs.value("target_kib").map(|each| each * size.replicas / 1_024.0),
             unit: "MiB",
             allowed: Some(budget.memory_mib),
-            carrier: "holder/src/table.rs, config documents",
+            mechanism: "holder/src/table.rs, config documents",
             from: "target_kib",
         },
     ]
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -53,7 +53,7 @@
     /// The shares of the classes.
     mix: [f64; 3],
     /// Whether the fault is there from the start, and not only once counting begins.
-    early: bool,
+    from_start: bool,
     faults: fn(&Rc<Bench>, Duration),
     naive: fn() -> Decisions,
 }
@@ -62,65 +62,74 @@
 const MIXED: [f64; 3] = [0.2, 0.5, 0.3];
 
 fn cases() -> Vec<Case> {
-    let case = |name, load, mix, faults| Case { name, load, mix, early: false, faults, naive };
-    let early = |name, load, faults| Case { early: true, ..case(name, load, DESK, faults) };
+    let case = |name, load, mix, faults| Case { name, load, mix, from_start: false, faults, naive };
+    let from_start =
+        |name, load, faults| Case { from_start: true, ..case(name, load, DESK, faults) };
     vec![
         case("no fault", 0.3, DESK, |_, _| {}),
-        early("one straggler in 50", 0.3, |bench, _| bench.fake(7, 0).factor.set(10.0)),
-        early("one replica gone in 50", 0.3, |bench, _| bench.fake(7, 0).stop()),
+        from_start("one straggler in 50", 0.3, |bench, _| bench.fake(7, 0).factor.set(10.0)),
+        from_start("one replica gone in 50", 0.3, |bench, _| bench.fake(7, 0).stop()),
         case("one straggler, onset", 0.3, DESK, |bench, _| bench.fake(7, 0).factor.set(10.0)),
         case("no fault, load 0.15", 0.15, DESK, |_, _| {}),
-        early("one straggler, load 0.15", 0.15, |bench, _| bench.fake(7, 0).factor.set(10.0)),
-        early("5 % stragglers", 0.3, |bench, _| {
+        from_start("one straggler, load 0.15", 0.15, |bench, _| bench.fake(7, 0).factor.set(10.0)),
+        from_start("5 % stragglers", 0.3, |bench, _| {
             (0..5).for_each(|index| bench.fake(index * 9, index % 2).factor.set(10.0));
         }),
         case("lost replicas", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| (0..5).for_each(|index| bench.fake(index * 9, 0).stop()));
+            schedule(bench, span / 4, |bench| {
+                (0..5).for_each(|index| bench.fake(index * 9, 0).stop())
+            });
         }),
         Case {
             naive: || Decisions { choice: Box::new(ReportedLoad), ..naive() },
-            ..early("lying load report", 0.3, |bench, _| {
+            ..from_start("lying load report", 0.3, |bench, _| {
                 for index in 0..3 {
                     let fake = bench.fake(index * 11, 0);
-                    fake.lies.set(true);
+                    fake.hides_load.set(true);
                     fake.factor.set(5.0);
                 }
             })
         },
         case("cold start", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| (0..5).for_each(|index| bench.fake(index * 9, 0).stop()));
-            at(bench, span / 2, |bench| (0..5).for_each(|index| bench.fake(index * 9, 0).start()));
+            schedule(bench, span / 4, |bench| {
+                (0..5).for_each(|index| bench.fake(index * 9, 0).stop())
+            });
+            schedule(bench, span / 2, |bench| {
+                (0..5).for_each(|index| bench.fake(index * 9, 0).start())
+            });
         }),
         case("drain", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| {
+            schedule(bench, span / 4, |bench| {
                 (0..10).for_each(|index| bench.fake(index * 5, 0).phase.set(Phase::Draining));
             });
         }),
         case("silent connections", 0.3, DESK, |bench, span| {
             for part in 1..8 {
-                at(bench, span * part / 8, |bench| {
+                schedule(bench, span * part / 8, |bench| {
                     (0..10).for_each(|index| bench.fake(index * 5, 0).silence());
                 });
             }
         }),
         case("data centre lost and back", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| {
+            schedule(bench, span / 4, |bench| {
                 (0..SHARDS).for_each(|shard| bench.fake(shard, 1).cut.set(true));
             });
-            at(bench, span * 5 / 8, |bench| {
+            schedule(bench, span * 5 / 8, |bench| {
                 (0..SHARDS).for_each(|shard| bench.fake(shard, 1).cut.set(false));
             });
         }),
         case("mass restart", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| bench.fakes().iter().for_each(|fake| fake.stop()));
-            at(bench, span * 3 / 8, |bench| bench.fakes().iter().for_each(|fake| fake.start()));
+            schedule(bench, span / 4, |bench| bench.fakes().iter().for_each(|fake| fake.stop()));
+            schedule(bench, span * 3 / 8, |bench| {
+                bench.fakes().iter().for_each(|fake| fake.start())
+            });
         }),
         case("poison repeated", 0.3, DESK, |bench, span| {
-            at(bench, span / 8, |bench| {
+            schedule(bench, span / 8, |bench| {
                 let poison = bench.clone();
                 bench.time.spawn(async move {
                     for _ in 0..40 {
-                        poison.ask_poison().await;
+                        poison.send_poison().await;
                         poison.time.sleep(Duration::from_millis(100)).await;
                     }
                 });
@@ -148,7 +157,7 @@
 }
 
 /// A root without admission, canary and copies to a second holder.
-fn naive_options() -> QueryOptions {
+fn baseline_options() -> QueryOptions {
     let mut options = QueryOptions::default();
     options.front.admission = false;
     options.front.canary = false;
@@ -156,7 +165,7 @@
     options
 }
 
-fn at(bench: &Rc<Bench>, span: Duration, action: fn(&Rc<Bench>)) {
+fn schedule(bench: &Rc<Bench>, span: Duration, action: fn(&Rc<Bench>)) {
     let bench = bench.clone();
     let time = bench.time.clone();
     time.clone().spawn(async move {
@@ -172,7 +181,7 @@
     over: f64,
     crashes: u64,
     connects: u64,
-    normal_after: f64,
+    recovery_seconds: f64,
 }
 
 /// Runs every case with every seed and prints the table.
@@ -207,25 +216,25 @@
 fn measure(case: &Case, naive: bool, seed: u64, args: &Args) -> Figures {
     let root = if args.root == "front" { Root::Front } else { Root::Small };
     let setup = match naive {
-        true => Setup { root, decisions: case.naive, options: naive_options },
+        true => Setup { root, decisions: case.naive, options: baseline_options },
         false => Setup { root, decisions: Decisions::default, options: QueryOptions::default },
     };
     let bench = Bench::new(seed, &setup);
     for (class, share) in Class::ALL.into_iter().zip(case.mix) {
         if share > 0.0 {
-            bench.offer(class, capacity() * case.load * share);
+            bench.offer_load(class, capacity() * case.load * share);
         }
     }
     let span = Duration::from_secs(args.seconds);
-    if case.early {
+    if case.from_start {
         (case.faults)(&bench, span);
     }
     bench.time.run_for(WARM_UP);
-    bench.counts.set(true);
-    bench.targets.counts.set(true);
-    bench.fakes().iter().for_each(|fake| fake.reset_over());
-    bench.targets.seen.borrow_mut().connects = 0;
-    if !case.early {
+    bench.counting.set(true);
+    bench.targets.counting.set(true);
+    bench.fakes().iter().for_each(|fake| fake.reset_oversubscription());
+    bench.targets.counters.borrow_mut().connects = 0;
+    if !case.from_start {
         (case.faults)(&bench, span);
     }
     bench.time.run_for(span);
@@ -248,22 +257,22 @@
     };
     let classes = Class::ALL.into_iter();
     let classes = classes.filter_map(|class| Some((class, row(tallies.get(&class)?)))).collect();
-    let seen = bench.targets.seen.borrow().clone();
+    let counters = bench.targets.counters.borrow().clone();
     let fakes = bench.fakes();
     let over = fakes.iter().map(|fake| fake.oversubscription()).sum::<f64>() / fakes.len() as f64;
     Figures {
         classes,
-        extra: seen.runs as f64 / bench.covered.get().max(1) as f64 - 1.0,
+        extra: counters.runs as f64 / bench.covered.get().max(1) as f64 - 1.0,
         over,
-        crashes: seen.crashes,
-        connects: seen.connects,
-        normal_after: normal_after(bench, span),
+        crashes: counters.crashes,
+        connects: counters.connects,
+        recovery_seconds: recovery_seconds(bench, span),
     }
 }
 
 /// The seconds from the fault until goodput stays above four fifths of its mean before.
-fn normal_after(bench: &Bench, span: Duration) -> f64 {
-    let good = bench.good_at.borrow();
+fn recovery_seconds(bench: &Bench, span: Duration) -> f64 {
+    let good = bench.good_by_tenth.borrow();
     let count = |tenth: u64| *good.get(&tenth).unwrap_or(&0) as f64;
     let start = WARM_UP.as_millis() as u64 / 100;
     let fault = start + span.as_millis() as u64 / 400;
@@ -311,21 +320,21 @@
     println!(
         "| {name} | {form} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
         class.as_str(),
-        spread(of(0), 1, 1.0),
-        spread(of(1), 1, 1.0),
-        spread(of(2), 1, 1.0),
-        spread(of(3), 2, 100.0),
-        spread(of(4), 2, 100.0),
-        spread(of(5), 1, 100.0),
-        spread(all(|run| run.extra), 1, 100.0),
-        spread(all(|run| run.over), 1, 100.0),
-        spread(all(|run| run.crashes as f64), 0, 1.0),
-        spread(all(|run| run.connects as f64), 0, 1.0),
-        spread(all(|run| run.normal_after), 1, 1.0),
+        median_and_range(of(0), 1, 1.0),
+        median_and_range(of(1), 1, 1.0),
+        median_and_range(of(2), 1, 1.0),
+        median_and_range(of(3), 2, 100.0),
+        median_and_range(of(4), 2, 100.0),
+        median_and_range(of(5), 1, 100.0),
+        median_and_range(all(|run| run.extra), 1, 100.0),
+        median_and_range(all(|run| run.over), 1, 100.0),
+        median_and_range(all(|run| run.crashes as f64), 0, 1.0),
+        median_and_range(all(|run| run.connects as f64), 0, 1.0),
+        median_and_range(all(|run| run.recovery_seconds), 1, 1.0),
     );
 }
 
-fn spread(mut values: Vec<f64>, digits: usize, scale: f64) -> String {
+fn median_and_range(mut values: Vec<f64>, digits: usize, scale: f64) -> String {
     values.sort_by(f64::total_cmp);
     let [first, .., last] = values.as_slice() else {
         return values
--- a/crates/measure/src/fake.rs
+++ b/crates/measure/src/fake.rs
@@ -12,12 +12,12 @@
 use crate::virtual_time::VirtualTime;
 
 /// The waiting calls beyond which a target sheds.
-pub const QUEUE: usize = 16;
+pub const QUEUE_LIMIT: usize = 16;
 /// How much slower a cold target is, and for how many calls.
 pub const COLD: (f64, u32) = (8.0, 60);
 
 /// The state of one target.
-pub struct Fake {
+pub struct FakeTarget {
     pub shard: ShardName,
     /// The one-way delay to it.
     pub delay: Cell<Duration>,
@@ -29,7 +29,7 @@
     pub cut: Cell<bool>,
     pub phase: Cell<Phase>,
     /// Whether it reports no load whatever it does.
-    pub lies: Cell<bool>,
+    pub hides_load: Cell<bool>,
     /// The calls that it serves slowly until it is warm.
     pub cold: Cell<u32>,
     /// The open connections that have gone silent.
@@ -43,15 +43,15 @@
 pub struct Inner {
     running: u32,
     pub waiting: VecDeque<oneshot::Sender<()>>,
-    pub kills: HashMap<u64, oneshot::Sender<()>>,
-    changed: Option<Instant>,
-    over: f64,
-    span: f64,
+    pub aborts: HashMap<u64, oneshot::Sender<()>>,
+    accounted_at: Option<Instant>,
+    excess: f64,
+    accounted: f64,
 }
 
-impl Fake {
-    pub fn new(shard: ShardName, delay: Duration, slots: u32) -> Fake {
-        Fake {
+impl FakeTarget {
+    pub fn new(shard: ShardName, delay: Duration, slots: u32) -> FakeTarget {
+        FakeTarget {
             shard,
             delay: Cell::new(delay),
             slots: Cell::new(slots),
@@ -59,7 +59,7 @@
             up: Cell::new(true),
             cut: Cell::new(false),
             phase: Cell::new(Phase::Ready),
-            lies: Cell::new(false),
+            hides_load: Cell::new(false),
             cold: Cell::new(0),
             silent: Cell::new(0),
             incarnation: Cell::new(1),
@@ -74,8 +74,8 @@
         self.idle.set(0);
         let mut inner = self.inner.borrow_mut();
         inner.waiting.clear();
-        for (_, kill) in inner.kills.drain() {
-            let _ = kill.send(());
+        for (_, abort) in inner.aborts.drain() {
+            let _ = abort.send(());
         }
     }
 
@@ -95,31 +95,31 @@
     /// The mean share of calls beyond its slots.
     pub fn oversubscription(&self) -> f64 {
         let inner = self.inner.borrow();
-        if inner.span == 0.0 { 0.0 } else { inner.over / inner.span }
+        if inner.accounted == 0.0 { 0.0 } else { inner.excess / inner.accounted }
     }
 
     /// Forgets the oversubscription counted so far.
-    pub fn reset_over(&self) {
+    pub fn reset_oversubscription(&self) {
         let mut inner = self.inner.borrow_mut();
-        (inner.over, inner.span) = (0.0, 0.0);
+        (inner.excess, inner.accounted) = (0.0, 0.0);
     }
 
     pub fn load(&self) -> u32 {
         let inner = self.inner.borrow();
-        if self.lies.get() { 0 } else { inner.running + inner.waiting.len() as u32 }
+        if self.hides_load.get() { 0 } else { inner.running + inner.waiting.len() as u32 }
     }
 
     fn account(&self, now: Instant) {
         let mut inner = self.inner.borrow_mut();
-        let since = inner.changed.replace(now).unwrap_or(now);
-        let span = (now - since).as_secs_f64();
-        let inside = inner.running + inner.waiting.len() as u32;
+        let since = inner.accounted_at.replace(now).unwrap_or(now);
+        let elapsed = (now - since).as_secs_f64();
+        let active = inner.running + inner.waiting.len() as u32;
         let slots = self.slots.get();
-        inner.over += span * f64::from(inside.saturating_sub(slots)) / f64::from(slots);
-        inner.span += span;
+        inner.excess += elapsed * f64::from(active.saturating_sub(slots)) / f64::from(slots);
+        inner.accounted += elapsed;
     }
 
-    pub fn enter(&self, now: Instant) -> Option<oneshot::Receiver<()>> {
+    pub fn acquire(&self, now: Instant) -> Option<oneshot::Receiver<()>> {
         self.account(now);
         let mut inner = self.inner.borrow_mut();
         if inner.running < self.slots.get() {
@@ -131,7 +131,7 @@
         Some(receiver)
     }
 
-    fn leave(&self, now: Instant) {
+    fn release(&self, now: Instant) {
         self.account(now);
         let mut inner = self.inner.borrow_mut();
         inner.running -= 1;
@@ -147,26 +147,26 @@
 }
 
 /// A call inside a target; dropping it leaves the slot.
-pub struct Inside<'a> {
-    pub fake: &'a Fake,
+pub struct ActiveCall<'a> {
+    pub fake: &'a FakeTarget,
     pub time: &'a VirtualTime,
     pub serial: u64,
-    pub runs: bool,
-    pub turn: Option<oneshot::Receiver<()>>,
+    pub holds_slot: bool,
+    pub pending_slot: Option<oneshot::Receiver<()>>,
 }
 
-impl Drop for Inside<'_> {
+impl Drop for ActiveCall<'_> {
     fn drop(&mut self) {
         let now = self.time.now();
         // A call may be given up just as its turn has come.
-        if let Some(turn) = &mut self.turn {
-            self.runs |= matches!(turn.try_recv(), Ok(Some(())));
-            turn.close();
+        if let Some(pending_slot) = &mut self.pending_slot {
+            self.holds_slot |= matches!(pending_slot.try_recv(), Ok(Some(())));
+            pending_slot.close();
         }
         self.fake.account(now);
-        self.fake.inner.borrow_mut().kills.remove(&self.serial);
-        if self.runs {
-            self.fake.leave(now);
+        self.fake.inner.borrow_mut().aborts.remove(&self.serial);
+        if self.holds_slot {
+            self.fake.release(now);
         } else {
             self.fake.inner.borrow_mut().waiting.retain(|waiting| !waiting.is_canceled());
         }
@@ -175,7 +175,7 @@
 
 /// A connection in use; dropping it keeps it open for the next call.
 pub struct Connection<'a> {
-    pub fake: &'a Fake,
+    pub fake: &'a FakeTarget,
     pub incarnation: u64,
     pub broken: bool,
 }
--- a/crates/measure/src/fakes.rs
+++ b/crates/measure/src/fakes.rs
@@ -23,28 +23,28 @@
 };
 
 use crate::{
-    fake::{COLD, Connection, Fake, Inside, QUEUE},
+    fake::{ActiveCall, COLD, Connection, FakeTarget, QUEUE_LIMIT},
     virtual_time::VirtualTime,
 };
 
 /// The version of the index that every fake target holds.
 pub const VERSION: IndexVersion = IndexVersion(7);
 /// The mean service time.
-pub const SERVICE: Duration = Duration::from_millis(6);
+pub const SERVICE_TIME: Duration = Duration::from_millis(6);
 /// The spread of service times: the standard deviation of their logarithm.
-const SPREAD: f64 = 0.3;
+const SERVICE_SIGMA: f64 = 0.3;
 /// The cost of a new connection.
-const CONNECT: Duration = Duration::from_millis(6);
+const CONNECT_TIME: Duration = Duration::from_millis(6);
 /// The time after which a silent connection is found by the net layer.
-const SILENT: Duration = Duration::from_millis(300);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The time a crashed target needs to come back.
-const RESTART: Duration = Duration::from_secs(2);
+const RESTART_TIME: Duration = Duration::from_secs(2);
 /// The text of a request that crashes targets.
 pub const POISON: &str = "poison";
 
 /// What the targets saw.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Counters {
     pub runs: u64,
     pub crashes: u64,
     pub connects: u64,
@@ -54,10 +54,10 @@
 pub struct FakeTargets {
     time: VirtualTime,
     random: Random,
-    pub targets: HashMap<TargetName, Rc<Fake>>,
-    pub seen: RefCell<Seen>,
+    pub targets: HashMap<TargetName, Rc<FakeTarget>>,
+    pub counters: RefCell<Counters>,
     /// Whether runs are counted now.
-    pub counts: Cell<bool>,
+    pub counting: Cell<bool>,
     serial: Cell<u64>,
 }
 
@@ -67,19 +67,19 @@
             time: time.clone(),
             random: random.clone(),
             targets: HashMap::new(),
-            seen: RefCell::default(),
-            counts: Cell::new(false),
+            counters: RefCell::default(),
+            counting: Cell::new(false),
             serial: Cell::new(0),
         }
     }
 
-    async fn run(&self, fake: &Fake, call: &TargetCall) -> Result<TargetReply> {
+    async fn run(&self, fake: &FakeTarget, call: &TargetCall) -> Result<TargetReply> {
         let mut connection = self.connect(fake).await?;
         let incarnation = connection.incarnation;
         self.time.sleep(fake.delay.get()).await;
         if fake.cut.get() {
             connection.broken = true;
-            self.time.sleep(SILENT).await;
+            self.time.sleep(SILENCE_TIMEOUT).await;
             return Err(Error::ConnectionSilent);
         }
         if !fake.up.get() || fake.incarnation.get() != incarnation {
@@ -88,22 +88,22 @@
         if fake.phase.get() == Phase::Draining {
             return Err(Error::Draining);
         }
-        if fake.inner.borrow().waiting.len() >= QUEUE {
+        if fake.inner.borrow().waiting.len() >= QUEUE_LIMIT {
             return Err(Error::Shed { retry_ms: 20 });
         }
-        let (kill, killed) = oneshot::channel();
+        let (abort, aborted) = oneshot::channel();
         let serial = self.serial.get();
         self.serial.set(serial + 1);
-        fake.inner.borrow_mut().kills.insert(serial, kill);
+        fake.inner.borrow_mut().aborts.insert(serial, abort);
         let served = Box::pin(self.serve(fake, call, serial));
-        match select(served, killed).await {
+        match select(served, aborted).await {
             Either::Left((result, _)) => result?,
             Either::Right(_) => return Err(Error::ConnectionLost),
         }
         self.time.sleep(fake.delay.get()).await;
         if fake.cut.get() {
             connection.broken = true;
-            self.time.sleep(SILENT).await;
+            self.time.sleep(SILENCE_TIMEOUT).await;
             return Err(Error::ConnectionSilent);
         }
         let hit = Hit {
@@ -121,38 +121,38 @@
         })
     }
 
-    async fn serve(&self, fake: &Fake, call: &TargetCall, serial: u64) -> Result<()> {
-        let turn = fake.enter(self.time.now());
-        let runs = turn.is_none();
-        let mut inside = Inside { fake, time: &self.time, serial, runs, turn };
-        if let Some(turn) = &mut inside.turn {
-            turn.await.map_err(|_| Error::ConnectionLost)?;
-            inside.turn = None;
-            inside.runs = true;
+    async fn serve(&self, fake: &FakeTarget, call: &TargetCall, serial: u64) -> Result<()> {
+        let pending_slot = fake.acquire(self.time.now());
+        let holds_slot = pending_slot.is_none();
+        let mut active = ActiveCall { fake, time: &self.time, serial, holds_slot, pending_slot };
+        if let Some(pending_slot) = &mut active.pending_slot {
+            pending_slot.await.map_err(|_| Error::ConnectionLost)?;
+            active.pending_slot = None;
+            active.holds_slot = true;
         }
-        self.count();
+        self.count_run();
         self.time.sleep(self.service(fake)).await;
         if call.body.contains(POISON) {
-            self.seen.borrow_mut().crashes += 1;
+            self.counters.borrow_mut().crashes += 1;
             // The slot is left before its owner is gone.
-            drop(inside);
+            drop(active);
             self.crash(fake);
             return Err(Error::ConnectionLost);
         }
         Ok(())
     }
 
-    fn crash(&self, fake: &Fake) {
+    fn crash(&self, fake: &FakeTarget) {
         fake.stop();
         let name = self.targets.values().find(|other| std::ptr::eq(&***other, fake)).cloned();
         let (time, fake) = (self.time.clone(), name.expect("the target is in the table"));
         self.time.spawn(async move {
-            time.sleep(RESTART).await;
+            time.sleep(RESTART_TIME).await;
             fake.start();
         });
     }
 
-    fn service(&self, fake: &Fake) -> Duration {
+    fn service(&self, fake: &FakeTarget) -> Duration {
         let mut factor = fake.factor.get();
         if fake.cold.get() > 0 {
             fake.cold.set(fake.cold.get() - 1);
@@ -161,39 +161,40 @@
         // Box and Muller's way to a normal number, and from there a lognormal one.
         let (u, v) = (1.0 - self.random.fraction(), self.random.fraction());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
-        SERVICE.mul_f64(factor * (SPREAD * normal - SPREAD * SPREAD / 2.0).exp())
+        SERVICE_TIME
+            .mul_f64(factor * (SERVICE_SIGMA * normal - SERVICE_SIGMA * SERVICE_SIGMA / 2.0).exp())
     }
 
-    fn count(&self) {
-        if self.counts.get() {
-            self.seen.borrow_mut().runs += 1;
+    fn count_run(&self) {
+        if self.counting.get() {
+            self.counters.borrow_mut().runs += 1;
         }
     }
 
-    async fn connect<'a>(&self, fake: &'a Fake) -> Result<Connection<'a>> {
+    async fn connect<'a>(&self, fake: &'a FakeTarget) -> Result<Connection<'a>> {
         if fake.idle.get() > 0 {
             fake.idle.set(fake.idle.get() - 1);
             if fake.silent.get() > 0 {
                 fake.silent.set(fake.silent.get() - 1);
-                self.time.sleep(SILENT).await;
+                self.time.sleep(SILENCE_TIMEOUT).await;
                 return Err(Error::ConnectionSilent);
             }
             return Ok(Connection { fake, incarnation: fake.incarnation.get(), broken: false });
         }
         if fake.cut.get() {
-            self.time.sleep(SILENT).await;
+            self.time.sleep(SILENCE_TIMEOUT).await;
             return Err(Error::ConnectFailed);
         }
         self.time.sleep(2 * fake.delay.get()).await;
         if !fake.up.get() {
             return Err(Error::ConnectFailed);
         }
-        self.seen.borrow_mut().connects += 1;
-        self.time.sleep(CONNECT).await;
+        self.counters.borrow_mut().connects += 1;
+        self.time.sleep(CONNECT_TIME).await;
         Ok(Connection { fake, incarnation: fake.incarnation.get(), broken: false })
     }
 
-    fn find(&self, name: &TargetName) -> Result<&Rc<Fake>> {
+    fn find(&self, name: &TargetName) -> Result<&Rc<FakeTarget>> {
         self.targets.get(name).ok_or(Error::ConnectFailed)
     }
 }
--- a/crates/measure/src/latency.rs
+++ b/crates/measure/src/latency.rs
@@ -19,7 +19,7 @@
 use standins::{block_on, http::Client, plan::TargetPlan};
 
 use crate::{
-    processes::{Spec, World, load_average},
+    processes::{Cluster, Spec, load_average},
     processes_layout::{Callers, LIMIT, Shards, TENANT, start},
 };
 
@@ -58,15 +58,15 @@
     role: &'static str,
     fanout: usize,
     /// At fan-out 1, so many times more queries are sent.
-    fewer: usize,
+    query_divisor: usize,
 }
 
 const SMALL: [Case; 3] = [
-    Case { role: "f1", fanout: 1, fewer: 1 },
-    Case { role: "f10", fanout: 10, fewer: 2 },
-    Case { role: "f50", fanout: 50, fewer: 4 },
+    Case { role: "f1", fanout: 1, query_divisor: 1 },
+    Case { role: "f10", fanout: 10, query_divisor: 2 },
+    Case { role: "f50", fanout: 50, query_divisor: 4 },
 ];
-const LARGE: [Case; 1] = [Case { role: "f1600", fanout: 1_600, fewer: 50 }];
+const LARGE: [Case; 1] = [Case { role: "f1600", fanout: 1_600, query_divisor: 50 }];
 
 /// Runs the measurement.
 pub fn run(args: &Args) -> io::Result<()> {
@@ -106,32 +106,32 @@
     let one = start(spec(1), START_LIMIT).await?;
     let several = start(spec(args.nodes), START_LIMIT).await?;
     let several_name = format!("{} nodes", args.nodes);
-    let ways = [
-        Way::Direct(Direct::new(&one)),
-        Way::Tier("one node".to_owned(), Callers::new(&one, 4), &one),
-        Way::Tier(several_name, Callers::new(&several, 4), &several),
+    let paths = [
+        AccessPath::Direct(Direct::new(&one)),
+        AccessPath::Tier("one node".to_owned(), Callers::new(&one, 4), &one),
+        AccessPath::Tier(several_name, Callers::new(&several, 4), &several),
     ];
     for case in cases {
-        let mut results: Vec<Tally> = ways.iter().map(|_| Tally::new()).collect();
+        let mut results: Vec<Tally> = paths.iter().map(|_| Tally::new()).collect();
         // Connections are opened and queries become known.
-        for way in &ways {
-            turn(way, case, TEXTS * 6, &mut Tally::new()).await?;
+        for path in &paths {
+            turn(path, case, TEXTS * 6, &mut Tally::new()).await?;
         }
-        let queries = (args.queries / case.fewer).max(1);
+        let queries = (args.queries / case.query_divisor).max(1);
         for _ in 0..args.repeats {
-            for (way, tally) in ways.iter().zip(&mut results) {
-                turn(way, case, queries, tally).await?;
+            for (path, tally) in paths.iter().zip(&mut results) {
+                turn(path, case, queries, tally).await?;
             }
         }
-        for (way, tally) in ways.iter().zip(&results) {
-            print(case, way, tally, &results[0]);
+        for (path, tally) in paths.iter().zip(&results) {
+            print(case, path, tally, &results[0]);
         }
     }
     Ok(())
 }
 
 fn shards(case: &Case, service_ms: f64) -> Shards {
-    let like = TargetPlan {
+    let template = TargetPlan {
         slots: 16,
         queue: 64,
         connect_ms: 0,
@@ -139,7 +139,7 @@
         spread: 0.0,
         ..TargetPlan::default()
     };
-    Shards { role: case.role, count: case.fanout, replicas: 1, like }
+    Shards { role: case.role, count: case.fanout, replicas: 1, template }
 }
 
 /// What one way measured.
@@ -148,7 +148,7 @@
     medians: Vec<f64>,
     cpu: f64,
     queries: usize,
-    thin: usize,
+    incomplete: usize,
     reasons: BTreeMap<String, usize>,
 }
 
@@ -159,7 +159,7 @@
             medians: Vec::new(),
             cpu: 0.0,
             queries: 0,
-            thin: 0,
+            incomplete: 0,
             reasons: BTreeMap::new(),
         }
     }
@@ -176,23 +176,25 @@
 }
 
 /// A way to the targets.
-enum Way<'a> {
+enum AccessPath<'a> {
     Direct(Direct),
-    Tier(String, Callers, &'a World),
+    Tier(String, Callers, &'a Cluster),
 }
 
-impl Way<'_> {
+impl AccessPath<'_> {
     fn name(&self) -> &str {
         match self {
-            Way::Direct(_) => "direct",
-            Way::Tier(name, ..) => name,
+            AccessPath::Direct(_) => "direct",
+            AccessPath::Tier(name, ..) => name,
         }
     }
 
     fn cpu(&self) -> io::Result<f64> {
         match self {
-            Way::Direct(_) => Ok(0.0),
-            Way::Tier(_, _, world) => Ok(world.usage()?.iter().map(|usage| usage.cpu).sum()),
+            AccessPath::Direct(_) => Ok(0.0),
+            AccessPath::Tier(_, _, cluster) => {
+                Ok(cluster.usage()?.iter().map(|usage| usage.cpu).sum())
+            }
         }
     }
 
@@ -200,8 +202,8 @@
     async fn query(&self, number: usize, case: &Case) -> io::Result<Vec<String>> {
         let text = format!("room {}", number % TEXTS);
         match self {
-            Way::Direct(direct) => direct.query(number, case, &text).await,
-            Way::Tier(_, callers, _) => {
+            AccessPath::Direct(direct) => direct.query(number, case, &text).await,
+            AccessPath::Tier(_, callers, _) => {
                 // The known queries meet each node, not always the same one.
                 let node = number / TEXTS;
                 let coverage = callers.search(node, case.role, &text).await?.coverage;
@@ -211,25 +213,30 @@
     }
 }
 
-async fn turn(way: &Way<'_>, case: &Case, queries: usize, tally: &mut Tally) -> io::Result<()> {
-    let cpu = way.cpu()?;
+async fn turn(
+    path: &AccessPath<'_>,
+    case: &Case,
+    queries: usize,
+    tally: &mut Tally,
+) -> io::Result<()> {
+    let cpu = path.cpu()?;
     let mut times = histogram();
     for number in 0..queries {
         let start = std::time::Instant::now();
-        let missing = way.query(number, case).await?;
+        let missing = path.query(number, case).await?;
         times.record(start.elapsed().as_micros() as u64).map_err(io::Error::other)?;
-        tally.thin += usize::from(!missing.is_empty());
+        tally.incomplete += usize::from(!missing.is_empty());
         for reason in missing {
             *tally.reasons.entry(reason).or_default() += 1;
         }
     }
-    tally.cpu += way.cpu()? - cpu;
+    tally.cpu += path.cpu()? - cpu;
     tally.queries += queries;
     tally.medians.push(quantile(&times, 0.5));
     tally.all.add(&times).map_err(io::Error::other)
 }
 
-fn print(case: &Case, way: &Way<'_>, tally: &Tally, direct: &Tally) {
+fn print(case: &Case, path: &AccessPath<'_>, tally: &Tally, direct: &Tally) {
     let at = |share| quantile(&tally.all, share);
     let added = |share| at(share) - quantile(&direct.all, share);
     let least = tally.medians.iter().copied().fold(f64::INFINITY, f64::min);
@@ -237,13 +244,13 @@
     let cost = tally.cpu * 1e6 / (tally.queries * case.fanout) as f64;
     let cost = if tally.cpu > 0.0 { format!("{cost:.1}") } else { "-".to_owned() };
     for (reason, count) in &tally.reasons {
-        eprintln!("{} at fan-out {}: {count} shards missing: {reason}", way.name(), case.fanout);
+        eprintln!("{} at fan-out {}: {count} shards missing: {reason}", path.name(), case.fanout);
     }
     println!(
         "| {} | {} | {} | {:.2} | {least:.2}-{most:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} \
          | {cost} | {} |",
         case.fanout,
-        way.name(),
+        path.name(),
         tally.queries,
         at(0.5),
         at(0.99),
@@ -251,7 +258,7 @@
         added(0.5),
         added(0.99),
         added(0.999),
-        tally.thin,
+        tally.incomplete,
     );
 }
 
@@ -261,8 +268,8 @@
 }
 
 impl Direct {
-    fn new(world: &World) -> Direct {
-        let targets = world.targets.iter().map(|target| {
+    fn new(cluster: &Cluster) -> Direct {
+        let targets = cluster.targets.iter().map(|target| {
             let shard = target.name.as_str().rsplit_once('.').map_or("", |(shard, _)| shard);
             let client = Client::new(target.address, Duration::from_secs(5));
             (ShardName::from(shard), Rc::new(client))
--- a/crates/measure/src/nodes.rs
+++ b/crates/measure/src/nodes.rs
@@ -32,7 +32,7 @@
 /// The nodes of the tier.
 pub const NODES: usize = 9;
 /// The one-way delay between two nodes.
-pub const HOP: Duration = Duration::from_micros(500);
+pub const HOP_DELAY: Duration = Duration::from_micros(500);
 
 /// A node: a holder and a root.
 pub struct BenchNode {
@@ -116,9 +116,9 @@
             let registry =
                 self.nodes.borrow().get(&address).cloned().ok_or(Error::ConnectFailed)?;
             let handler: Rc<dyn PeerHandler> = registry.find(message.service())?;
-            self.time.sleep(HOP).await;
+            self.time.sleep(HOP_DELAY).await;
             let reply = timeout_at(&self.time, deadline, handler.handle(message.clone())).await?;
-            self.time.sleep(HOP).await;
+            self.time.sleep(HOP_DELAY).await;
             Ok(reply.unwrap_or_else(PeerReply::Failed))
         })
     }
@@ -163,7 +163,7 @@
 }
 
 /// The time that a mark needs to reach the other nodes.
-const SPREAD: Duration = Duration::from_millis(200);
+const MARK_DELAY: Duration = Duration::from_millis(200);
 
 /// Marks that every node knows a moment after they were set.
 pub struct FakeMarks {
@@ -182,7 +182,7 @@
         let now = self.time.now();
         let until = now + Duration::from_millis(mark.left_ms);
         let mut marks = self.marks.borrow_mut();
-        let entry = marks.entry(mark.kind).or_insert((now + SPREAD, until));
+        let entry = marks.entry(mark.kind).or_insert((now + MARK_DELAY, until));
         entry.1 = until;
     }
 
--- a/crates/measure/src/processes.rs
+++ b/crates/measure/src/processes.rs
@@ -28,13 +28,13 @@
 use crate::processes_layout::{CENTRES, Shards, plans};
 
 /// How long a stand-in or a node may take to answer about itself.
-const CONTROL_LIMIT: Duration = Duration::from_secs(30);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How many nodes stand in the settings of each as those to join.
-const SEEDS: usize = 3;
+const SEED_COUNT: usize = 3;
 
 /// Ticks of processor time in a second, as Linux reports them to programs.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// What a world is made of.
 pub struct Spec {
@@ -79,7 +79,7 @@
 }
 
 /// The processes of a measurement.
-pub struct World {
+pub struct Cluster {
     /// The nodes.
     pub nodes: Vec<NodeProcess>,
     /// The targets.
@@ -90,7 +90,7 @@
     pub spec: Spec,
     controls: Vec<SocketAddr>,
     _standins: Vec<Process>,
-    _folder: Folder,
+    _temp_dir: TempDir,
 }
 
 #[derive(serde::Deserialize)]
@@ -98,13 +98,13 @@
     address: SocketAddr,
 }
 
-impl World {
+impl Cluster {
     /// Starts all processes; the nodes have no document yet.
-    pub async fn start(spec: Spec) -> io::Result<World> {
-        let folder = Folder::create(&spec.name)?;
+    pub async fn start(spec: Spec) -> io::Result<Cluster> {
+        let folder = TempDir::create(&spec.name)?;
         let log = folder.0.join("standins.log");
         let mut platform = Process::start("standin-store", &[], &log)?;
-        let PlatformPort { address } = platform.ports()?;
+        let PlatformPort { address } = platform.read_ports()?;
         let mut standins = vec![platform];
         let mut controls = Vec::new();
         let mut targets = Vec::new();
@@ -113,32 +113,32 @@
             fs::write(&file, toml::to_string(plan).map_err(io::Error::other)?)?;
             let args = ["--plan".to_owned(), file.display().to_string()];
             let mut process = Process::start("standin-targets", &args, &log)?;
-            let ports: FleetPorts = process.ports()?;
+            let ports: FleetPorts = process.read_ports()?;
             standins.push(process);
             controls.push(ports.control);
             targets.extend(ports.targets);
         }
         let (nodes, peers) = start_nodes(&spec, address, &folder.0)?;
-        let world = World {
+        let cluster = Cluster {
             nodes,
             targets,
             platform: address,
             spec,
             controls,
             _standins: standins,
-            _folder: folder,
+            _temp_dir: folder,
         };
-        world.list_vms(&peers).await?;
-        Ok(world)
+        cluster.list_vms(&peers).await?;
+        Ok(cluster)
     }
 
     /// Waits until every node that runs serves and sees just those as up.
-    pub async fn settle(&self, limit: Duration) -> io::Result<()> {
+    pub async fn wait_until_converged(&self, limit: Duration) -> io::Result<()> {
         let until = std::time::Instant::now() + limit;
         let up = self.running().count();
         for node in self.running() {
-            let client = Client::new(node.entry, CONTROL_LIMIT);
-            while !is_settled(&client, up).await {
+            let client = Client::new(node.entry, CONTROL_TIMEOUT);
+            while !has_converged(&client, up).await {
                 if std::time::Instant::now() > until {
                     return Err(io::Error::other(format!("{} did not settle", node.entry)));
                 }
@@ -163,7 +163,7 @@
 
     /// The calls that the platform has counted.
     pub async fn calls(&self) -> io::Result<Calls> {
-        Client::new(self.platform, CONTROL_LIMIT).get("/standin/calls").await?.json()
+        Client::new(self.platform, CONTROL_TIMEOUT).get("/standin/calls").await?.json()
     }
 
     /// What the targets ran, except for the first `after` of each process.
@@ -171,7 +171,7 @@
         let mut logs = Vec::new();
         for (number, control) in self.controls.iter().enumerate() {
             let after = after.get(number).copied().unwrap_or_default();
-            let client = Client::new(*control, CONTROL_LIMIT);
+            let client = Client::new(*control, CONTROL_TIMEOUT);
             logs.push(client.get(&format!("/standin/log?after={after}")).await?.json()?);
         }
         Ok(logs)
@@ -182,7 +182,7 @@
     pub async fn metric(&self, name: &str) -> Vec<f64> {
         let mut sums = Vec::new();
         for node in self.running() {
-            let reply = Client::new(node.entry, CONTROL_LIMIT).get("/metrics").await;
+            let reply = Client::new(node.entry, CONTROL_TIMEOUT).get("/metrics").await;
             let text = reply.map(|reply| String::from_utf8_lossy(&reply.body).into_owned());
             let text = text.unwrap_or_default();
             let lines = text.lines().filter(|line| line.starts_with(name));
@@ -219,12 +219,12 @@
             leaving: false,
         };
         let vms: Vec<Vm> = peers.iter().enumerate().map(vm).collect();
-        Client::new(self.platform, CONTROL_LIMIT).post("/standin/vms", &vms).await?;
+        Client::new(self.platform, CONTROL_TIMEOUT).post("/standin/vms", &vms).await?;
         Ok(())
     }
 }
 
-async fn is_settled(client: &Client, nodes: usize) -> bool {
+async fn has_converged(client: &Client, nodes: usize) -> bool {
     let Ok(ready) = client.get("/readyz").await else {
         return false;
     };
@@ -252,7 +252,7 @@
             },
             listen: ListenSettings { entry: entries[number], peer: peers[number] },
             platform: PlatformSettings { address: platform, ..Default::default() },
-            join: JoinSettings { seeds: peers.iter().take(SEEDS).copied().collect() },
+            join: JoinSettings { seeds: peers.iter().take(SEED_COUNT).copied().collect() },
             limits: LimitSettings { connections: spec.connections, ..Default::default() },
             groups: GroupSettings { shards: spec.group, ..Default::default() },
             ..Default::default()
@@ -299,7 +299,7 @@
     }
 
     /// Reads the line in which a stand-in tells its ports.
-    fn ports<T: DeserializeOwned>(&mut self) -> io::Result<T> {
+    fn read_ports<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         let Some(output) = self.child.stdout.take() else {
             return Err(io::Error::other("the output was read before"));
         };
@@ -327,7 +327,7 @@
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     let kilobytes: f64 = memory.split_whitespace().next()?.parse().ok()?;
-    Some(Usage { cpu: ticks / TICKS, memory: kilobytes / 1_024.0 })
+    Some(Usage { cpu: ticks / TICKS_PER_SECOND, memory: kilobytes / 1_024.0 })
 }
 
 impl Drop for Process {
@@ -339,18 +339,18 @@
 }
 
 /// A folder that goes when this is dropped.
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn create(name: &str) -> io::Result<Folder> {
+impl TempDir {
+    fn create(name: &str) -> io::Result<TempDir> {
         let own = std::process::id();
         let path = std::env::temp_dir().join(format!("kumquatnotch-measure-{own}-{name}"));
         fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TempDir(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
--- a/crates/measure/src/processes_layout.rs
+++ b/crates/measure/src/processes_layout.rs
@@ -24,7 +24,7 @@
 use serde_json::json;
 use standins::plan::{Plan, TargetPlan};
 
-use crate::processes::World;
+use crate::processes::Cluster;
 
 /// The data centres, all of one region.
 pub const CENTRES: [&str; 8] =
@@ -51,7 +51,7 @@
     /// The replicas of each.
     pub replicas: usize,
     /// What each target is like.
-    pub like: TargetPlan,
+    pub template: TargetPlan,
 }
 
 /// The plans of `processes` processes, over which targets are laid in turn.
@@ -74,19 +74,19 @@
             total: shards.count as u32,
         };
         let name = TargetName::from(format!("{shard}.{}", number % shards.replicas));
-        TargetPlan { name, held: vec![held], ..shards.like.clone() }
+        TargetPlan { name, held: vec![held], ..shards.template.clone() }
     })
 }
 
-/// The document that puts the targets of `world` into service.
-pub fn document(world: &World) -> Document {
-    let targets = world.targets.iter().enumerate().map(|(number, target)| {
+/// The document that puts the targets of `cluster` into service.
+pub fn document(cluster: &Cluster) -> Document {
+    let targets = cluster.targets.iter().enumerate().map(|(number, target)| {
         let shard = target.name.as_str().rsplit_once('.').map_or("", |(shard, _)| shard);
         let role = shard.rsplit_once('-').map_or("", |(role, _)| role);
-        let centre = CENTRES[number % world.spec.centres];
+        let centre = CENTRES[number % cluster.spec.centres];
         (target.name.clone(), target_spec(target.address, centre, shard, role))
     });
-    let selectors = world.spec.shards.iter().map(|shards| {
+    let selectors = cluster.spec.shards.iter().map(|shards| {
         let selector = SelectorSpec {
             targets: Expression::parse(&format!("role = {}", shards.role))
                 .expect("the expression is right"),
@@ -118,10 +118,10 @@
     }
 }
 
-/// The operators' side of the platform of `world`.
-pub fn store(world: &World) -> DocumentStore {
+/// The operators' side of the platform of `cluster`.
+pub fn store(cluster: &Cluster) -> DocumentStore {
     let clock: Rc<dyn Clock> = Rc::new(RuntimeClock);
-    let client = Rc::new(StoreClient::new(StoreOptions::new(world.platform), clock.clone()));
+    let client = Rc::new(StoreClient::new(StoreOptions::new(cluster.platform), clock.clone()));
     DocumentStore::new(client, clock, Random::with_seed(1))
 }
 
@@ -134,11 +134,11 @@
 }
 
 /// Starts a world of `spec`, puts its document in force, and waits for it.
-pub async fn start(spec: crate::processes::Spec, limit: Duration) -> io::Result<World> {
-    let world = World::start(spec).await?;
-    publish(&store(&world), &document(&world)).await?;
-    world.settle(limit).await?;
-    Ok(world)
+pub async fn start(spec: crate::processes::Spec, limit: Duration) -> io::Result<Cluster> {
+    let cluster = Cluster::start(spec).await?;
+    publish(&store(&cluster), &document(&cluster)).await?;
+    cluster.wait_until_converged(limit).await?;
+    Ok(cluster)
 }
 
 /// A caller of every node of a world.
@@ -148,13 +148,13 @@
 
 impl Callers {
     /// Callers that open at most `connections` to each node.
-    pub fn new(world: &World, connections: usize) -> Callers {
+    pub fn new(cluster: &Cluster, connections: usize) -> Callers {
         let clock: Rc<dyn Clock> = Rc::new(RuntimeClock);
         let client = |(number, node): (usize, &crate::processes::NodeProcess)| {
             let random = Random::with_seed(number as u64);
             CallerClient::new(node.entry, connections, clock.clone(), random)
         };
-        Callers { clients: world.nodes.iter().enumerate().map(client).collect() }
+        Callers { clients: cluster.nodes.iter().enumerate().map(client).collect() }
     }
 
     /// Sends a search to node `number`, modulo the count of nodes.
--- a/crates/measure/src/routes.rs
+++ b/crates/measure/src/routes.rs
@@ -82,9 +82,9 @@
     let mut took = Histogram::<u64>::new(3).map_err(Error::internal)?;
     let mut missing = 0;
     // Connections are opened before the measurement starts.
-    for warm in [true, false] {
+    for is_warm_up in [true, false] {
         let before = processor_time()?;
-        let count = if warm { 20 } else { args.searches };
+        let count = if is_warm_up { 20 } else { args.searches };
         for index in 0..count {
             let identity = format!("{index:016x}");
             let headers = [("host", "rooms.example"), ("x-request-id", identity.as_str())];
@@ -96,7 +96,7 @@
             }
             took.saturating_record(start.elapsed().as_micros() as u64);
         }
-        if warm {
+        if is_warm_up {
             took.reset();
             continue;
         }
--- a/crates/measure/src/spread.rs
+++ b/crates/measure/src/spread.rs
@@ -13,28 +13,28 @@
 use standins::{block_on, http::Client, plan::TargetPlan};
 
 use crate::{
-    processes::{Spec, World, load_average},
+    processes::{Cluster, Spec, load_average},
     processes_layout::{Shards, document, publish, store, target_spec},
-    today::mean,
+    today::mean_usage,
 };
 
 const ROLE: &str = "desk";
 const CENTRES: usize = 3;
 
 /// How long processes may take to come up, for each node.
-const START_LIMIT: Duration = Duration::from_millis(1_500);
+const START_LIMIT_PER_NODE: Duration = Duration::from_millis(1_500);
 
 /// The least of it.
-const LEAST_LIMIT: Duration = Duration::from_secs(60);
+const MIN_START_LIMIT: Duration = Duration::from_secs(60);
 
 /// How long the last change has before it counts as not in force everywhere.
-const REST: Duration = Duration::from_secs(19);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(19);
 
 /// How often the status of all is asked for.
-const STATUSES: usize = 7;
+const STATUS_SAMPLES: usize = 7;
 
 /// The line of a node's log that tells of a version.
-const LINE: &str = "config: version ";
+const VERSION_LOG_PREFIX: &str = "config: version ";
 
 /// Measure how configuration spreads and what control costs, with real processes.
 #[derive(FromArgs)]
@@ -65,7 +65,7 @@
     let sizes = if args.nodes.is_empty() { vec![9, 30, 60, 120] } else { args.nodes.clone() };
     println!("load average at the start: {}\n", load_average());
     println!("{} targets are declared besides those that run\n", args.targets);
-    print_document()?;
+    print_document_sizes()?;
     println!(
         "\n| nodes | changes | not everywhere in 19 s | in force everywhere: p50 ms | max ms \
          | on a node: p50 ms | idle node: MiB | most MiB | idle node: % of a core \
@@ -81,9 +81,9 @@
 }
 
 /// What the nodes of a world used in a while.
-struct Cost {
+struct ResourceUse {
     memory: f64,
-    most: f64,
+    max_memory: f64,
     cpu: f64,
     bytes: f64,
     messages: f64,
@@ -92,19 +92,19 @@
 }
 
 async fn measure(args: &Args, nodes: usize) -> io::Result<()> {
-    let limit = LEAST_LIMIT.max(START_LIMIT * nodes as u32);
-    let world = World::start(spec(nodes)).await?;
-    let document = document_of(args, &world);
-    publish(&store(&world), &document).await?;
-    world.settle(limit).await?;
+    let limit = MIN_START_LIMIT.max(START_LIMIT_PER_NODE * nodes as u32);
+    let cluster = Cluster::start(spec(nodes)).await?;
+    let document = extended_document(args, &cluster);
+    publish(&store(&cluster), &document).await?;
+    cluster.wait_until_converged(limit).await?;
     monoio::time::sleep(Duration::from_secs(args.calm)).await;
     let pause = monoio::time::sleep(Duration::from_secs(args.idle));
-    let idle = cost_of(&world, pause).await?;
+    let idle = measure_use(&cluster, pause).await?;
     let mut starts = BTreeMap::new();
-    let busy = cost_of(&world, change(args, &world, document, &mut starts)).await?;
-    monoio::time::sleep(REST).await;
-    let status = status_ms(&world).await?;
-    print(nodes, &world, &starts, &idle, &busy, status)
+    let busy = measure_use(&cluster, apply_changes(args, &cluster, document, &mut starts)).await?;
+    monoio::time::sleep(PROPAGATION_LIMIT).await;
+    let status = status_ms(&cluster).await?;
+    print(nodes, &cluster, &starts, &idle, &busy, status)
 }
 
 fn spec(nodes: usize) -> Spec {
@@ -112,7 +112,7 @@
         name: format!("spread-{nodes}"),
         nodes,
         centres: CENTRES,
-        shards: vec![Shards { role: ROLE, count: 5, replicas: 2, like: TargetPlan::default() }],
+        shards: vec![Shards { role: ROLE, count: 5, replicas: 2, template: TargetPlan::default() }],
         processes: 1,
         connections: 3,
         group: 8,
@@ -120,29 +120,33 @@
 }
 
 /// The document of a world with as many more targets as were asked for.
-fn document_of(args: &Args, world: &World) -> Document {
-    let mut document = document(world);
+fn extended_document(args: &Args, cluster: &Cluster) -> Document {
+    let mut document = document(cluster);
     let mut more = big_document(args.targets, "other").targets;
     document.targets.append(&mut more);
     document
 }
 
-async fn cost_of<T>(world: &World, work: impl Future<Output = T>) -> io::Result<Cost> {
-    let before = world.usage()?;
-    let calls = world.calls().await?;
-    let bytes = world.metric("kumquatnotch_control_bytes_total").await;
-    let messages = world.metric("kumquatnotch_control_messages_total").await;
+async fn measure_use<T>(
+    cluster: &Cluster,
+    work: impl Future<Output = T>,
+) -> io::Result<ResourceUse> {
+    let before = cluster.usage()?;
+    let calls = cluster.calls().await?;
+    let bytes = cluster.metric("kumquatnotch_control_bytes_total").await;
+    let messages = cluster.metric("kumquatnotch_control_messages_total").await;
     let start = Instant::now();
     work.await;
     let seconds = start.elapsed().as_secs_f64();
-    let after = world.usage()?;
-    let calls = world.calls().await?.total - calls.total;
-    let bytes = growth(&bytes, &world.metric("kumquatnotch_control_bytes_total").await);
-    let messages = growth(&messages, &world.metric("kumquatnotch_control_messages_total").await);
-    let (memory, cpu) = mean(&before, &after);
-    Ok(Cost {
+    let after = cluster.usage()?;
+    let calls = cluster.calls().await?.total - calls.total;
+    let bytes = mean_growth(&bytes, &cluster.metric("kumquatnotch_control_bytes_total").await);
+    let messages =
+        mean_growth(&messages, &cluster.metric("kumquatnotch_control_messages_total").await);
+    let (memory, cpu) = mean_usage(&before, &after);
+    Ok(ResourceUse {
         memory,
-        most: after.iter().map(|usage| usage.memory).fold(0.0, f64::max),
+        max_memory: after.iter().map(|usage| usage.memory).fold(0.0, f64::max),
         cpu: cpu / seconds * 100.0,
         bytes: bytes / seconds,
         messages: messages / seconds,
@@ -152,19 +156,19 @@
 }
 
 /// The mean growth of a counter of the nodes.
-fn growth(before: &[f64], after: &[f64]) -> f64 {
+fn mean_growth(before: &[f64], after: &[f64]) -> f64 {
     let sum: f64 = after.iter().zip(before).map(|(after, before)| after - before).sum();
     sum / after.len().max(1) as f64
 }
 
 /// Makes changes; `starts` gets the time at which the writing of each began.
-async fn change(
+async fn apply_changes(
     args: &Args,
-    world: &World,
+    cluster: &Cluster,
     mut document: Document,
     starts: &mut BTreeMap<u64, u64>,
 ) {
-    let store = store(world);
+    let store = store(cluster);
     for _ in 0..args.changes {
         monoio::time::sleep(Duration::from_secs(args.pause)).await;
         if let Some(target) = document.targets.values_mut().next() {
@@ -180,14 +184,14 @@
 
 fn print(
     nodes: usize,
-    world: &World,
+    cluster: &Cluster,
     starts: &BTreeMap<u64, u64>,
-    idle: &Cost,
-    busy: &Cost,
+    idle: &ResourceUse,
+    busy: &ResourceUse,
     status: f64,
 ) -> io::Result<()> {
-    let logs = (0..nodes).map(|number| world.node_log(number)).collect::<io::Result<Vec<_>>>()?;
-    let seen: Vec<BTreeMap<u64, u64>> = logs.iter().map(|log| in_force(log)).collect();
+    let logs = (0..nodes).map(|number| cluster.node_log(number)).collect::<io::Result<Vec<_>>>()?;
+    let seen: Vec<BTreeMap<u64, u64>> = logs.iter().map(|log| activation_times(log)).collect();
     let mut everywhere = Vec::new();
     let mut each = Vec::new();
     let mut missing = 0;
@@ -205,11 +209,11 @@
         "| {nodes} | {} | {missing} | {:.0} | {:.0} | {:.0} | {:.1} | {:.1} | {:.2} | {:.0} \
          | {:.1} | {:.2} | {:.0} | {:.1} | {:.1} | {:.1} | {status:.1} |",
         starts.len(),
-        at(&mut everywhere, 0.5),
-        at(&mut everywhere, 1.0),
-        at(&mut each, 0.5),
+        quantile_ms(&mut everywhere, 0.5),
+        quantile_ms(&mut everywhere, 1.0),
+        quantile_ms(&mut each, 0.5),
         idle.memory,
-        idle.most,
+        idle.max_memory,
         idle.cpu,
         idle.bytes,
         idle.messages,
@@ -223,25 +227,25 @@
 }
 
 /// The median time in which a node asks all others for their configuration.
-async fn status_ms(world: &World) -> io::Result<f64> {
-    let client = Client::new(world.nodes[0].entry, REST);
+async fn status_ms(cluster: &Cluster) -> io::Result<f64> {
+    let client = Client::new(cluster.nodes[0].entry, PROPAGATION_LIMIT);
     let mut times = Vec::new();
-    for _ in 0..STATUSES {
+    for _ in 0..STATUS_SAMPLES {
         let start = Instant::now();
         let report: ConfigReport = client.get("/v1/config").await?.json()?;
         times.push(start.elapsed().as_micros() as u64);
-        let told = report.nodes.iter().filter(|node| node.confirmation.is_some()).count();
-        if told < world.nodes.len() {
-            eprintln!("{told} of {} nodes told their configuration", world.nodes.len());
+        let answered = report.nodes.iter().filter(|node| node.confirmation.is_some()).count();
+        if answered < cluster.nodes.len() {
+            eprintln!("{answered} of {} nodes reported their configuration", cluster.nodes.len());
         }
     }
-    Ok(at(&mut times, 0.5))
+    Ok(quantile_ms(&mut times, 0.5))
 }
 
 /// When each version came into force by a node's log, in microseconds.
-fn in_force(log: &str) -> BTreeMap<u64, u64> {
+fn activation_times(log: &str) -> BTreeMap<u64, u64> {
     let line = |line: &str| {
-        let (_, rest) = line.split_once(LINE)?;
+        let (_, rest) = line.split_once(VERSION_LOG_PREFIX)?;
         let version: u64 = rest.split_whitespace().next()?.parse().ok()?;
         let time = parse_rfc3339(line.split_whitespace().next()?).ok()?;
         Some((version, time.duration_since(UNIX_EPOCH).ok()?.as_micros() as u64))
@@ -250,7 +254,7 @@
 }
 
 /// A quantile in milliseconds of times in microseconds.
-fn at(times: &mut [u64], share: f64) -> f64 {
+fn quantile_ms(times: &mut [u64], share: f64) -> f64 {
     times.sort_unstable();
     let last = times.len().saturating_sub(1);
     let place = (last as f64 * share).round() as usize;
@@ -262,7 +266,7 @@
 }
 
 /// What a document weighs, and what one change of it makes new.
-fn print_document() -> io::Result<()> {
+fn print_document_sizes() -> io::Result<()> {
     println!(
         "| targets | values | bytes in all | largest | new after one change: values | bytes |"
     );
--- a/crates/measure/src/spread_storm.rs
+++ b/crates/measure/src/spread_storm.rs
@@ -14,7 +14,7 @@
 use standins::{block_on, http::Client, plan::TargetPlan};
 
 use crate::{
-    processes::{Spec, World, load_average},
+    processes::{Cluster, Spec, load_average},
     processes_layout::{Shards, document, publish, store},
 };
 
@@ -22,10 +22,10 @@
 const CENTRES: usize = 8;
 
 /// How long a phase may take.
-const PHASE_LIMIT: Duration = Duration::from_secs(120);
+const PHASE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// How long the nodes are left alone between two phases.
-const PAUSE: Duration = Duration::from_secs(5);
+const PHASE_PAUSE: Duration = Duration::from_secs(5);
 
 /// Measure storms of the fleet and the platform's calls through them.
 #[derive(FromArgs)]
@@ -54,29 +54,29 @@
 }
 
 async fn measure(nodes: usize) -> io::Result<()> {
-    let mut world = World::start(spec(nodes)).await?;
-    let store = store(&world);
-    publish(&store, &document(&world)).await?;
-    phase(&world, "start of all").await?;
+    let mut cluster = Cluster::start(spec(nodes)).await?;
+    let store = store(&cluster);
+    publish(&store, &document(&cluster)).await?;
+    measure_phase(&cluster, "start of all").await?;
 
     let lost = |number: &usize| number.is_multiple_of(CENTRES);
     for number in (0..nodes).filter(lost) {
-        world.nodes[number].kill();
+        cluster.nodes[number].kill();
     }
-    phase(&world, "a data centre lost").await?;
+    measure_phase(&cluster, "a data centre lost").await?;
 
     for number in (0..nodes).filter(lost) {
-        world.nodes[number].launch()?;
+        cluster.nodes[number].launch()?;
     }
-    phase(&world, "its return").await?;
+    measure_phase(&cluster, "its return").await?;
 
-    for node in &mut world.nodes {
+    for node in &mut cluster.nodes {
         node.kill();
     }
-    for node in &mut world.nodes {
+    for node in &mut cluster.nodes {
         node.launch()?;
     }
-    phase(&world, "restart of all").await
+    measure_phase(&cluster, "restart of all").await
 }
 
 fn spec(nodes: usize) -> Spec {
@@ -84,7 +84,7 @@
         name: format!("storm-{nodes}"),
         nodes,
         centres: CENTRES,
-        shards: vec![Shards { role: ROLE, count: 5, replicas: 2, like: TargetPlan::default() }],
+        shards: vec![Shards { role: ROLE, count: 5, replicas: 2, template: TargetPlan::default() }],
         processes: 1,
         connections: 3,
         group: 8,
@@ -92,51 +92,51 @@
 }
 
 /// Waits until the nodes that run agree on who is up, and prints what it cost.
-async fn phase(world: &World, name: &str) -> io::Result<()> {
-    let calls = world.calls().await?;
+async fn measure_phase(cluster: &Cluster, name: &str) -> io::Result<()> {
+    let calls = cluster.calls().await?;
     let start = Instant::now();
     // Those that have just been launched don't answer yet: their counts start at zero.
-    let before = world.metric(BYTES).await;
-    let usage = world.usage()?;
-    let watch = Rc::new(Cell::new(0));
-    let sampler = monoio::spawn(sample(world.platform, watch.clone()));
-    let settled = world.settle(PHASE_LIMIT).await;
+    let before = cluster.metric(CONTROL_BYTES_METRIC).await;
+    let usage = cluster.usage()?;
+    let peak_calls = Rc::new(Cell::new(0));
+    let sampler = monoio::spawn(sample_calls(cluster.platform, peak_calls.clone()));
+    let converged = cluster.wait_until_converged(PHASE_TIMEOUT).await;
     let took = start.elapsed().as_secs_f64();
     drop(sampler);
-    let last = world.calls().await?;
-    let bytes = world.metric(BYTES).await;
+    let last = cluster.calls().await?;
+    let bytes = cluster.metric(CONTROL_BYTES_METRIC).await;
     let count = bytes.len().max(1) as f64;
     let grown: f64 = bytes.iter().zip(&before).map(|(now, then)| (now - then).max(0.0)).sum();
-    let now = world.usage()?;
+    let now = cluster.usage()?;
     let cpu: f64 = now.iter().zip(&usage).map(|(now, then)| now.cpu - then.cpu).sum();
     let memory: f64 = now.iter().map(|usage| usage.memory).sum();
     println!(
         "| {} | {name} | {} | {} | {} | {} | {:.0} | {:.2} | {:.1} |",
-        world.spec.nodes,
-        settled.map_or_else(|error| format!("not in time: {error}"), |()| format!("{took:.1}")),
+        cluster.spec.nodes,
+        converged.map_or_else(|error| format!("not in time: {error}"), |()| format!("{took:.1}")),
         last.total - calls.total,
-        watch.get(),
+        peak_calls.get(),
         last.refused - calls.refused,
         grown / count / took,
         cpu / count,
         memory / count,
     );
-    monoio::time::sleep(PAUSE).await;
+    monoio::time::sleep(PHASE_PAUSE).await;
     Ok(())
 }
 
-const BYTES: &str = "kumquatnotch_control_bytes_total";
+const CONTROL_BYTES_METRIC: &str = "kumquatnotch_control_bytes_total";
 
-/// Keeps the most calls in any second in `most`, until it is the last to hold it.
-async fn sample(platform: SocketAddr, most: Rc<Cell<u64>>) {
-    let client = Client::new(platform, PHASE_LIMIT);
+/// Keeps the most calls in any second in `peak`, until it is the last to hold it.
+async fn sample_calls(platform: SocketAddr, peak: Rc<Cell<u64>>) {
+    let client = Client::new(platform, PHASE_TIMEOUT);
     let mut last = None;
-    while Rc::strong_count(&most) > 1 {
+    while Rc::strong_count(&peak) > 1 {
         if let Ok(calls) = client.get("/standin/calls").await
             && let Ok(calls) = calls.json::<Calls>()
         {
             let grown = calls.total - last.unwrap_or(calls.total);
-            most.set(most.get().max(grown));
+            peak.set(peak.get().max(grown));
             last = Some(calls.total);
         }
         monoio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/measure/src/today.rs
+++ b/crates/measure/src/today.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     latency::{histogram, quantile},
-    processes::{Spec, Usage, World, load_average},
+    processes::{Cluster, Spec, Usage, load_average},
     processes_layout::{Callers, Shards, start},
 };
 
@@ -26,13 +26,13 @@
 const START_LIMIT: Duration = Duration::from_secs(60);
 
 /// How long the last queries of a turn may take.
-const REST: Duration = Duration::from_secs(4);
+const DRAIN_LIMIT: Duration = Duration::from_secs(4);
 
 /// The rate at which a new world is warmed up, and for how long.
 const WARM_UP: (f64, Duration) = (20.0, Duration::from_secs(3));
 
 /// A run that came this long before its start waited for a slot, in microseconds.
-const WAITED_US: u64 = 200;
+const QUEUED_THRESHOLD_US: u64 = 200;
 
 /// One query in so many has a text that no node has seen.
 const NEW_EVERY: usize = 5;
@@ -84,13 +84,13 @@
 }
 
 async fn measure(args: &Args, rates: &[f64], settings: &[usize]) -> io::Result<()> {
-    let mut worlds = Vec::new();
+    let mut clusters = Vec::new();
     for connections in settings {
-        let world = start(spec(args, *connections), START_LIMIT).await?;
-        worlds.push(Site::new(world));
+        let cluster = start(spec(args, *connections), START_LIMIT).await?;
+        clusters.push(LoadedCluster::new(cluster));
     }
     println!("{IDLE_HEAD}");
-    for site in &worlds {
+    for site in &clusters {
         site.print_idle(Duration::from_secs(10)).await?;
     }
     println!(
@@ -100,36 +100,36 @@
     );
     println!("|{}", " --- |".repeat(17));
     for rate in rates {
-        let mut tallies: Vec<Tally> = worlds.iter().map(|_| Tally::new()).collect();
-        for site in &mut worlds {
+        let mut tallies: Vec<Tally> = clusters.iter().map(|_| Tally::new()).collect();
+        for site in &mut clusters {
             site.turn(WARM_UP.0, WARM_UP.1, &mut Tally::new()).await?;
         }
         for _ in 0..args.repeats {
-            for (site, tally) in worlds.iter_mut().zip(&mut tallies) {
+            for (site, tally) in clusters.iter_mut().zip(&mut tallies) {
                 site.turn(*rate, Duration::from_secs(args.seconds), tally).await?;
             }
         }
-        for (site, tally) in worlds.iter().zip(&tallies) {
-            tally.print(*rate, &site.world)?;
+        for (site, tally) in clusters.iter().zip(&tallies) {
+            tally.print(*rate, &site.cluster)?;
         }
     }
     println!("\nidle again, while the holders still probe the targets:\n\n{IDLE_HEAD}");
-    for site in &worlds {
+    for site in &clusters {
         site.print_idle(Duration::from_secs(10)).await?;
     }
-    for site in &worlds {
-        println!("\nio_uring descriptors of {NODES} nodes: {}", site.world.io_urings()?);
+    for site in &clusters {
+        println!("\nio_uring descriptors of {NODES} nodes: {}", site.cluster.io_urings()?);
     }
     Ok(())
 }
 
 fn spec(args: &Args, connections: usize) -> Spec {
-    let like = TargetPlan { service_ms: args.service_ms, ..TargetPlan::default() };
+    let template = TargetPlan { service_ms: args.service_ms, ..TargetPlan::default() };
     Spec {
         name: format!("today-{connections}"),
         nodes: NODES,
         centres: CENTRES,
-        shards: vec![Shards { role: ROLE, count: SERVICES, replicas: REPLICAS, like }],
+        shards: vec![Shards { role: ROLE, count: SERVICES, replicas: REPLICAS, template }],
         processes: 4,
         connections,
         group: args.group,
@@ -137,13 +137,13 @@
 }
 
 /// A world with its callers.
-struct Site {
-    world: World,
+struct LoadedCluster {
+    cluster: Cluster,
     callers: Rc<Callers>,
     /// How many runs of each process of targets were read.
     read: Vec<usize>,
     shed: u64,
-    over: u64,
+    excess_connections: u64,
     sent: usize,
 }
 
@@ -158,20 +158,27 @@
     reasons: BTreeMap<String, usize>,
 }
 
-impl Site {
-    fn new(world: World) -> Site {
-        let callers = Rc::new(Callers::new(&world, 64));
-        Site { world, callers, read: Vec::new(), shed: 0, over: 0, sent: 0 }
+impl LoadedCluster {
+    fn new(cluster: Cluster) -> LoadedCluster {
+        let callers = Rc::new(Callers::new(&cluster, 64));
+        LoadedCluster {
+            cluster,
+            callers,
+            read: Vec::new(),
+            shed: 0,
+            excess_connections: 0,
+            sent: 0,
+        }
     }
 
     async fn print_idle(&self, span: Duration) -> io::Result<()> {
-        let (before, calls) = (self.world.usage()?, self.world.calls().await?);
+        let (before, calls) = (self.cluster.usage()?, self.cluster.calls().await?);
         monoio::time::sleep(span).await;
-        let (after, last) = (self.world.usage()?, self.world.calls().await?);
-        let (memory, cpu) = mean(&before, &after);
+        let (after, last) = (self.cluster.usage()?, self.cluster.calls().await?);
+        let (memory, cpu) = mean_usage(&before, &after);
         println!(
             "| {} | {memory:.1} | {:.2} | {:.1} |",
-            self.world.spec.connections,
+            self.cluster.spec.connections,
             cpu / span.as_secs_f64() * 100.0,
             (last.total - calls.total) as f64 / span.as_secs_f64(),
         );
@@ -179,7 +186,7 @@
     }
 
     async fn turn(&mut self, rate: f64, span: Duration, tally: &mut Tally) -> io::Result<()> {
-        let (before, calls) = (self.world.usage()?, self.world.calls().await?);
+        let (before, calls) = (self.cluster.usage()?, self.cluster.calls().await?);
         let answers = Rc::new(RefCell::new(Answers::default()));
         let start = std::time::Instant::now();
         let mut next = start;
@@ -192,12 +199,12 @@
             monoio::spawn(ask(self.callers.clone(), number, answers.clone()));
         }
         let waiting = std::time::Instant::now();
-        while Rc::strong_count(&answers) > 1 && waiting.elapsed() < REST {
+        while Rc::strong_count(&answers) > 1 && waiting.elapsed() < DRAIN_LIMIT {
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
         let took = start.elapsed().as_secs_f64();
-        let (after, last) = (self.world.usage()?, self.world.calls().await?);
-        let (memory, cpu) = mean(&before, &after);
+        let (after, last) = (self.cluster.usage()?, self.cluster.calls().await?);
+        let (memory, cpu) = mean_usage(&before, &after);
         tally.memory = memory;
         tally.cpu += cpu;
         tally.calls += last.total - calls.total;
@@ -207,19 +214,21 @@
     }
 
     async fn read_logs(&mut self, tally: &mut Tally) -> io::Result<()> {
-        let logs = self.world.logs(&self.read).await?;
+        let logs = self.cluster.logs(&self.read).await?;
         self.read.resize(logs.len(), 0);
         for (read, log) in self.read.iter_mut().zip(&logs) {
             *read += log.runs.len();
             tally.runs += log.runs.len();
-            let waited = |run: &&RunRecord| run.start_us.saturating_sub(run.arrived_us) > WAITED_US;
+            let waited = |run: &&RunRecord| {
+                run.start_us.saturating_sub(run.arrived_us) > QUEUED_THRESHOLD_US
+            };
             tally.waited += log.runs.iter().filter(waited).count();
         }
         let shed: u64 = logs.iter().map(|log| log.shed).sum();
-        let over: u64 = logs.iter().map(|log| log.over_limit).sum();
+        let excess_connections: u64 = logs.iter().map(|log| log.over_limit).sum();
         tally.shed += shed - self.shed;
-        tally.over += over - self.over;
-        (self.shed, self.over) = (shed, over);
+        tally.excess_connections += excess_connections - self.excess_connections;
+        (self.shed, self.excess_connections) = (shed, excess_connections);
         Ok(())
     }
 }
@@ -237,12 +246,16 @@
         Err(error) => {
             answers.failed += 1;
             let error = error.to_string();
-            *answers.reasons.entry(format!("failed: {}", short(&error))).or_default() += 1;
+            *answers.reasons.entry(format!("failed: {}", strip_retry_time(&error))).or_default() +=
+                1;
             return;
         }
     };
     for missing in &answer.coverage.missing {
-        *answers.reasons.entry(format!("missing: {}", short(&missing.reason))).or_default() += 1;
+        *answers
+            .reasons
+            .entry(format!("missing: {}", strip_retry_time(&missing.reason)))
+            .or_default() += 1;
     }
     answers.times.push(start.elapsed().as_micros() as u64);
     answers.asked += u64::from(answer.coverage.asked);
@@ -251,12 +264,12 @@
 }
 
 /// A reason without the time to come back, which differs each time.
-fn short(reason: &str) -> &str {
+fn strip_retry_time(reason: &str) -> &str {
     reason.split(';').next().unwrap_or(reason)
 }
 
 /// The mean memory after, and the mean processor time between, of the nodes.
-pub fn mean(before: &[Usage], after: &[Usage]) -> (f64, f64) {
+pub fn mean_usage(before: &[Usage], after: &[Usage]) -> (f64, f64) {
     let count = after.len().max(1) as f64;
     let memory: f64 = after.iter().map(|usage| usage.memory).sum();
     let cpu: f64 = after.iter().zip(before).map(|(after, before)| after.cpu - before.cpu).sum();
@@ -271,7 +284,7 @@
     runs: usize,
     waited: usize,
     shed: u64,
-    over: u64,
+    excess_connections: u64,
     memory: f64,
     cpu: f64,
     calls: u64,
@@ -287,7 +300,7 @@
             runs: 0,
             waited: 0,
             shed: 0,
-            over: 0,
+            excess_connections: 0,
             memory: 0.0,
             cpu: 0.0,
             calls: 0,
@@ -311,9 +324,9 @@
         self.times.add(&times).map_err(io::Error::other)
     }
 
-    fn print(&self, rate: f64, world: &World) -> io::Result<()> {
+    fn print(&self, rate: f64, cluster: &Cluster) -> io::Result<()> {
         for (reason, count) in &self.answers.reasons {
-            eprintln!("{rate}/s, {} connections: {count} {reason}", world.spec.connections);
+            eprintln!("{rate}/s, {} connections: {count} {reason}", cluster.spec.connections);
         }
         let queries = self.times.len();
         let share = |part: f64, whole: f64| 100.0 * part / whole.max(1.0);
@@ -321,7 +334,7 @@
         println!(
             "| {rate} | {} | {queries} | {} | {:.1} | {:.1} | {:.1} | {} | {:.3} % | {:.2} % \
              | {:.3} | {:.2} % | {} | {} | {:.1} | {:.1} | {:.1} |",
-            world.spec.connections,
+            cluster.spec.connections,
             self.answers.failed,
             quantile(&self.times, 0.5),
             quantile(&self.times, 0.99),
@@ -332,7 +345,7 @@
             self.runs as f64 / self.answers.asked.max(1) as f64,
             share(self.waited as f64, self.runs as f64),
             self.shed,
-            self.over,
+            self.excess_connections,
             self.memory,
             share(self.cpu, self.seconds),
             self.calls as f64 / self.seconds,
--- a/crates/measure/src/virtual_time.rs
+++ b/crates/measure/src/virtual_time.rs
@@ -40,11 +40,11 @@
     sleepers: BinaryHeap<Reverse<Sleeper>>,
 }
 
-type Bell = Rc<RefCell<Option<Waker>>>;
+type WakerSlot = Rc<RefCell<Option<Waker>>>;
 
 struct Sleeper {
     at: (Instant, u64),
-    bell: Bell,
+    waker_slot: WakerSlot,
 }
 
 impl PartialEq for Sleeper {
@@ -99,7 +99,7 @@
     /// Runs all tasks until `end` on this clock.
     pub fn run_for(&self, span: Duration) {
         let end = self.now() + span;
-        let flag = Arc::new(Flag(AtomicBool::new(false)));
+        let flag = Arc::new(WakeFlag(AtomicBool::new(false)));
         let waker = Waker::from(flag.clone());
         let mut context = Context::from_waker(&waker);
         let mut tasks = self.tasks.borrow_mut();
@@ -126,9 +126,9 @@
                 return false;
             };
             let at = sleeper.at.0;
-            let waker = sleeper.bell.borrow_mut().take();
+            let waker = sleeper.waker_slot.borrow_mut().take();
             if at > end {
-                *sleeper.bell.borrow_mut() = waker;
+                *sleeper.waker_slot.borrow_mut() = waker;
                 state.now = end;
                 return false;
             }
@@ -150,14 +150,14 @@
     }
 
     fn sleep_until(&self, deadline: Instant) -> LocalFuture<'static, ()> {
-        Box::pin(Sleep { time: self.clone(), deadline, bell: None })
+        Box::pin(Sleep { time: self.clone(), deadline, waker_slot: None })
     }
 }
 
 struct Sleep {
     time: VirtualTime,
     deadline: Instant,
-    bell: Option<Bell>,
+    waker_slot: Option<WakerSlot>,
 }
 
 impl Future for Sleep {
@@ -168,16 +168,16 @@
         if state.now >= self.deadline {
             return Poll::Ready(());
         }
-        if let Some(bell) = &self.bell {
-            *bell.borrow_mut() = Some(context.waker().clone());
+        if let Some(waker_slot) = &self.waker_slot {
+            *waker_slot.borrow_mut() = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let bell: Bell = Rc::new(RefCell::new(Some(context.waker().clone())));
+        let waker_slot: WakerSlot = Rc::new(RefCell::new(Some(context.waker().clone())));
         state.serial += 1;
         let at = (self.deadline, state.serial);
-        state.sleepers.push(Reverse(Sleeper { at, bell: bell.clone() }));
+        state.sleepers.push(Reverse(Sleeper { at, waker_slot: waker_slot.clone() }));
         drop(state);
-        self.bell = Some(bell);
+        self.waker_slot = Some(waker_slot);
         Poll::Pending
     }
 }
@@ -185,15 +185,15 @@
 impl Drop for Sleep {
     fn drop(&mut self) {
         // A sleeper that is gone must not move the time.
-        if let Some(bell) = &self.bell {
-            bell.borrow_mut().take();
+        if let Some(waker_slot) = &self.waker_slot {
+            waker_slot.borrow_mut().take();
         }
     }
 }
 
-struct Flag(AtomicBool);
+struct WakeFlag(AtomicBool);
 
-impl Wake for Flag {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::Relaxed);
     }
--- a/crates/measure/tests/capacity.rs
+++ b/crates/measure/tests/capacity.rs
@@ -29,7 +29,7 @@
 #[test]
 fn every_file_that_carries_a_row_exists() {
     for row in rows(&inputs()) {
-        for word in row.carrier.split([' ', ',', ';']).filter(|word| word.ends_with(".rs")) {
+        for word in row.mechanism.split([' ', ',', ';']).filter(|word| word.ends_with(".rs")) {
             let (name, rest) = word.split_once('/').expect("a crate and a file");
             let name = match name {
                 "kumquatnotch" => name.to_owned(),
