--- a/crates/standins/src/bin/standin-relay.rs
+++ b/crates/standins/src/bin/standin-relay.rs
@@ -1,25 +1,25 @@
-//! The relay as a process; it prints its ports as one JSON line.
+//! Runs a relay as a process and prints its addresses as one line of JSON.
 
 use std::net::SocketAddr;
 
 use argh::FromArgs;
 use standins::{block_on, relay::Relay};
 
-/// A relay that cuts links in tests.
+/// Run a TCP relay that injects faults into links, for tests.
 #[derive(FromArgs)]
 struct Options {
-    /// the port for faults; any if left out
+    /// the control port for faults; any free port if omitted
     #[argh(option, default = "0")]
     control: u16,
-    /// a link as PORT=ADDRESS; may be given again
+    /// a link as PORT=ADDRESS; may be repeated
     #[argh(option, from_str_fn(read_link))]
     link: Vec<(u16, SocketAddr)>,
 }
 
 fn read_link(text: &str) -> Result<(u16, SocketAddr), String> {
     let (port, upstream) = text.split_once('=').ok_or("expected PORT=ADDRESS")?;
-    let port = port.parse().map_err(|_| "the port can't be read")?;
-    let upstream = upstream.parse().map_err(|_| "the address can't be read")?;
+    let port = port.parse().map_err(|_| "the port is not a valid port number")?;
+    let upstream = upstream.parse().map_err(|_| "the address is not a valid socket address")?;
     Ok((port, upstream))
 }
 
--- a/crates/standins/src/bin/standin-targets.rs
+++ b/crates/standins/src/bin/standin-targets.rs
@@ -1,24 +1,24 @@
-//! Stand-in targets as a process; it prints its ports as one JSON line.
+//! Runs stand-in targets as a process and prints their addresses as one line of JSON.
 
 use argh::FromArgs;
 use standins::{block_on, plan::Plan, targets::Fleet};
 
-/// Stand-in targets for tests.
+/// Run stand-in targets, for tests.
 #[derive(FromArgs)]
 struct Options {
-    /// a TOML file that lists the targets
+    /// a TOML file with the configuration of the targets
     #[argh(option)]
     plan: Option<std::path::PathBuf>,
-    /// the port of the first target; any ports if left out
+    /// the port of the first target; any free ports if omitted
     #[argh(option, default = "0")]
     first_port: u16,
-    /// how many targets, without a plan
+    /// number of targets, without a plan
     #[argh(option, default = "1")]
     count: u16,
-    /// how many shards they share, without a plan
+    /// number of shards that the targets serve, without a plan
     #[argh(option, default = "1")]
     shards: u16,
-    /// the port for faults and records; any if left out
+    /// the control port for faults and records; any free port if omitted
     #[argh(option)]
     control: Option<u16>,
 }
--- a/crates/standins/src/data.rs
+++ b/crates/standins/src/data.rs
@@ -1,5 +1,7 @@
-//! The data that stand-in targets serve: made from the shard and version, so
-//! that a checker can tell what an answer must hold.
+//! The data that stand-in targets serve.
+//!
+//! It is derived from the shard and the index version, so that a checker can compute the
+//! expected answer.
 
 use kumquatnotch_core::{
     ids::{IndexVersion, ShardName, TenantName, stable_hash},
@@ -7,18 +9,18 @@
 };
 use serde_json::{Value, json};
 
-/// How many entries each shard has.
+/// Number of entries in each shard.
 pub const ENTRIES_PER_SHARD: u32 = 8;
 
-/// The tenants whose entries the index holds.
+/// The tenants that own the entries of the index.
 pub const OWNERS: [&str; 2] = ["siam", "barid"];
 
-/// The fields of every hit.
+/// Names of the fields of every hit.
 const SHARD_FIELD: &str = "shard";
 const VERSION_FIELD: &str = "version";
 const NONCE_FIELD: &str = "nonce";
 
-/// The hits of a shard for a query, the best first.
+/// Returns the hits of a shard for a query, best first.
 pub fn hits(shard: &ShardName, version: IndexVersion, body: &str, limit: u32) -> Vec<Hit> {
     let nonce = field(body, NONCE_FIELD);
     let mut hits: Vec<Hit> =
@@ -28,7 +30,7 @@
     hits
 }
 
-/// One hit: its score and owner depend on the shard, version and number alone.
+/// Returns one hit; its score and owner depend only on the shard, version and number.
 pub fn hit(shard: &ShardName, version: IndexVersion, number: u32, nonce: &Value) -> Hit {
     let parts: [&[u8]; 3] = [shard.as_bytes(), &version.0.to_be_bytes(), &number.to_be_bytes()];
     let hash = stable_hash(&parts);
@@ -41,7 +43,7 @@
     }
 }
 
-/// A field of a request's JSON body; null if it has none.
+/// Returns a field of a request's JSON body; null if it is absent.
 pub fn field(body: &str, name: &str) -> Value {
     let body: Value = serde_json::from_str(body).unwrap_or_default();
     body.get(name).cloned().unwrap_or_default()
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of targets, set while they run.
+//! Faults of targets, which can be set while they run.
 
 use kumquatnotch_core::{
     ids::{IndexVersion, TargetName},
@@ -6,60 +6,61 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A change of faults: what is left out stays as it is.
+/// A change of faults; omitted fields keep their current values.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultChange {
-    /// The target; all targets of the process if left out.
+    /// The target; all targets of the process if omitted.
     pub target: Option<TargetName>,
-    /// Service times are this many times as long.
+    /// Factor by which service times are multiplied.
     pub factor: Option<f64>,
-    /// Takes no new work, and says so.
+    /// Drains the target: it refuses new requests and reports that it is draining.
     pub drain: Option<bool>,
-    /// Is cold and slow for this time from now, in milliseconds.
+    /// Makes the target cold, and therefore slow, for this time from now, in milliseconds.
     pub cold_ms: Option<u64>,
-    /// Sheds everything.
+    /// Sheds every request.
     pub shed: Option<bool>,
-    /// Crashes when it runs a request whose body holds this; empty for none.
+    /// Crashes the target when it runs a request whose body contains this text; an empty text
+    /// turns this off.
     pub marker: Option<String>,
-    /// Crashes now.
+    /// Crashes the target now.
     pub crash: bool,
-    /// How long it is down after a crash, in milliseconds.
+    /// Downtime after a crash, in milliseconds.
     pub restart_ms: Option<u64>,
-    /// The connections open now never answer again; new ones work.
+    /// Sends no more responses on the connections that are open now; new ones work.
     pub silence: bool,
-    /// Reports this load, whatever it is; negative for the truth.
+    /// Reports this load instead of the real one; a negative value restores the real one.
     pub load: Option<i64>,
-    /// Reports this phase, whatever it is, until the next change of `lie`.
+    /// Reports this phase instead of the real one, until the next change of `lie`.
     pub lie: Option<Phase>,
-    /// Holds one more version.
+    /// Adds a version to those that the target holds.
     pub publish: Option<HeldVersion>,
-    /// Holds this version no more.
+    /// Removes a version from those that the target holds.
     pub unpublish: Option<IndexVersion>,
-    /// Holds just these versions: another layout.
+    /// Replaces all versions that the target holds, as after a change of layout.
     pub held: Option<Vec<HeldVersion>>,
 }
 
 /// The faults in force.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    /// Service times are this many times as long.
+    /// Factor by which service times are multiplied.
     pub factor: f64,
-    /// Takes no new work.
+    /// Whether the target is draining.
     pub drain: bool,
-    /// Sheds everything.
+    /// Whether the target sheds every request.
     pub shed: bool,
-    /// Crashes when it runs a request whose body holds this.
+    /// The target crashes when it runs a request whose body contains this text.
     pub marker: Option<String>,
-    /// How long it is down after a crash, in milliseconds.
+    /// Downtime after a crash, in milliseconds.
     pub restart_ms: u64,
-    /// The load it reports.
+    /// The load to report instead of the real one.
     pub load: Option<u32>,
-    /// The phase it reports.
+    /// The phase to report instead of the real one.
     pub lie: Option<Phase>,
 }
 
-/// How long a target is down after a crash, unless it is set, in milliseconds.
+/// Default downtime of a target after a crash, in milliseconds.
 const RESTART_MS: u64 = 500;
 
 impl Default for Faults {
@@ -77,7 +78,7 @@
 }
 
 impl Faults {
-    /// Takes over what `change` sets.
+    /// Applies `change`.
     pub fn apply(&mut self, change: &FaultChange) {
         self.factor = change.factor.unwrap_or(self.factor);
         self.drain = change.drain.unwrap_or(self.drain);
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 with keep-alive for the stand-ins, and a client for tests.
+//! A minimal HTTP/1.1 server with keep-alive, and a client for tests.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -24,14 +24,14 @@
 
 use crate::signal::Signal;
 
-/// A request as handlers see it.
+/// A request passed to a handler.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The method.
     pub method: String,
     /// The path without the query.
     pub path: String,
-    /// The query.
+    /// The query string.
     pub query: String,
     /// The headers.
     pub headers: http::HeaderMap,
@@ -40,69 +40,69 @@
 }
 
 impl Request {
-    /// The value of a header, read as `T`.
+    /// Returns the value of a header, parsed as `T`.
     pub fn header<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.headers.get(name)?.to_str().ok()?.parse().ok()
     }
 
-    /// The value of a field of the query, read as `T`.
+    /// Returns the value of a query parameter, parsed as `T`.
     pub fn field<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         let mut pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name)?.1.parse().ok()
     }
 
-    /// The body, read as JSON.
+    /// Parses the body as JSON; the error is a reply with status 400.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Reply> {
         serde_json::from_slice(&self.body).map_err(|error| Reply::text(400, &error.to_string()))
     }
 }
 
-/// What a handler does with a request.
+/// A handler's reaction to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// It answers.
+    /// Sends a response.
     Answer {
         /// The status.
         status: u16,
-        /// The value of `x-revision`.
+        /// The value of the `x-revision` header.
         revision: Option<u64>,
         /// The body.
         body: Bytes,
-        /// Whether the connection is closed afterwards.
+        /// Whether to close the connection afterwards.
         close: bool,
     },
-    /// It closes the connection without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// It never answers, and the connection stays open.
+    /// Sends no response and keeps the connection open.
     Silence,
 }
 
 impl Reply {
-    /// An answer without a body.
+    /// Returns a response without a body.
     pub fn status(status: u16) -> Reply {
         Reply::Answer { status, revision: None, body: Bytes::new(), close: false }
     }
 
-    /// An answer in plain text.
+    /// Returns a plain-text response.
     pub fn text(status: u16, text: &str) -> Reply {
         let body = Bytes::copy_from_slice(text.as_bytes());
         Reply::Answer { status, revision: None, body, close: false }
     }
 
-    /// An answer in JSON.
+    /// Returns a JSON response.
     pub fn json(status: u16, value: &impl Serialize) -> Reply {
-        let body = serde_json::to_vec(value).expect("the stand-ins' own types can be written");
+        let body = serde_json::to_vec(value).expect("failed to serialize the response body");
         Reply::Answer { status, revision: None, body: body.into(), close: false }
     }
 }
 
-/// What answers the requests of a connection.
+/// Handles the requests of a connection.
 pub trait Handler {
-    /// Answers `request`.
+    /// Handles `request`.
     fn handle(&self, request: Request) -> LocalFuture<'_, Reply>;
 }
 
-/// Serves one connection to its end, or until `stop` is given.
+/// Serves one connection until it is closed or `stop` is triggered.
 pub async fn serve(stream: TcpStream, handler: Rc<dyn Handler>, stop: &Signal) {
     let requests = std::pin::pin!(serve_requests(stream, handler));
     select(requests, stop.wait()).await;
@@ -150,7 +150,7 @@
     }
 }
 
-/// An answer as the client sees it.
+/// A response received by the client.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status.
@@ -162,18 +162,18 @@
 }
 
 impl Answer {
-    /// The body, read as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> io::Result<T> {
         serde_json::from_slice(&self.body).map_err(io::Error::other)
     }
 
-    /// The value of `x-revision`.
+    /// Returns the value of the `x-revision` header.
     pub fn revision(&self) -> Option<u64> {
         self.headers.get("x-revision")?.to_str().ok()?.parse().ok()
     }
 }
 
-/// A client of one address, which keeps one connection open.
+/// A client of one address that keeps one connection alive between requests.
 pub struct Client {
     address: SocketAddr,
     timeout: Duration,
@@ -181,17 +181,17 @@
 }
 
 impl Client {
-    /// A client of `address` that waits for `timeout` at most.
+    /// Creates a client of `address` whose requests time out after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Client {
         Client { address, timeout, idle: RefCell::new(None) }
     }
 
-    /// The address it sends to.
+    /// Returns the server's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a connection is kept open.
+    /// Whether the client keeps an idle connection.
     pub fn is_open(&self) -> bool {
         self.idle.borrow().is_some()
     }
@@ -207,10 +207,10 @@
         self.send("GET", path, &[], Bytes::new()).await
     }
 
-    /// Sends a request; a connection whose answer is not read is closed.
+    /// Sends a request; the connection is closed if its response is not read.
     ///
-    /// The error is `NotConnected` if no connection could be opened and `TimedOut`
-    /// after the timeout; any other means that the connection broke.
+    /// Fails with `NotConnected` if no connection could be opened and with `TimedOut` after the
+    /// timeout; any other error means that the connection broke.
     pub async fn send(
         &self,
         method: &str,
@@ -265,10 +265,10 @@
         Ok(Answer { status, headers: parts.headers, body: content.into() })
     }
 
-    /// The connection that was kept, unless the other side has closed it since.
+    /// Takes the idle connection, unless the server has closed it in the meantime.
     ///
-    /// A client that sent on a connection closed long ago would take that for a
-    /// request cut in flight.
+    /// Sending on a connection that was closed earlier would look like a request interrupted
+    /// in flight.
     fn take_idle(&self) -> Option<ClientCodec<TcpStream>> {
         let mut codec = self.idle.borrow_mut().take()?;
         let is_open = codec.next().now_or_never().is_none();
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,9 +1,10 @@
-//! Small stand-ins for what surrounds the query tier, for tests only.
+//! Test doubles for the systems around the query tier.
 //!
-//! Three of them: servers that answer by a script ([`scripted`]), targets of vendors
-//! ([`targets`]), and a relay that cuts links between processes ([`relay`]). Each runs on the monoio runtime of the test, or as a process of
-//! its own through the thin binaries. Faults are set while they run, by
-//! `POST /standin/faults`. Nothing here is shipped.
+//! There are three: servers with scripted responses ([`scripted`]), vendor targets
+//! ([`targets`]), and a TCP relay that injects faults into links between processes
+//! ([`relay`]). Each runs on the monoio runtime of the test; the targets and the relay also
+//! have binaries that run them as processes, whose faults are set by `POST /standin/faults`.
+//! This crate is for tests only and is not shipped.
 
 #![forbid(unsafe_code)]
 
@@ -28,25 +29,25 @@
 
 use monoio::net::{ListenerOpts, TcpListener};
 
-/// Listens on `port` of the loopback address; zero takes any free one.
+/// Listens on `port` of the loopback address; zero selects a free port.
 ///
-/// monoio shares ports between processes by default, and a stand-in that is
-/// started twice would take half of the other's connections unseen.
+/// Port reuse, monoio's default, is off: two stand-ins started on the same port would
+/// silently share the incoming connections.
 pub fn listen(port: u16) -> io::Result<TcpListener> {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
     TcpListener::bind_with_config(address, &ListenerOpts::new().reuse_port(false))
 }
 
-/// The time in microseconds, on a scale that processes of one machine share.
+/// Microseconds since the Unix epoch, comparable between processes of one machine.
 pub fn now_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64)
 }
 
-/// Runs `main` on a monoio runtime that never uses io_uring.
+/// Runs `main` on a monoio runtime with the legacy driver, without io_uring.
 pub fn block_on<F: Future>(main: F) -> F::Output {
     monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_timer()
         .build()
-        .expect("the runtime starts")
+        .expect("failed to build the runtime")
         .block_on(main)
 }
--- a/crates/standins/src/plan.rs
+++ b/crates/standins/src/plan.rs
@@ -1,4 +1,4 @@
-//! What the targets of a process are like, from a TOML file.
+//! Configuration of the targets of a process, read from a TOML file.
 
 use kumquatnotch_core::{
     ids::{IndexVersion, ShardName, TargetName},
@@ -10,10 +10,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The seed of the service times.
+    /// The random seed for service times and incarnations.
     #[serde(default)]
     pub seed: u64,
-    /// The port where faults are set and runs are read; zero for any.
+    /// The control port, where faults are set and runs are read; zero selects a free port.
     #[serde(default)]
     pub control: u16,
     /// The targets.
@@ -21,27 +21,28 @@
     pub target: Vec<TargetPlan>,
 }
 
-/// One target.
+/// The configuration of one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetPlan {
-    /// Its name.
+    /// The name of the target.
     pub name: TargetName,
-    /// Its port; zero for any.
+    /// The port; zero selects a free port.
     pub port: u16,
-    /// How many requests run at once.
+    /// Maximum number of concurrently running requests.
     pub slots: usize,
-    /// How many requests wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     pub queue: usize,
-    /// How many connections it takes.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// The work of a new connection, in milliseconds.
+    /// Time to set up a new connection, in milliseconds; set-ups are serialized.
     pub connect_ms: u64,
-    /// The median of its service times, in milliseconds.
+    /// Median service time, in milliseconds.
     pub service_ms: f64,
-    /// How widely they spread: zero is constant, one has a long tail.
+    /// Standard deviation of the logarithm of the service time: zero is constant, one has a
+    /// long tail.
     pub spread: f64,
-    /// The versions it holds.
+    /// The index versions that the target holds.
     pub held: Vec<HeldVersion>,
 }
 
@@ -62,7 +63,7 @@
 }
 
 impl Plan {
-    /// `count` targets `t0`, `t1`, … on successive ports, which share `shards`
+    /// Returns `count` targets `t0`, `t1`, … on successive ports that serve the `shards`
     /// shards `s0`, `s1`, … of one collection at version 1.
     pub fn uniform(first_port: u16, count: u16, shards: u16) -> Plan {
         let shards = shards.max(1);
@@ -77,7 +78,7 @@
     }
 }
 
-/// Shard `number` of a collection of `total` shards at `version`.
+/// Returns shard `number` of a collection of `total` shards at `version`.
 pub fn held(version: u64, number: u16, total: u16) -> HeldVersion {
     HeldVersion {
         version: IndexVersion(version),
--- a/crates/standins/src/records.rs
+++ b/crates/standins/src/records.rs
@@ -1,4 +1,4 @@
-//! What the targets ran, for checks of histories.
+//! Records of the requests that the targets ran, for history checkers.
 
 use kumquatnotch_core::ids::{IndexVersion, ShardName, TargetName, TenantName};
 use serde::{Deserialize, Serialize};
@@ -7,69 +7,70 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// It still runs.
+    /// Still running.
     Running,
-    /// It ran to its end.
+    /// Completed.
     Done,
-    /// It was cancelled.
+    /// Cancelled by the client.
     Cancelled,
-    /// Its deadline passed.
+    /// Stopped at its deadline.
     Expired,
-    /// It was lost when the target crashed.
+    /// Lost when the target crashed.
     Lost,
 }
 
-/// One run: a request that got a slot. What was refused is not recorded.
+/// A run: a request that was granted a slot. Refused requests are not recorded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunRecord {
     /// The target.
     pub target: TargetName,
-    /// The life of the target.
+    /// The incarnation of the target.
     pub incarnation: u64,
-    /// The id under which it could be cancelled.
+    /// The id used to cancel the request.
     pub id: u64,
     /// The shard.
     pub shard: ShardName,
-    /// The version asked for.
+    /// The requested version.
     pub version: Option<IndexVersion>,
     /// The tenant.
     pub tenant: TenantName,
-    /// The request as JSON text.
+    /// The request body as JSON text.
     pub body: String,
-    /// Whether it had to run at most once.
+    /// Whether the request must run at most once.
     pub exclusive: bool,
-    /// When it came, in microseconds.
+    /// Arrival time, in microseconds.
     pub arrived_us: u64,
-    /// When it got its slot, in microseconds.
+    /// Time at which the slot was granted, in microseconds.
     pub start_us: u64,
-    /// When it ended, in microseconds; zero while it runs.
+    /// End time, in microseconds; zero while it runs.
     pub end_us: u64,
-    /// Its slot.
+    /// The number of its slot.
     pub slot: usize,
-    /// How many requests ran at its start, itself too.
+    /// Number of running requests at its start, including itself.
     pub running: usize,
     /// How it ended.
     pub end: RunEnd,
 }
 
-/// A request that a draining target refused.
+/// A request refused by a draining target.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Refusal {
     /// The target.
     pub target: TargetName,
-    /// When it came, in microseconds.
+    /// Arrival time, in microseconds.
     pub arrived_us: u64,
 }
 
-/// The runs of all targets of a process, and counts.
+/// The runs of all targets of a process, with counts of refused requests.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RunLog {
-    /// The runs, in the order of their starts.
+    /// The runs, in order of their start.
     pub runs: Vec<RunRecord>,
-    /// The requests that draining targets refused.
+    /// The requests refused by draining targets.
     pub drained: Vec<Refusal>,
-    /// Connections over a target's limit.
+    /// Number of connections opened beyond a target's limit.
     pub over_limit: u64,
-    /// Requests refused because a target's queue was full or it shed all.
+    /// Number of requests refused because the queue was full, the connection was over the
+    /// limit, or the target shed everything.
     pub shed: u64,
 }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,4 +1,5 @@
-//! A TCP relay that cuts, delays or silences a link between two processes.
+//! A TCP relay that injects faults into a link between two processes: it can stall, delay,
+//! silence or close the connections.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,42 +24,42 @@
     signal::Signal,
 };
 
-/// How often a cut link looks whether it is whole again.
+/// Interval at which a cut link checks whether it has been restored.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The bytes read at once.
+/// Size of the read buffer, in bytes.
 const BUFFER_SIZE: usize = 16 * 1024;
 
-/// A change of a link: what is left out stays as it is.
+/// A change of a link; omitted fields keep their current values.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkChange {
-    /// The number of the link; all links of the process if left out.
+    /// The number of the link; all links of the process if omitted.
     pub link: Option<usize>,
-    /// Holds back what goes from the listener to the upstream.
+    /// Holds back data from the listener to the upstream.
     pub cut_up: Option<bool>,
-    /// Holds back what comes from the upstream.
+    /// Holds back data from the upstream to the listener.
     pub cut_down: Option<bool>,
-    /// The connections open now carry nothing more; new ones work.
+    /// Discards all further data on the connections that are open now; new ones work.
     pub silence: bool,
-    /// The connections open now are closed.
+    /// Closes the connections that are open now.
     pub close: bool,
-    /// Each piece is this much later, in milliseconds.
+    /// Delay added to each chunk, in milliseconds.
     pub delay_ms: Option<u64>,
 }
 
-/// Where the links of a process listen.
+/// The addresses that a relay process listens on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayPorts {
-    /// Where faults are set.
+    /// The control address, where faults are set.
     pub control: SocketAddr,
-    /// The links, by number.
+    /// The addresses of the links, by number.
     pub links: Vec<SocketAddr>,
 }
 
-/// A running relay, which ends when this is dropped.
+/// A running relay, stopped on drop.
 pub struct Relay {
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub ports: RelayPorts,
     links: Rc<Links>,
     stop: Rc<Signal>,
@@ -86,7 +87,7 @@
 struct Links(Vec<Rc<Link>>);
 
 impl Relay {
-    /// Starts a link to each upstream, on the given ports; zero for any.
+    /// Starts a link to each upstream on the given port; zero selects a free port.
     pub fn start(control: u16, links: &[(u16, SocketAddr)]) -> io::Result<Relay> {
         let stop: Rc<Signal> = Rc::default();
         let mut states = Vec::new();
@@ -148,7 +149,7 @@
     }
 }
 
-/// Carries one connection until either side ends it or it is closed.
+/// Forwards one connection until either side ends it or a change closes it.
 async fn forward_connection(down: TcpStream, upstream: SocketAddr, link: Rc<Link>) {
     let number = link.opened.get();
     link.opened.set(number + 1);
@@ -181,8 +182,8 @@
             _ => return,
         }
         monoio::time::sleep(link.delay.get()).await;
-        // What a cut holds back goes out once it is over, as TCP sends it again;
-        // dropping it would tear a hole into the stream that no network makes.
+        // Data held back by a cut is sent once the link is restored, like a TCP
+        // retransmission; dropping it would leave a gap in the stream, which no network does.
         while is_cut(link) {
             monoio::time::sleep(CUT_POLL_INTERVAL).await;
         }
--- a/crates/standins/src/scripted.rs
+++ b/crates/standins/src/scripted.rs
@@ -1,7 +1,8 @@
-//! A server that answers each request by a script, to the byte.
+//! An HTTP server with scripted responses.
 //!
-//! It stands in for replicas that misbehave: the script sees each request and
-//! says what goes over the connection, whether that is an answer or not.
+//! Stands in for misbehaving replicas: the script receives each request and returns the
+//! exact bytes, pauses and closures to play on the connection, which need not form a valid
+//! response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,20 +24,20 @@
 
 use crate::{http::Request, listen, server, signal::Signal};
 
-/// What goes over a connection in answer to a request.
+/// A step of the response to a request.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// These bytes.
+    /// Sends these bytes.
     Send(Vec<u8>),
-    /// Nothing for a while.
+    /// Sends nothing for this time.
     Wait(Duration),
-    /// Nothing, for good.
+    /// Sends nothing more and keeps the connection open.
     Silence,
-    /// The end of the connection.
+    /// Closes the connection.
     Close,
 }
 
-/// An answer with a length, of a status, headers and a body.
+/// Returns a step that sends a complete response with a `content-length` header.
 pub fn answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Step {
     let mut head = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n", body.len());
     for (name, value) in headers {
@@ -56,9 +57,9 @@
     disconnects: Cell<u32>,
 }
 
-/// A server that answers by a script, until it is dropped.
+/// A scripted server, stopped on drop.
 pub struct Scripted {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     shared: Rc<Shared>,
     stop: Rc<Signal>,
@@ -71,7 +72,7 @@
 }
 
 impl Scripted {
-    /// Starts to answer on a free port of the loopback address.
+    /// Starts a server on a free port of the loopback address.
     pub fn start(script: impl Fn(&Request) -> Vec<Step> + 'static) -> io::Result<Scripted> {
         let listener = listen(0)?;
         let address = listener.local_addr()?;
@@ -85,12 +86,12 @@
         Ok(Scripted { address, shared, stop })
     }
 
-    /// The requests that came so far.
+    /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<Request> {
         self.shared.requests.borrow().clone()
     }
 
-    /// How often the other side left while the script was at work.
+    /// Number of connections that the peer closed while a response was being played.
     pub fn disconnects(&self) -> u32 {
         self.shared.disconnects.get()
     }
@@ -114,7 +115,8 @@
     while let Some(request) = next {
         let steps = (shared.script)(&request);
         shared.requests.borrow_mut().push(request);
-        // The end of the connection, or the next request, shows while one is in work.
+        // Reads ahead while the response is played, to notice that the peer closes the
+        // connection or pipelines the next request.
         let played = std::pin::pin!(play(&mut writer, steps));
         let next_request = std::pin::pin!(read(&mut decoder));
         next = match select(played, next_request).await {
@@ -129,7 +131,7 @@
     }
 }
 
-/// Reads the next request; `None` at the end of the connection.
+/// Reads the next request; `None` once the connection is closed.
 async fn read(decoder: &mut RequestDecoder<OwnedReadHalf<TcpStream>>) -> Option<Request> {
     let request = decoder.next().await?.ok()?;
     decoder.fill_payload().await.ok()?;
@@ -143,7 +145,7 @@
     })
 }
 
-/// Plays the steps; false if the connection is to be closed.
+/// Plays the steps; returns false if the connection is to be closed.
 async fn play(writer: &mut OwnedWriteHalf<TcpStream>, steps: Vec<Step>) -> bool {
     for step in steps {
         match step {
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections until a stand-in is stopped.
+//! Accepts connections until the stand-in is stopped.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -10,7 +10,7 @@
     signal::Signal,
 };
 
-/// Accepts the next connection; `None` once `stop` is given.
+/// Accepts the next connection; `None` once `stop` is triggered.
 pub async fn accept(listener: &TcpListener, stop: &Signal) -> Option<TcpStream> {
     loop {
         let next = std::pin::pin!(listener.accept());
@@ -22,13 +22,13 @@
     }
 }
 
-/// The pause after a failure to accept, such as too many open files.
+/// Delay after a failed accept, for example because of too many open files.
 const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(10);
 
-/// A stand-in that serves until this is dropped.
+/// A running server, stopped on drop.
 #[derive(Debug)]
 pub struct ServerHandle {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     stop: Rc<Signal>,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Serves `handler` on `listener` in tasks of the current runtime.
+/// Serves `handler` on `listener` in tasks on the current runtime.
 pub fn spawn(listener: TcpListener, handler: Rc<dyn Handler>) -> std::io::Result<ServerHandle> {
     let address = listener.local_addr()?;
     let stop = Rc::new(Signal::default());
--- a/crates/standins/src/signal.rs
+++ b/crates/standins/src/signal.rs
@@ -1,11 +1,11 @@
-//! A signal that is given once and seen by every task that waits for it.
+//! A one-shot signal that any number of tasks can wait for.
 
 use std::cell::RefCell;
 
 use futures_channel::oneshot;
 use futures_util::future::{FutureExt, Shared};
 
-/// A signal that is given once.
+/// A one-shot signal.
 #[derive(Debug)]
 pub struct Signal {
     sender: RefCell<Option<oneshot::Sender<()>>>,
@@ -20,17 +20,17 @@
 }
 
 impl Signal {
-    /// Gives the signal; giving it again changes nothing.
+    /// Triggers the signal; has no effect if it is already triggered.
     pub fn trigger(&self) {
         self.sender.borrow_mut().take();
     }
 
-    /// Whether it was given.
+    /// Whether the signal has been triggered.
     pub fn is_triggered(&self) -> bool {
         self.sender.borrow().is_none()
     }
 
-    /// Completes once it is given.
+    /// Completes once the signal is triggered.
     pub fn wait(&self) -> impl Future<Output = ()> + use<> {
         self.receiver.clone().map(|_| ())
     }
--- a/crates/standins/src/slots.rs
+++ b/crates/standins/src/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of a target: a fixed number of requests run, some wait in order.
+//! The slots of a target: limits the running requests and queues others in FIFO order.
 
 use std::{
     cell::RefCell,
@@ -8,7 +8,7 @@
 
 use futures_channel::oneshot;
 
-/// The slots of one life of a target.
+/// The slots of one incarnation of a target.
 #[derive(Clone, Debug)]
 pub struct Slots {
     state: Rc<RefCell<State>>,
@@ -22,27 +22,27 @@
     running: usize,
 }
 
-/// A slot that is taken until this is dropped.
+/// An occupied slot, freed on drop.
 #[derive(Debug)]
 pub struct Slot {
-    /// Its number.
+    /// The number of the slot.
     pub number: usize,
     slots: Slots,
 }
 
-/// Why there is no place, not even to wait.
+/// The error when all slots are occupied and the queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
 impl Slots {
-    /// `count` slots for which up to `queue_limit` requests wait.
+    /// Creates `count` slots with a queue of at most `queue_limit` requests.
     pub fn new(count: usize, queue_limit: usize) -> Slots {
         let state =
             State { free: (0..count).collect(), waiting: VecDeque::new(), queue_limit, running: 0 };
         Slots { state: Rc::new(RefCell::new(state)) }
     }
 
-    /// A place in the queue, which gives the slot when its turn has come.
+    /// Joins the queue; the receiver yields the slot once it is granted.
     pub fn acquire(&self) -> Result<oneshot::Receiver<Slot>, Full> {
         let (sender, receiver) = oneshot::channel();
         let mut state = self.state.borrow_mut();
@@ -56,12 +56,12 @@
         Ok(receiver)
     }
 
-    /// How many requests run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.state.borrow().running
     }
 
-    /// How many requests wait or run.
+    /// Number of queued and running requests.
     pub fn load(&self) -> usize {
         let state = self.state.borrow();
         state.running + state.waiting.iter().filter(|waiting| !waiting.is_canceled()).count()
@@ -79,8 +79,8 @@
             };
             state.running += 1;
             drop(state);
-            // A waiter that has gone gives the slot back by dropping it, which
-            // comes here again for the next one.
+            // If the receiver is gone, the slot is dropped here, and its drop handler grants
+            // it to the next waiter.
             let _ = next.send(Slot { number, slots: self.clone() });
         }
     }
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -1,4 +1,5 @@
-//! One stand-in target: the target forms of docs/PROTOCOLS.md over a slot model.
+//! A stand-in target: implements the target API of docs/PROTOCOLS.md with simulated slots and
+//! service times.
 
 use std::{
     cell::{Cell, RefCell},
@@ -27,18 +28,18 @@
     slots::Slots,
 };
 
-/// When a shed caller should come back, in milliseconds.
+/// Retry delay reported to clients whose requests are shed, in milliseconds.
 const RETRY_AFTER_MS: u64 = 50;
 
-/// How many times as long a cold target takes.
+/// Factor by which service times are multiplied while a target is cold.
 const COLD_FACTOR: f64 = 5.0;
 
-/// The longest deadline that is honoured.
+/// Upper limit for deadlines of requests.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// A stand-in target.
 pub struct Target {
-    /// What it is like.
+    /// The configuration of the target.
     pub plan: TargetPlan,
     /// The faults in force.
     pub faults: RefCell<Faults>,
@@ -51,9 +52,9 @@
     first_live: Cell<u64>,
 }
 
-/// One life of a target, from one crash to the next.
+/// One incarnation of a target, from its start to its crash.
 pub struct Incarnation {
-    /// Given at the crash.
+    /// Triggered at the crash.
     pub stop: Signal,
     id: u64,
     slots: Slots,
@@ -63,7 +64,7 @@
 }
 
 impl Target {
-    /// A target after `plan` that records its runs in `log`.
+    /// Creates a target with the configuration `plan` that records its runs in `log`.
     pub fn new(plan: TargetPlan, random: Random, log: Rc<RefCell<RunLog>>) -> Target {
         let incarnation = Incarnation::new(&plan, random.number());
         Target {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Changes the faults.
+    /// Applies a change of faults.
     pub fn apply(&self, change: &FaultChange) {
         self.faults.borrow_mut().apply(change);
         if let Some(span) = change.cold_ms {
@@ -102,17 +103,17 @@
         }
     }
 
-    /// The life it is in.
+    /// Returns the current incarnation.
     pub fn incarnation(&self) -> Rc<Incarnation> {
         self.incarnation.borrow().clone()
     }
 
-    /// Starts another life.
+    /// Starts a new incarnation.
     pub fn restart(&self) {
         self.incarnation.replace(Rc::new(Incarnation::new(&self.plan, self.random.number())));
     }
 
-    /// How many requests wait or run.
+    /// Number of queued and running requests.
     pub fn load(&self) -> usize {
         self.incarnation().slots.load()
     }
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Draws a service time: a log-normal one about the plan's median.
+    /// Draws a service time from a log-normal distribution around the configured median.
     fn service_time(&self) -> Duration {
         let angle = std::f64::consts::TAU * self.random.fraction();
         let radius = (-2.0 * (1.0 - self.random.fraction()).ln()).sqrt();
@@ -168,7 +169,7 @@
     }
 }
 
-/// One connection to a target.
+/// A connection to a target.
 pub struct Connection {
     target: Rc<Target>,
     incarnation: Rc<Incarnation>,
@@ -177,7 +178,7 @@
 }
 
 impl Connection {
-    /// Opens a connection to the life that `target` is in.
+    /// Opens a connection to the current incarnation of `target`.
     pub fn open(target: &Rc<Target>) -> Connection {
         let incarnation = target.incarnation();
         let number = target.opened.get();
@@ -190,7 +191,7 @@
         Connection { target: target.clone(), incarnation, number, is_over_limit }
     }
 
-    /// Does the work of a new connection; one after the other.
+    /// Waits for the set-up time of a new connection; set-ups run one after the other.
     pub async fn simulate_setup(&self) {
         let from = self.incarnation.next_setup.get().max(Instant::now());
         let ready = from + Duration::from_millis(self.target.plan.connect_ms);
@@ -336,8 +337,8 @@
 impl Handler for Connection {
     fn handle(&self, request: Request) -> LocalFuture<'_, Reply> {
         Box::pin(async move {
-            // What lies between the two ends has lost track of the connection:
-            // the request never comes here, or its answer never goes back.
+            // Simulates a network device that lost the state of the connection: the request
+            // does not arrive, or its response does not get back.
             if self.is_silent() {
                 return Reply::Silence;
             }
@@ -357,7 +358,7 @@
     id: u64,
 }
 
-/// A run that is recorded; one that is dropped before its end was lost.
+/// A recorded run; one dropped before it finishes is recorded as lost.
 struct Run {
     log: Rc<RefCell<RunLog>>,
     index: usize,
@@ -379,7 +380,7 @@
     }
 }
 
-/// Waits for `work` unless it is cancelled or its deadline passes first.
+/// Waits for `work`; fails if it is cancelled or the deadline passes first.
 async fn cancellable<T>(
     work: impl Future<Output = T>,
     cancel: &Signal,
--- a/crates/standins/src/targets.rs
+++ b/crates/standins/src/targets.rs
@@ -1,4 +1,4 @@
-//! Many stand-in targets in one process, with one port for control.
+//! A set of stand-in targets in one process, with a shared control port.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,31 +17,31 @@
     target::{Connection, Target},
 };
 
-/// How often a target tries to listen on its port again, and the pause between.
+/// Number of attempts of a restarted target to listen on its port, and the delay between them.
 const LISTEN_ATTEMPTS: usize = 100;
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Where the targets of a process listen.
+/// The addresses that the targets of a process listen on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetPorts {
-    /// Where faults are set and runs are read.
+    /// The control address, where faults are set and runs are read.
     pub control: SocketAddr,
-    /// The targets, in the order of the plan.
+    /// The addresses of the targets, in the order of the plan.
     pub targets: Vec<TargetPort>,
 }
 
-/// Where a target listens.
+/// The address that a target listens on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TargetPort {
-    /// Its name.
+    /// The name of the target.
     pub name: TargetName,
-    /// Its address.
+    /// The address of the target.
     pub address: SocketAddr,
 }
 
-/// The targets of a process; they end when this is dropped.
+/// The targets of a process, stopped on drop.
 pub struct Fleet {
-    /// Where they listen.
+    /// The addresses that they listen on.
     pub ports: FleetPorts,
     inner: Rc<Inner>,
     _control: ServerHandle,
@@ -78,17 +78,17 @@
         Ok(Fleet { ports, inner, _control: control })
     }
 
-    /// Changes the faults of one target or all; false if there is no such target.
+    /// Changes the faults of one target or all; returns false if there is no such target.
     pub fn apply(&self, change: &FaultChange) -> bool {
         self.inner.apply(change)
     }
 
-    /// What the targets ran.
+    /// Returns the records of what the targets ran.
     pub fn log(&self) -> RunLog {
         self.inner.log.borrow().clone()
     }
 
-    /// The address of the target of that name.
+    /// Returns the address of the target called `name`.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let target = self.ports.targets.iter().find(|target| target.name.as_str() == name);
         target.map(|target| target.address)
@@ -114,7 +114,7 @@
     }
 }
 
-/// Runs a target from life to life.
+/// Runs a target, with a new incarnation after each crash.
 async fn run_target(target: Rc<Target>, mut listener: TcpListener, port: u16, inner: Rc<Inner>) {
     loop {
         let incarnation = target.incarnation();
@@ -126,8 +126,7 @@
                 http::serve(stream, connection, &incarnation.stop).await;
             });
         }
-        // While the port is closed, connects are refused, as with a process
-        // that is gone.
+        // Closing the port makes connection attempts fail, as with a process that has exited.
         drop(listener);
         let down = target.faults.borrow().restart_ms;
         monoio::time::sleep(Duration::from_millis(down)).await;
@@ -152,7 +151,7 @@
     listen(port)
 }
 
-/// The control port.
+/// Handles requests to the control port.
 struct Control(Rc<Inner>);
 
 impl Handler for Control {
--- a/crates/standins/tests/relay.rs
+++ b/crates/standins/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: links that pass, are cut, are delayed, or go silent.
+//! Tests of the relay: links that forward, are cut, are delayed, go silent or are closed.
 
 use std::{
     io,
--- a/crates/standins/tests/targets.rs
+++ b/crates/standins/tests/targets.rs
@@ -1,4 +1,4 @@
-//! The stand-in targets: slots, refusals, cancellation, deadlines and faults.
+//! Tests of the stand-in targets: slots, refusals, cancellation, deadlines and faults.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -216,8 +216,8 @@
 
 #[test]
 fn a_client_opens_another_connection_once_its_idle_one_was_closed() {
-    // The target crashes and comes back while the client's connection is idle.
-    // Sending on it would look like a request cut in flight.
+    // The target crashes and restarts while the client's connection is idle. Sending on that
+    // connection would look like a request interrupted in flight.
     block_on(async {
         let (fleet, address) = fleet(|_| {});
         let client = client(address);
