--- a/crates/standins/tests/relay.rs
+++ b/crates/standins/tests/relay.rs
@@ -19,7 +19,7 @@
     link
 }
 
-fn relayed() -> (Scripted, Relay, Client) {
+fn start_relay() -> (Scripted, Relay, Client) {
     let server = Scripted::start(|_| vec![answer(200, &[], b"")]).unwrap();
     let relay = Relay::start(0, &[(0, server.address)]).unwrap();
     let client = Client::new(relay.ports.links[0], Duration::from_millis(200));
@@ -30,27 +30,27 @@
     up = { LinkChange { cut_up: Some(true), ..Default::default() }, 1 },
     down = { LinkChange { cut_down: Some(true), ..Default::default() }, 2 },
 )]
-fn a_cut_link_carries_nothing_until_it_is_whole(cut: LinkChange, arrived: usize) {
+fn a_cut_link_forwards_nothing_until_it_is_restored(cut: LinkChange, arrived: usize) {
     block_on(async {
-        let (server, relay, client) = relayed();
+        let (server, relay, client) = start_relay();
         client.get("/").await.unwrap();
 
         relay.apply(&cut);
         let error = client.get("/").await.unwrap_err();
         let calls = server.requests().len();
         relay.apply(&link(|link| (link.cut_up, link.cut_down) = (Some(false), Some(false))));
-        let healed = client.get("/").await.unwrap();
+        let restored = client.get("/").await.unwrap();
 
         assert_eq!(error.kind(), io::ErrorKind::TimedOut);
         assert_eq!(calls, arrived);
-        assert_eq!(healed.status, 200);
+        assert_eq!(restored.status, 200);
     });
 }
 
 #[test]
 fn open_connections_go_silent_while_new_ones_work() {
     block_on(async {
-        let (_server, relay, client) = relayed();
+        let (_server, relay, client) = start_relay();
         client.get("/").await.unwrap();
 
         relay.apply(&link(|link| link.silence = true));
@@ -63,7 +63,7 @@
 #[test]
 fn closed_connections_break_at_once() {
     block_on(async {
-        let (_server, relay, client) = relayed();
+        let (_server, relay, client) = start_relay();
         client.get("/").await.unwrap();
 
         relay.apply(&link(|link| link.close = true));
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn a_delayed_link_is_late_both_ways() {
+fn a_delayed_link_adds_its_delay_in_both_directions() {
     block_on(async {
-        let (_server, relay, client) = relayed();
+        let (_server, relay, client) = start_relay();
         relay.apply(&link(|link| link.delay_ms = Some(30)));
         let start = Instant::now();
 
--- a/crates/standins/tests/targets.rs
+++ b/crates/standins/tests/targets.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_search_gives_the_data_of_its_shard_and_version() {
+fn a_search_returns_the_data_of_its_shard_and_version() {
     block_on(async {
         let (fleet, address) = fleet(|_| {});
 
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn requests_over_the_slots_wait_and_over_the_queue_are_shed() {
+fn requests_beyond_the_slots_wait_and_beyond_the_queue_are_shed() {
     block_on(async {
         let (fleet, address) = fleet(|target| {
             target.slots = 1;
@@ -112,7 +112,7 @@
     running = { 1, true },
     waiting = { 2, false },
 )]
-fn a_cancelled_request_tells_whether_it_had_begun(id: u64, ran: bool) {
+fn a_cancelled_request_reports_whether_it_had_begun(id: u64, ran: bool) {
     block_on(async {
         let (_fleet, address) = fleet(|target| {
             target.slots = 1;
@@ -156,7 +156,7 @@
     gone = { FaultChange { unpublish: Some(IndexVersion(1)), ..Default::default() }, 410 },
     moved = { FaultChange { held: Some(vec![held(2, 1, 2)]), ..Default::default() }, 410 },
 )]
-fn a_refusal_runs_nothing(change: FaultChange, status: u16) {
+fn a_refused_request_is_not_run(change: FaultChange, status: u16) {
     block_on(async {
         let (fleet, address) = fleet(|_| {});
         fleet.apply(&change);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_marked_request_crashes_the_target_and_another_life_follows() {
+fn a_marked_request_crashes_the_target_which_restarts_as_another_incarnation() {
     block_on(async {
         let (fleet, address) = fleet(|target| target.service_ms = 100.0);
         fleet.apply(&faults(|change| {
@@ -183,12 +183,12 @@
         let before = status().await;
         let poison = TargetCall { body: r#"{"q":"poison"}"#.to_owned(), ..call(2) };
 
-        let innocent = call(1);
+        let unmarked = call(1);
         let late = async {
             sleep(Duration::from_millis(20)).await;
             run(address, &poison).await
         };
-        let (first, second) = join(run(address, &innocent), late).await;
+        let (first, second) = join(run(address, &unmarked), late).await;
 
         assert!(first.is_err() && second.is_err());
         sleep(Duration::from_millis(20)).await;
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_target_lies_about_its_load_and_phase() {
+fn a_target_reports_a_false_load_and_phase() {
     block_on(async {
         let (fleet, address) = fleet(|_| {});
         fleet.apply(&faults(|change| {
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn faults_and_records_go_through_the_control_port() {
+fn faults_and_records_are_available_on_the_control_port() {
     block_on(async {
         let (fleet, address) = fleet(|_| {});
         let control = client(fleet.ports.control);
