--- a/crates/measure/src/bench.rs
+++ b/crates/measure/src/bench.rs
@@ -1,8 +1,8 @@
-//! A small tier for measurements, and the callers that load it.
+//! A query tier in virtual time, and the callers that load it.
 //!
-//! This is no simulator of a cluster: holders and roots are the real ones, and
-//! what surrounds them stands in at their interfaces. With [`Root::Small`] the
-//! holders are measured for themselves, behind a root that only fans out.
+//! The holders and roots are the production code; only their surroundings (clock, network,
+//! membership, targets) are replaced by fakes. With [`Root::Small`], the holders are
+//! benchmarked alone, behind a root that only fans out.
 
 use std::{
     cell::{Cell, RefCell},
@@ -40,29 +40,29 @@
     virtual_time::VirtualTime,
 };
 
-/// The shards of the index, each with two replicas.
+/// Number of shards of the index, each with two replicas.
 pub const SHARDS: usize = 50;
-/// The slots of a replica.
+/// Number of slots of a replica.
 pub const SLOTS: u32 = 2;
-/// The groups into which the small root parts the shards.
+/// Number of groups into which the small root divides the shards.
 const GROUPS: usize = 3;
-/// The time before anything is counted.
+/// Time before results are recorded.
 pub const WARM_UP: Duration = Duration::from_secs(4);
-/// The coverage that is enough for an answer to count as good.
+/// Minimum coverage of a good answer.
 const MIN_COVERAGE: f64 = 0.9;
-/// The queries that many callers send, and the share of all that these are.
+/// Number of distinct popular queries, and their share of all queries.
 const POPULAR: (usize, f64) = (500, 0.9);
 
-/// Which root the queries go through.
+/// The root that handles the queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Root {
-    /// One that fans out and no more.
+    /// A minimal root that only fans out.
     Small,
-    /// The one of the query crate.
+    /// The production root of the query crate.
     Front,
 }
 
-/// How a tier is put together.
+/// The configuration of a tier.
 #[derive(Clone, Copy)]
 pub struct Setup {
     pub root: Root,
@@ -70,12 +70,12 @@
     pub options: fn() -> QueryOptions,
 }
 
-/// The queries that all slots together can answer in a second.
+/// Returns the number of queries per second that all slots together can answer.
 pub fn capacity() -> f64 {
     2.0 * f64::from(SLOTS) / SERVICE_TIME.as_secs_f64()
 }
 
-/// What came of the queries of one class.
+/// Results of the queries of one class.
 pub struct Tally {
     pub latency: Histogram<u64>,
     pub offered: u64,
@@ -91,14 +91,14 @@
     }
 }
 
-/// The small tier.
+/// The tier under test.
 pub struct Bench {
     pub time: VirtualTime,
     pub targets: Rc<FakeTargets>,
     pub tallies: RefCell<HashMap<Class, Tally>>,
-    /// The good answers in each tenth of a second.
+    /// Number of good answers in each tenth of a second.
     pub good_by_tenth: RefCell<HashMap<u64, u64>>,
-    /// The shards that answered.
+    /// Number of shards that answered, summed over queries.
     pub covered: Cell<u64>,
     pub counting: Cell<bool>,
     root: Root,
@@ -108,14 +108,14 @@
     serial: Cell<u64>,
 }
 
-/// What a query came to.
+/// The result of a query.
 struct Outcome {
     covered: usize,
     refused: bool,
 }
 
 impl Bench {
-    /// A tier that is put together by `setup`.
+    /// Creates a tier with the configuration `setup`.
     pub fn new(seed: u64, setup: &Setup) -> Rc<Bench> {
         let time = VirtualTime::default();
         let random = Random::with_seed(seed);
@@ -156,17 +156,17 @@
         })
     }
 
-    /// The fake of a replica.
+    /// Returns the fake target of a replica.
     pub fn fake(&self, shard: usize, replica: usize) -> Rc<FakeTarget> {
         self.targets.targets[&target_name(shard, replica)].clone()
     }
 
-    /// Every fake.
+    /// Returns all fake targets.
     pub fn fakes(&self) -> Vec<Rc<FakeTarget>> {
         (0..SHARDS).flat_map(|shard| [self.fake(shard, 0), self.fake(shard, 1)]).collect()
     }
 
-    /// Sends queries of `class` at `rate` a second for ever.
+    /// Sends queries of `class` at `rate` per second, with exponential gaps, without end.
     pub fn offer_load(self: &Rc<Self>, class: Class, rate: f64) {
         let bench = self.clone();
         self.time.spawn(async move {
@@ -192,7 +192,7 @@
         self.record_outcome(class, self.time.now() - start, &outcome);
     }
 
-    /// Sends the poisoned request as its caller does.
+    /// Sends a request that crashes the targets that run it.
     pub async fn send_poison(&self) {
         self.search(Class::Desk, "siam", POISON).await;
     }
@@ -237,7 +237,7 @@
             hedge: false,
         };
         if text == POISON {
-            // The root's first try of an unknown request, on one shard alone.
+            // Canary: a root first sends an unknown request to a single shard.
             let mut first = request.clone();
             first.shards = vec![shard_name(17)];
             let first = self.send(1, first).await;
@@ -256,8 +256,8 @@
         while let Some(answer) = open.next().await {
             match answer {
                 Ok(answer) => outcome.covered += answer.covered.len(),
-                // One group refused means that the answer can't be whole; the
-                // work of the others is saved by dropping them.
+                // The answer cannot be complete once a group has refused; dropping the other
+                // requests saves their work.
                 Err(Error::Overloaded { .. }) => {
                     outcome.refused = true;
                     break;
@@ -277,7 +277,7 @@
         self.time.sleep(HOP_DELAY).await;
         match reply {
             PeerReply::Group(answer) => Ok(*answer),
-            _ => Err(Error::protocol("not an answer of a group")),
+            _ => Err(Error::protocol("unexpected reply to a group request")),
         }
     }
 
@@ -306,7 +306,7 @@
     }
 }
 
-/// The deadline of a class, in milliseconds.
+/// Returns the deadline of a class, in milliseconds.
 fn deadline_ms(class: Class) -> u64 {
     match class {
         Class::Desk => 300,
--- a/crates/measure/src/capacity.rs
+++ b/crates/measure/src/capacity.rs
@@ -1,5 +1,7 @@
-//! What docs/capacity.toml holds: the size to reach, the budgets, the settings
-//! of the design, and what was measured, with the command and date of each.
+//! The contents of docs/capacity.toml, and the figures derived from them.
+//!
+//! The file has the size to reach, the budgets, the settings of the design, and measured
+//! figures, each with its command and date.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +13,13 @@
 pub struct Inputs {
     /// The size to reach.
     pub size: Size,
-    /// What a node may spend, and what its surroundings allow.
+    /// Limits on the resources of a node, the platform and the targets.
     pub budget: Budget,
-    /// The settings that the arithmetic takes.
+    /// Settings of the design that enter the calculation.
     pub design: Design,
     /// Single figures.
     pub value: BTreeMap<String, Value>,
-    /// Figures at several counts of nodes.
+    /// Figures at several numbers of nodes.
     pub series: BTreeMap<String, Series>,
 }
 
@@ -25,41 +27,41 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: f64,
-    /// Replicas, each on a target of its own.
+    /// Number of replicas, each on its own target.
     pub replicas: f64,
-    /// Queries a second.
+    /// Queries per second.
     pub queries: f64,
-    /// Replicas that a query asks.
+    /// Number of replicas that a query is sent to.
     pub fanout: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Data centres.
+    /// Number of data centres.
     pub centres: f64,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes: f64,
-    /// VMs that fail, are restarted or replaced in a day.
+    /// VMs that fail, restart or are replaced per day.
     pub churn: f64,
 }
 
-/// What is allowed.
+/// Limits on resources and times.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Control of a node, in per cent of a core.
+    /// CPU time of a node for control, in per cent of a core.
     pub cpu_percent: f64,
-    /// Control of a node, in MiB.
+    /// Memory of a node for control, in MiB.
     pub memory_mib: f64,
-    /// Control of a node, in bytes a second.
+    /// Control traffic of a node, in bytes per second.
     pub bytes: f64,
-    /// Until a change is in force everywhere, in seconds.
+    /// Time until a change is in force on all nodes, in seconds.
     pub change_seconds: f64,
-    /// Reads of the platform's service a second.
+    /// Reads from the platform's service per second.
     pub reads: f64,
-    /// Connections of a target.
+    /// Connections that a target accepts.
     pub connections: f64,
-    /// Cores of a VM, taken as one for want of a figure.
+    /// Cores of a VM; assumed to be one, as no number is specified.
     pub cores: f64,
 }
 
@@ -67,92 +69,93 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Design {
-    /// Replicas of a shard.
+    /// Number of replicas of a shard.
     pub shard_replicas: f64,
-    /// Shards of a group, before the count of groups is rounded up.
+    /// Number of shards in a group, before the number of groups is rounded up.
     pub group_shards: f64,
-    /// How shards fall into groups.
+    /// How shards are assigned to groups.
     pub grouping: Grouping,
-    /// Holders of a group in each region.
+    /// Number of holders of a group in each region.
     pub holders: f64,
-    /// Nodes kept in rank for a group besides its holders.
+    /// Number of nodes in the ranking of a group besides its holders.
     pub spares: f64,
-    /// Connections of a holder to a target.
+    /// Number of connections of a holder to a target.
     pub connections: f64,
-    /// Groups that a query should meet: those of 40 replicas each.
+    /// Number of groups that a query should reach, with 40 replicas each.
     pub groups_aimed: f64,
     /// Service time of a target, in seconds.
     pub service_seconds: f64,
-    /// Nodes that the status command asks at once.
+    /// Number of nodes that the status command asks concurrently.
     pub asked_at_once: f64,
-    /// Bytes of news that a node may send in a second.
+    /// Limit of a node's membership updates, in bytes per second.
     pub news_rate: f64,
-    /// How long the status command waits for one that does not answer, in seconds.
+    /// Timeout of the status command for a node that does not answer, in seconds.
     pub ask_seconds: f64,
 }
 
-/// How shards fall into groups.
+/// How shards are assigned to groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Grouping {
-    /// By a hash of the shard, whatever selector reaches it.
+    /// By a hash of the shard, regardless of the selectors that reach it.
     Hash,
-    /// By hash among the shards that the same selectors reach.
+    /// By a hash of the shard, among the shards that the same selectors reach.
     Selector,
 }
 
-/// One measured figure.
+/// A single measured figure.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Value {
     /// The figure.
     pub value: f64,
-    /// Its unit.
+    /// The unit of the figure.
     pub unit: String,
-    /// The command that gave it.
+    /// The command that measured it.
     pub command: String,
-    /// When, in UTC.
+    /// The date and time of the measurement, in UTC.
     pub date: String,
 }
 
-/// A figure measured at several counts of nodes.
+/// A figure measured at several numbers of nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Series {
-    /// Pairs of a count of nodes and the figure there.
+    /// Pairs of a number of nodes and the figure at that number.
     pub points: Vec<(f64, f64)>,
-    /// How it is carried to other counts.
+    /// The law for extrapolating to other numbers of nodes.
     pub law: Law,
-    /// Its unit.
+    /// The unit of the figure.
     pub unit: String,
-    /// The command that gave it.
+    /// The command that measured it.
     pub command: String,
-    /// When, in UTC.
+    /// The date and time of the measurement, in UTC.
     pub date: String,
 }
 
-/// How a figure grows with the count of nodes.
+/// How a figure grows with the number of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Law {
-    /// In a straight line.
+    /// Linearly.
     Linear,
-    /// In a straight line over the binary logarithm.
+    /// Linearly in the binary logarithm.
     Logarithm,
 }
 
 impl Inputs {
-    /// Reads the file's text.
+    /// Parses the contents of the file.
     pub fn parse(text: &str) -> Result<Inputs, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// A single figure, if it was measured.
+    /// Returns a single figure, if it was measured.
     pub fn value(&self, name: &str) -> Option<f64> {
         self.value.get(name).map(|value| value.value)
     }
 
-    /// A figure at `nodes`, if it was measured at two counts or more.
+    /// Returns the fitted value of a figure at `nodes`, if it was measured at two or more
+    /// numbers of nodes.
     pub fn at(&self, name: &str, nodes: f64) -> Option<f64> {
         let (base, slope) = self.series.get(name)?.fit()?;
         Some(base + slope * self.series[name].law.apply(nodes))
@@ -160,7 +163,7 @@
 }
 
 impl Series {
-    /// The base and slope of the line of least squares through the points.
+    /// Returns the intercept and slope of the least-squares line through the points.
     pub fn fit(&self) -> Option<(f64, f64)> {
         let count = self.points.len() as f64;
         let points: Vec<(f64, f64)> =
@@ -185,31 +188,31 @@
     }
 }
 
-/// What the size and the design give before any measurement.
+/// Figures that follow from the size and the design alone.
 #[derive(Clone, Copy, Debug)]
 pub struct Derived {
-    /// Queries a second of a node as root.
+    /// Queries per second of a node as root.
     pub queries: f64,
-    /// Sub-requests a second of a node as holder.
+    /// Sub-requests per second of a node as holder.
     pub sub_requests: f64,
-    /// Sub-requests a second of a replica.
+    /// Sub-requests per second of a replica.
     pub at_replica: f64,
-    /// Groups.
+    /// Number of groups.
     pub groups: f64,
-    /// Groups that a query meets.
+    /// Expected number of groups that a query reaches.
     pub met: f64,
-    /// Messages to other nodes that a node sends as root, a second.
+    /// Messages per second that a node sends to holders as root.
     pub messages: f64,
-    /// Nodes that hold a replica.
+    /// Number of nodes that hold a replica.
     pub holders: f64,
-    /// Nodes kept in rank for a group.
+    /// Number of nodes in the ranking of a group.
     pub ranked: f64,
-    /// Replicas that a node holds.
+    /// Number of replicas that a node holds.
     pub held: f64,
 }
 
 impl Derived {
-    /// Works it out.
+    /// Calculates the figures.
     pub fn new(inputs: &Inputs) -> Derived {
         let Inputs { size, design, .. } = inputs;
         let queries = size.queries / size.nodes;
@@ -219,7 +222,7 @@
                 let groups = group_count(shards, design);
                 (groups, expected_groups(groups, size.fanout))
             }
-            // As many selectors as it takes to reach every shard once.
+            // Assumes as many selectors as needed to reach each shard once.
             Grouping::Selector => {
                 let groups = group_count(size.fanout, design);
                 (groups * (shards / size.fanout).ceil(), expected_groups(groups, size.fanout))
@@ -240,12 +243,13 @@
     }
 }
 
-/// The groups of `shards` shards, as the router counts them.
+/// Returns the number of groups for `shards` shards, with the rounding of the router.
 fn group_count(shards: f64, design: &Design) -> f64 {
     ((shards / design.group_shards).ceil() as u64).next_power_of_two() as f64
 }
 
-/// How many of `groups` groups get at least one of `shards` shards by hashing.
+/// Returns the expected number of `groups` groups that contain at least one of `shards` shards
+/// when shards are assigned by hashing.
 fn expected_groups(groups: f64, shards: f64) -> f64 {
     groups * (1.0 - (1.0 - 1.0 / groups).powf(shards))
 }
--- a/crates/measure/src/capacity_command.rs
+++ b/crates/measure/src/capacity_command.rs
@@ -1,4 +1,4 @@
-//! Prints the arithmetic of docs/CAPACITY.md.
+//! Prints the capacity calculation of docs/CAPACITY.md.
 
 use std::{fs, io, path::PathBuf};
 
@@ -9,16 +9,16 @@
     capacity_rows::table,
 };
 
-/// Work out docs/CAPACITY.md from what was measured.
+/// Calculate the table of docs/CAPACITY.md from measured figures.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "capacity")]
 pub struct Args {
-    /// the file with the size and what was measured
+    /// the file with the size to reach and the measured figures
     #[argh(option, default = "PathBuf::from(\"docs/capacity.toml\")")]
     inputs: PathBuf,
 }
 
-/// Prints the table, and the slopes under it.
+/// Prints the table, the derived figures and the fitted lines.
 pub fn run(args: &Args) -> io::Result<()> {
     let text = fs::read_to_string(&args.inputs)?;
     let inputs = Inputs::parse(&text).map_err(io::Error::other)?;
--- a/crates/measure/src/capacity_control.rs
+++ b/crates/measure/src/capacity_control.rs
@@ -1,4 +1,4 @@
-//! The lines of the table of docs/CAPACITY.md that are about control.
+//! The rows of the table of docs/CAPACITY.md about control traffic.
 
 use crate::{
     capacity::{Derived, Inputs},
@@ -7,7 +7,7 @@
 
 const DAY: f64 = 86_400.0;
 
-/// The lines of membership, and of all control together.
+/// Returns the rows of membership and of all control together.
 pub(crate) fn member(inputs: &Inputs, derived: &Derived) -> Vec<Row> {
     let Inputs { size, budget, .. } = inputs;
     let role = "member";
@@ -28,7 +28,7 @@
         .zip(inputs.at("death_bytes", size.nodes))
         .zip(inputs.value("head_bytes"))
         .map(|(((base, change), death), heads)| {
-            // A VM that is replaced is news twice: it goes, and another comes.
+            // A replaced VM is announced twice: one node leaves and another joins.
             base + heads + (change * size.changes + 2.0 * death * size.churn) / DAY
         });
     vec![
@@ -98,7 +98,7 @@
     ]
 }
 
-/// The lines of those that read the configuration.
+/// Returns the rows of the configuration readers.
 pub(crate) fn reader(inputs: &Inputs) -> Vec<Row> {
     let Inputs { size, budget, .. } = inputs;
     let role = "configuration reader";
@@ -152,7 +152,7 @@
     ]
 }
 
-/// The lines of an operator's question to all nodes.
+/// Returns the rows of the operator's status command, which asks all nodes.
 pub(crate) fn status(inputs: &Inputs) -> Vec<Row> {
     let Inputs { size, design, .. } = inputs;
     let role = "operator's status";
@@ -188,7 +188,7 @@
     ]
 }
 
-/// The lines of storms.
+/// Returns the rows of mass starts and failures.
 pub(crate) fn storms(inputs: &Inputs) -> Vec<Row> {
     let Inputs { size, budget, design, .. } = inputs;
     let storm = |role, what, name, unit, allowed, mechanism| Row {
--- a/crates/measure/src/capacity_rows.rs
+++ b/crates/measure/src/capacity_rows.rs
@@ -1,33 +1,33 @@
-//! The table of docs/CAPACITY.md, row by row.
+//! The rows of the table of docs/CAPACITY.md.
 
 use crate::{
     capacity::{Derived, Inputs},
     capacity_control::{member, reader, status, storms},
 };
 
-/// A line of the table.
+/// A row of the table.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The role of a node, or the storm.
+    /// The role of a node, or a mass start or failure.
     pub role: &'static str,
-    /// What is counted.
+    /// The quantity.
     pub what: &'static str,
-    /// How much there is at the size, if what it takes was measured.
+    /// The amount at the size to reach, if all its inputs were measured.
     pub amount: Option<f64>,
-    /// Its unit.
+    /// The unit of the amount.
     pub unit: &'static str,
-    /// How much is allowed, where something is.
+    /// The allowed amount, if there is a limit.
     pub allowed: Option<f64>,
-    /// What carries it, and the file where that stands.
+    /// The mechanism responsible for the quantity, and its source file.
     pub mechanism: &'static str,
-    /// The names in capacity.toml that it was worked out from.
+    /// The names in capacity.toml from which the amount is calculated.
     pub from: &'static str,
 }
 
-/// Bytes of a MiB.
+/// Number of bytes in a MiB.
 pub(crate) const MIB: f64 = 1_048_576.0;
 
-/// Every line of the table.
+/// Returns all rows of the table.
 pub fn rows(inputs: &Inputs) -> Vec<Row> {
     let derived = Derived::new(inputs);
     let mut rows = root(inputs, &derived);
@@ -39,7 +39,7 @@
     rows
 }
 
-/// The table in Markdown.
+/// Returns the table in Markdown.
 pub fn table(inputs: &Inputs) -> String {
     let mut text = String::from(
         "| role | what | at the size | allowed | factor | carried by | from |\n\
@@ -73,7 +73,7 @@
     }
 }
 
-/// Three significant digits, with commas in thousands.
+/// Formats a number with three significant digits and thousands separators.
 fn number(value: f64) -> String {
     if value == 0.0 {
         return "0".to_owned();
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions of the holder under load and faults, beside their naive forms.
+//! A benchmark of the holder's decisions under load and faults, compared with naive ones.
 
 use std::{collections::VecDeque, rc::Rc, sync::Mutex, time::Duration};
 
@@ -24,35 +24,35 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "decisions")]
 pub struct Args {
-    /// how many seeds, from 1 on
+    /// number of seeds, starting from 1
     #[argh(option, default = "5")]
     seeds: u64,
-    /// the seconds counted of each run
+    /// the recorded duration of each run, in seconds
     #[argh(option, default = "8")]
     seconds: u64,
-    /// the threads that run at a time
+    /// number of threads
     #[argh(option, default = "4")]
     threads: usize,
-    /// the root: small, which fans out and no more, or front, the real one
+    /// the root: small, which only fans out, or front, the production root
     #[argh(option, default = "\"small\".to_owned()")]
     root: String,
-    /// leave out the naive forms
+    /// skip the naive decisions
     #[argh(switch)]
     chosen: bool,
-    /// only scenarios whose name contains this
+    /// run only cases whose name contains this text
     #[argh(option, default = "String::new()")]
     only: String,
 }
 
-/// One row of the table, before it is repeated with other seeds.
+/// A scenario, which is run with several seeds and both kinds of decisions.
 #[derive(Clone, Copy)]
 struct Case {
     name: &'static str,
     /// The load as a multiple of capacity.
     load: f64,
-    /// The shares of the classes.
+    /// Shares of the classes in the load.
     mix: [f64; 3],
-    /// Whether the fault is there from the start, and not only once counting begins.
+    /// Whether the fault is present from the start, not only once recording begins.
     from_start: bool,
     faults: fn(&Rc<Bench>, Duration),
     naive: fn() -> Decisions,
@@ -156,7 +156,8 @@
     }
 }
 
-/// A root without admission, canary and copies to a second holder.
+/// Returns options for a root without admission control, canaries and hedged requests to a
+/// second holder.
 fn baseline_options() -> QueryOptions {
     let mut options = QueryOptions::default();
     options.front.admission = false;
@@ -174,7 +175,7 @@
     });
 }
 
-/// The figures of one run, by name.
+/// The results of one run.
 struct Figures {
     classes: Vec<(Class, [f64; 6])>,
     extra: f64,
@@ -270,7 +271,8 @@
     }
 }
 
-/// The seconds from the fault until goodput stays above four fifths of its mean before.
+/// Returns the seconds from the fault until goodput stays above four fifths of its mean before
+/// the fault.
 fn recovery_seconds(bench: &Bench, span: Duration) -> f64 {
     let good = bench.good_by_tenth.borrow();
     let count = |tenth: u64| *good.get(&tenth).unwrap_or(&0) as f64;
@@ -278,7 +280,7 @@
     let fault = start + span.as_millis() as u64 / 400;
     let end = start + span.as_millis() as u64 / 100;
     let before = (start..fault).map(count).sum::<f64>() / (fault - start).max(1) as f64;
-    // A second is taken together, as single tenths are noisy.
+    // Averages over one second, as single tenths are noisy.
     let window = |tenth: u64| (tenth..tenth + 10).map(count).sum::<f64>() / 10.0;
     let mut low = (fault..end.saturating_sub(10)).filter(|tenth| window(*tenth) < before * 0.8);
     low.next_back().map_or(0, |tenth| tenth + 10 - fault) as f64 / 10.0
@@ -286,11 +288,13 @@
 
 fn print(cases: &[Case], done: &[(usize, bool, Figures)], args: &Args) {
     println!(
-        "root {}, {} seeds, {} s each, {SHARDS} shards of 2 replicas; median [least-most] over the seeds",
+        "root {}, {} seeds, {} s each, {SHARDS} shards of 2 replicas; \
+         median [min-max] over the seeds",
         args.root, args.seeds, args.seconds
     );
     println!(
-        "| case | form | class | p50 ms | p99 ms | p99.9 ms | coverage | in time | goodput | extra | over | crashes | connects | back s |"
+        "| case | form | class | p50 ms | p99 ms | p99.9 ms | coverage | in time | goodput \
+         | extra runs | oversubscription | crashes | connects | recovery s |"
     );
     println!("|{}", " --- |".repeat(14));
     for (index, case) in cases.iter().enumerate() {
--- a/crates/measure/src/fake.rs
+++ b/crates/measure/src/fake.rs
@@ -1,4 +1,4 @@
-//! One fake target: its slots, the queue before them, and its faults.
+//! A fake target with slots, a queue and faults.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,28 +11,28 @@
 
 use crate::virtual_time::VirtualTime;
 
-/// The waiting calls beyond which a target sheds.
+/// Number of queued calls at which a target starts to shed.
 pub const QUEUE_LIMIT: usize = 16;
-/// How much slower a cold target is, and for how many calls.
+/// Slowdown factor of a cold target, and the number of calls that it applies to.
 pub const COLD: (f64, u32) = (8.0, 60);
 
-/// The state of one target.
+/// The state of a fake target.
 pub struct FakeTarget {
     pub shard: ShardName,
-    /// The one-way delay to it.
+    /// One-way network delay to the target.
     pub delay: Cell<Duration>,
     pub slots: Cell<u32>,
-    /// How much slower it is than the others.
+    /// Factor by which service times are multiplied.
     pub factor: Cell<f64>,
     pub up: Cell<bool>,
-    /// Whether nothing gets through to it.
+    /// Whether the network to the target is cut.
     pub cut: Cell<bool>,
     pub phase: Cell<Phase>,
-    /// Whether it reports no load whatever it does.
+    /// Whether it always reports a load of zero.
     pub hides_load: Cell<bool>,
-    /// The calls that it serves slowly until it is warm.
+    /// Number of slow calls left until the target is warm.
     pub cold: Cell<u32>,
-    /// The open connections that have gone silent.
+    /// Number of idle connections that have gone silent.
     pub silent: Cell<u32>,
     pub incarnation: Cell<u64>,
     pub idle: Cell<u32>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Ends the process; every call to it is cut off.
+    /// Stops the process and aborts all its calls.
     pub fn stop(&self) {
         self.up.set(false);
         self.idle.set(0);
@@ -87,18 +87,19 @@
         self.up.set(true);
     }
 
-    /// Every connection that is open now goes silent.
+    /// Makes all idle connections silent.
     pub fn silence(&self) {
         self.silent.set(self.idle.get());
     }
 
-    /// The mean share of calls beyond its slots.
+    /// Returns the time-weighted mean number of calls beyond the slots, as a fraction of the
+    /// slots.
     pub fn oversubscription(&self) -> f64 {
         let inner = self.inner.borrow();
         if inner.accounted == 0.0 { 0.0 } else { inner.excess / inner.accounted }
     }
 
-    /// Forgets the oversubscription counted so far.
+    /// Resets the recorded oversubscription.
     pub fn reset_oversubscription(&self) {
         let mut inner = self.inner.borrow_mut();
         (inner.excess, inner.accounted) = (0.0, 0.0);
@@ -146,7 +147,7 @@
     }
 }
 
-/// A call inside a target; dropping it leaves the slot.
+/// A call that is queued or running at a target; dropping it frees its slot.
 pub struct ActiveCall<'a> {
     pub fake: &'a FakeTarget,
     pub time: &'a VirtualTime,
@@ -158,7 +159,7 @@
 impl Drop for ActiveCall<'_> {
     fn drop(&mut self) {
         let now = self.time.now();
-        // A call may be given up just as its turn has come.
+        // The call may be dropped after its slot was granted but before it noticed.
         if let Some(pending_slot) = &mut self.pending_slot {
             self.holds_slot |= matches!(pending_slot.try_recv(), Ok(Some(())));
             pending_slot.close();
@@ -173,7 +174,7 @@
     }
 }
 
-/// A connection in use; dropping it keeps it open for the next call.
+/// A connection in use; dropping it returns it to the idle connections.
 pub struct Connection<'a> {
     pub fake: &'a FakeTarget,
     pub incarnation: u64,
--- a/crates/measure/src/fakes.rs
+++ b/crates/measure/src/fakes.rs
@@ -1,8 +1,8 @@
-//! Fake targets behind the `Targets` trait.
+//! An implementation of `Targets` with fake targets.
 //!
-//! A target has slots, a queue before them, a cost for each new connection, and
-//! faults that a scenario switches on and off. It counts what the tier does to
-//! it: calls that ran, and the time that more calls were there than slots.
+//! A target has slots with a queue, a set-up time for new connections, and faults that a
+//! scenario turns on and off. It records the load that the tier puts on it: the number of
+//! calls that ran, and how long and how far the calls exceeded its slots.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,20 +29,20 @@
 
 /// The version of the index that every fake target holds.
 pub const VERSION: IndexVersion = IndexVersion(7);
-/// The mean service time.
+/// Mean service time.
 pub const SERVICE_TIME: Duration = Duration::from_millis(6);
-/// The spread of service times: the standard deviation of their logarithm.
+/// Standard deviation of the logarithm of service times.
 const SERVICE_SIGMA: f64 = 0.3;
-/// The cost of a new connection.
+/// Set-up time of a new connection.
 const CONNECT_TIME: Duration = Duration::from_millis(6);
-/// The time after which a silent connection is found by the net layer.
+/// Time after which the network layer detects a silent connection.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The time a crashed target needs to come back.
+/// Time that a crashed target takes to restart.
 const RESTART_TIME: Duration = Duration::from_secs(2);
-/// The text of a request that crashes targets.
+/// Text of a request that crashes the targets that run it.
 pub const POISON: &str = "poison";
 
-/// What the targets saw.
+/// Counters over all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     pub runs: u64,
@@ -50,13 +50,13 @@
     pub connects: u64,
 }
 
-/// All targets.
+/// All fake targets.
 pub struct FakeTargets {
     time: VirtualTime,
     random: Random,
     pub targets: HashMap<TargetName, Rc<FakeTarget>>,
     pub counters: RefCell<Counters>,
-    /// Whether runs are counted now.
+    /// Whether runs are being counted.
     pub counting: Cell<bool>,
     serial: Cell<u64>,
 }
@@ -134,7 +134,7 @@
         self.time.sleep(self.service(fake)).await;
         if call.body.contains(POISON) {
             self.counters.borrow_mut().crashes += 1;
-            // The slot is left before its owner is gone.
+            // Frees the slot before the crash clears the target's state.
             drop(active);
             self.crash(fake);
             return Err(Error::ConnectionLost);
@@ -145,7 +145,7 @@
     fn crash(&self, fake: &FakeTarget) {
         fake.stop();
         let name = self.targets.values().find(|other| std::ptr::eq(&***other, fake)).cloned();
-        let (time, fake) = (self.time.clone(), name.expect("the target is in the table"));
+        let (time, fake) = (self.time.clone(), name.expect("the target is registered"));
         self.time.spawn(async move {
             time.sleep(RESTART_TIME).await;
             fake.start();
@@ -158,7 +158,7 @@
             fake.cold.set(fake.cold.get() - 1);
             factor *= COLD.0;
         }
-        // Box and Muller's way to a normal number, and from there a lognormal one.
+        // Draws a log-normal number by the Box-Muller transform.
         let (u, v) = (1.0 - self.random.fraction(), self.random.fraction());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
         SERVICE_TIME
--- a/crates/measure/src/latency.rs
+++ b/crates/measure/src/latency.rs
@@ -1,8 +1,9 @@
-//! The latency and processor time that the tier adds to direct calls.
+//! A benchmark of the latency and CPU time that the tier adds to direct calls.
 //!
-//! Direct calls, a node that holds all groups itself, and one of three nodes
-//! take turns in one run, one query at a time. The targets take a constant time,
-//! so what differs is the tier's.
+//! Compares three paths within one run, in alternating rounds of one query at a time: direct
+//! calls to the targets, a single node that holds all groups, and a cluster of several nodes
+//! (three by default). The targets have a constant service time, so the differences are due to
+//! the tier.
 
 use std::{collections::BTreeMap, io, rc::Rc, time::Duration};
 
@@ -23,41 +24,41 @@
     processes_layout::{Callers, LIMIT, Shards, TENANT, start},
 };
 
-/// Different queries; each is known to the node when it is measured.
+/// Number of distinct queries; the warm-up makes each of them known to the nodes.
 const TEXTS: usize = 10;
 
-/// How long processes may take to come up.
+/// Time limit for the start of a cluster.
 const START_LIMIT: Duration = Duration::from_secs(90);
 
-/// Measure what the tier adds to direct calls, with real processes.
+/// Measure the latency that the tier adds to direct calls, with real processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "latency")]
 pub struct Args {
-    /// how many times the ways take turns
+    /// number of rounds of each path
     #[argh(option, default = "5")]
     repeats: usize,
-    /// queries of a way in a turn at fan-out 1; fewer at higher ones
+    /// queries of a path in a round at fan-out 1; fewer at higher fan-outs
     #[argh(option, default = "2000")]
     queries: usize,
     /// the service time of targets, in milliseconds
     #[argh(option, default = "3.0")]
     service_ms: f64,
-    /// how many nodes there are besides the one that holds all groups itself
+    /// number of nodes of the cluster that is compared with a single node
     #[argh(option, default = "3")]
     nodes: usize,
-    /// leave out the fan-out of 1,600
+    /// skip the fan-out of 1,600
     #[argh(switch)]
     small: bool,
-    /// only the fan-out of 1,600
+    /// run only the fan-out of 1,600
     #[argh(switch)]
     large: bool,
 }
 
-/// A collection that is measured.
+/// A collection to benchmark.
 struct Case {
     role: &'static str,
     fanout: usize,
-    /// At fan-out 1, so many times more queries are sent.
+    /// Divisor of the number of queries, which is given for fan-out 1.
     query_divisor: usize,
 }
 
@@ -68,16 +69,16 @@
 ];
 const LARGE: [Case; 1] = [Case { role: "f1600", fanout: 1_600, query_divisor: 50 }];
 
-/// Runs the measurement.
+/// Runs the benchmark.
 pub fn run(args: &Args) -> io::Result<()> {
     println!("load average at the start: {}", load_average());
     println!(
-        "{} turns; targets take {} ms; times in ms; the spread is that of p50 over turns\n",
+        "{} rounds; service time of targets {} ms; times in ms; ranges are of p50 over rounds\n",
         args.repeats, args.service_ms
     );
     println!(
-        "| fan-out | way | queries | p50 | p50 by turn | p99 | p99.9 | added p50 | added p99 \
-         | added p99.9 | us of processor a sub-request | not in full |"
+        "| fan-out | path | queries | p50 | p50 by round | p99 | p99.9 | added p50 | added p99 \
+         | added p99.9 | CPU us per sub-request | incomplete |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     block_on(async {
@@ -113,7 +114,7 @@
     ];
     for case in cases {
         let mut results: Vec<Tally> = paths.iter().map(|_| Tally::new()).collect();
-        // Connections are opened and queries become known.
+        // Warm-up: opens connections and makes the queries known to the nodes.
         for path in &paths {
             turn(path, case, TEXTS * 6, &mut Tally::new()).await?;
         }
@@ -142,7 +143,7 @@
     Shards { role: case.role, count: case.fanout, replicas: 1, template }
 }
 
-/// What one way measured.
+/// Results of one path.
 struct Tally {
     all: Histogram<u64>,
     medians: Vec<f64>,
@@ -165,17 +166,17 @@
     }
 }
 
-/// A histogram of times in microseconds.
+/// Creates a histogram of times in microseconds.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are allowed")
+    Histogram::new(3).expect("three significant digits are supported")
 }
 
-/// A quantile of a histogram of microseconds, in milliseconds.
+/// Returns a quantile of a histogram of microseconds, in milliseconds.
 pub fn quantile(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-/// A way to the targets.
+/// A path on which queries reach the targets.
 enum AccessPath<'a> {
     Direct(Direct),
     Tier(String, Callers, &'a Cluster),
@@ -198,13 +199,13 @@
         }
     }
 
-    /// Sends a query; the reasons for which shards are missing.
+    /// Sends a query; returns the reasons of missing shards.
     async fn query(&self, number: usize, case: &Case) -> io::Result<Vec<String>> {
         let text = format!("room {}", number % TEXTS);
         match self {
             AccessPath::Direct(direct) => direct.query(number, case, &text).await,
             AccessPath::Tier(_, callers, _) => {
-                // The known queries meet each node, not always the same one.
+                // Sends each query to every node in turn, not always to the same one.
                 let node = number / TEXTS;
                 let coverage = callers.search(node, case.role, &text).await?.coverage;
                 Ok(coverage.missing.into_iter().map(|missing| missing.reason).collect())
@@ -262,7 +263,7 @@
     );
 }
 
-/// A caller that calls the targets itself.
+/// A caller that sends sub-requests to the targets directly.
 struct Direct {
     targets: Vec<(ShardName, Rc<Client>)>,
 }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of docs/CAPACITY.md, apart from the program that measures.
+//! The capacity calculation of docs/CAPACITY.md, as a library for the program and its tests.
 
 #![forbid(unsafe_code)]
 
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -1,4 +1,4 @@
-//! The measurements of the query tier.
+//! Benchmarks of the query tier.
 
 #![forbid(unsafe_code)]
 
@@ -22,7 +22,7 @@
 
 use argh::FromArgs;
 
-/// Measure the query tier with small stand-ins.
+/// Benchmark the query tier against stand-ins of its surroundings.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
--- a/crates/measure/src/nodes.rs
+++ b/crates/measure/src/nodes.rs
@@ -1,5 +1,5 @@
-//! Nodes for measurements: real holders and roots over stand-ins for the
-//! network, the membership and the shared marks.
+//! Nodes for benchmarks: production holders and roots on top of fakes of the network, the
+//! membership and the shared marks.
 
 use std::{
     cell::RefCell,
@@ -29,18 +29,18 @@
 
 use crate::{fakes::FakeTargets, virtual_time::VirtualTime};
 
-/// The nodes of the tier.
+/// Number of nodes of the tier.
 pub const NODES: usize = 9;
-/// The one-way delay between two nodes.
+/// One-way delay between two nodes.
 pub const HOP_DELAY: Duration = Duration::from_micros(500);
 
-/// A node: a holder and a root.
+/// A node with its holder and its root.
 pub struct BenchNode {
     pub holder: Rc<HolderService>,
     pub front: Rc<FrontService>,
 }
 
-/// What the nodes share.
+/// State shared by the nodes.
 pub struct Shared {
     pub time: VirtualTime,
     pub targets: Rc<FakeTargets>,
@@ -48,7 +48,7 @@
     pub marks: Rc<FakeMarks>,
 }
 
-/// Starts the nodes.
+/// Starts the nodes of a tier.
 pub fn start_nodes(
     shared: &Shared,
     seed: u64,
@@ -60,9 +60,10 @@
         let registry = registry(shared, &net, seed, number);
         let holding = HolderOptions { centre: DataCentre::from("c0"), ..HolderOptions::default() };
         let holder = HolderService::with_decisions(holding, decisions(), &registry)
-            .expect("every service is registered");
+            .expect("all required services are registered");
         shared.time.spawn(holder.watch());
-        let front = install(options.clone(), &registry).expect("every service is registered");
+        let front =
+            install(options.clone(), &registry).expect("all required services are registered");
         net.nodes.borrow_mut().insert(record(number).peer, registry);
         BenchNode { holder, front }
     });
@@ -162,10 +163,10 @@
     }
 }
 
-/// The time that a mark needs to reach the other nodes.
+/// Time until a mark is visible on the nodes.
 const MARK_DELAY: Duration = Duration::from_millis(200);
 
-/// Marks that every node knows a moment after they were set.
+/// Marks that become visible to all nodes shortly after they are set.
 pub struct FakeMarks {
     time: VirtualTime,
     marks: RefCell<HashMap<MarkKind, (Instant, Instant)>>,
--- a/crates/measure/src/processes.rs
+++ b/crates/measure/src/processes.rs
@@ -1,5 +1,7 @@
-//! The processes of a measurement: the platform, targets and nodes, which are
-//! killed whatever happens to it.
+//! A benchmark cluster of processes: the platform, targets and nodes.
+//!
+//! The processes are killed when their owners are dropped, so that a benchmark that fails
+//! leaves none behind.
 
 use std::{
     fs::{self, File},
@@ -27,66 +29,66 @@
 
 use crate::processes_layout::{CENTRES, Shards, plans};
 
-/// How long a stand-in or a node may take to answer about itself.
+/// Timeout of control requests to stand-ins and nodes.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How many nodes stand in the settings of each as those to join.
+/// Number of nodes that the settings of each node list as seeds for joining.
 const SEED_COUNT: usize = 3;
 
-/// Ticks of processor time in a second, as Linux reports them to programs.
+/// Clock ticks per second of the CPU times in `/proc` (`USER_HZ`).
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a world is made of.
+/// The specification of a cluster.
 pub struct Spec {
-    /// Its name, by which its folder is told from others.
+    /// The name of the cluster, part of the name of its directory.
     pub name: String,
-    /// How many nodes, laid on the data centres in turn.
+    /// Number of nodes, assigned to the data centres round-robin.
     pub nodes: usize,
-    /// How many data centres.
+    /// Number of data centres.
     pub centres: usize,
-    /// Its targets.
+    /// The collections whose shards the targets serve.
     pub shards: Vec<Shards>,
-    /// The processes over which the targets are laid.
+    /// Number of processes that run the targets.
     pub processes: usize,
-    /// The most connections of a node to a target.
+    /// Maximum number of connections of a node to a target.
     pub connections: usize,
-    /// How many shards make up a group.
+    /// Number of shards in a group.
     pub group: usize,
 }
 
-/// A process that is killed when this is dropped.
+/// A child process, killed on drop.
 pub struct Process {
     child: Child,
 }
 
-/// A node and its process.
+/// A node, which may be stopped.
 pub struct NodeProcess {
-    /// Where it listens for callers.
+    /// The address that it listens on for callers.
     pub entry: SocketAddr,
-    /// `None` while it is down.
+    /// `None` while the node is down.
     process: Option<Process>,
     settings: PathBuf,
     log: PathBuf,
 }
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Processor time, in seconds.
+    /// CPU time, in seconds.
     pub cpu: f64,
-    /// Memory that is resident, in MiB.
+    /// Resident memory, in MiB.
     pub memory: f64,
 }
 
-/// The processes of a measurement.
+/// A running cluster.
 pub struct Cluster {
     /// The nodes.
     pub nodes: Vec<NodeProcess>,
     /// The targets.
     pub targets: Vec<TargetPort>,
-    /// Where the platform listens.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// What it is made of.
+    /// The specification of the cluster.
     pub spec: Spec,
     controls: Vec<SocketAddr>,
     _standins: Vec<Process>,
@@ -99,7 +101,7 @@
 }
 
 impl Cluster {
-    /// Starts all processes; the nodes have no document yet.
+    /// Starts all processes; no document is published yet.
     pub async fn start(spec: Spec) -> io::Result<Cluster> {
         let folder = TempDir::create(&spec.name)?;
         let log = folder.0.join("standins.log");
@@ -132,7 +134,7 @@
         Ok(cluster)
     }
 
-    /// Waits until every node that runs serves and sees just those as up.
+    /// Waits until all running nodes are ready and see exactly the running nodes as up.
     pub async fn wait_until_converged(&self, limit: Duration) -> io::Result<()> {
         let until = std::time::Instant::now() + limit;
         let up = self.running().count();
@@ -140,7 +142,10 @@
             let client = Client::new(node.entry, CONTROL_TIMEOUT);
             while !has_converged(&client, up).await {
                 if std::time::Instant::now() > until {
-                    return Err(io::Error::other(format!("{} did not settle", node.entry)));
+                    return Err(io::Error::other(format!(
+                        "node {} did not converge in time",
+                        node.entry
+                    )));
                 }
                 monoio::time::sleep(Duration::from_millis(100)).await;
             }
@@ -156,17 +161,17 @@
         self.nodes.iter().filter_map(|node| node.process.as_ref())
     }
 
-    /// What the nodes that run have used, in their order.
+    /// Returns the resource usage of the running nodes, in their order.
     pub fn usage(&self) -> io::Result<Vec<Usage>> {
         self.processes().map(Process::usage).collect()
     }
 
-    /// The calls that the platform has counted.
+    /// Returns the call counts of the platform.
     pub async fn calls(&self) -> io::Result<Calls> {
         Client::new(self.platform, CONTROL_TIMEOUT).get("/standin/calls").await?.json()
     }
 
-    /// What the targets ran, except for the first `after` of each process.
+    /// Returns the run log of each process of targets, without its first `after` runs.
     pub async fn logs(&self, after: &[usize]) -> io::Result<Vec<RunLog>> {
         let mut logs = Vec::new();
         for (number, control) in self.controls.iter().enumerate() {
@@ -177,8 +182,8 @@
         Ok(logs)
     }
 
-    /// The sum of a metric over its labels, for each node that runs; zero for one
-    /// that does not answer yet.
+    /// Returns the sum of a metric over its labels for each running node; zero for a node that
+    /// does not answer yet.
     pub async fn metric(&self, name: &str) -> Vec<f64> {
         let mut sums = Vec::new();
         for node in self.running() {
@@ -192,17 +197,17 @@
         sums
     }
 
-    /// The log of a node.
+    /// Returns the log output of a node.
     pub fn node_log(&self, number: usize) -> io::Result<String> {
         fs::read_to_string(&self.nodes[number].log)
     }
 
-    /// How many io_uring descriptors the nodes have open.
+    /// Number of io_uring descriptors that the running nodes have open.
     pub fn io_urings(&self) -> io::Result<usize> {
         let mut count = 0;
         for process in self.processes() {
             for entry in fs::read_dir(format!("/proc/{}/fd", process.child.id()))? {
-                // A descriptor may be closed between the two calls.
+                // The descriptor may have been closed since the directory was read.
                 let Ok(link) = fs::read_link(entry?.path()) else {
                     continue;
                 };
@@ -268,21 +273,21 @@
 }
 
 impl NodeProcess {
-    /// Starts its process, again if it was killed.
+    /// Starts the process of the node, also after it was killed.
     pub fn launch(&mut self) -> io::Result<()> {
         let args = ["--settings".to_owned(), self.settings.display().to_string()];
         self.process = Some(Process::start("kumquatnotchd", &args, &self.log)?);
         Ok(())
     }
 
-    /// Kills its process.
+    /// Kills the process of the node.
     pub fn kill(&mut self) {
         self.process = None;
     }
 }
 
 impl Process {
-    /// Starts the program `name`, which lies next to the one that runs now.
+    /// Starts the program `name` from the directory of the current executable.
     fn start(name: &str, args: &[String], log: &Path) -> io::Result<Process> {
         let path = std::env::current_exe()?.with_file_name(name);
         if !path.is_file() {
@@ -298,10 +303,10 @@
         Ok(Process { child })
     }
 
-    /// Reads the line in which a stand-in tells its ports.
+    /// Reads the line of JSON with which a stand-in reports its addresses.
     fn read_ports<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         let Some(output) = self.child.stdout.take() else {
-            return Err(io::Error::other("the output was read before"));
+            return Err(io::Error::other("the output of the process has already been read"));
         };
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
@@ -313,16 +318,17 @@
     }
 }
 
-/// What a process has used so far, and holds.
+/// Returns the CPU time that a process has used so far, and its resident memory.
 pub(crate) fn usage_of(id: u32) -> io::Result<Usage> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
-    parse_usage(&stat, &status).ok_or_else(|| io::Error::other("/proc can't be read"))
+    parse_usage(&stat, &status)
+        .ok_or_else(|| io::Error::other("unexpected format of /proc/PID/stat or status"))
 }
 
-/// Reads what Linux tells of a process.
+/// Parses the contents of `/proc/PID/stat` and `/proc/PID/status`.
 fn parse_usage(stat: &str, status: &str) -> Option<Usage> {
-    // The name in parentheses may hold anything; the state follows it.
+    // The process name in parentheses may contain any character; the state follows it.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -332,13 +338,13 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Both fail only if it has ended already.
+        // Both fail only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A folder that goes when this is dropped.
+/// A temporary directory, removed on drop.
 struct TempDir(PathBuf);
 
 impl TempDir {
@@ -356,14 +362,14 @@
     }
 }
 
-/// Ports of the loopback address that are free now.
+/// Returns addresses with currently free ports of the loopback interface.
 fn free_ports(count: usize) -> io::Result<Vec<SocketAddr>> {
     let bind = |_| TcpListener::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
     let listeners = (0..count).map(bind).collect::<io::Result<Vec<TcpListener>>>()?;
     listeners.iter().map(TcpListener::local_addr).collect()
 }
 
-/// The load average of the machine, for the head of a report.
+/// Returns the load average of the machine, for the header of a report.
 pub fn load_average() -> String {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace().take(3).collect::<Vec<&str>>().join(" ")
--- a/crates/measure/src/processes_layout.rs
+++ b/crates/measure/src/processes_layout.rs
@@ -1,4 +1,4 @@
-//! The targets of a measurement with processes, its document and its callers.
+//! Targets, document and callers of a benchmark cluster of processes.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -26,14 +26,14 @@
 
 use crate::processes::Cluster;
 
-/// The data centres, all of one region.
+/// The data centres, all in one region.
 pub const CENTRES: [&str; 8] =
     ["chiang-mai", "phuket", "bangkok", "lampang", "krabi", "nan", "trang", "yala"];
 
 /// The tenant of all callers.
 pub const TENANT: &str = "siam";
 
-/// How many hits callers ask for.
+/// Number of hits that callers request.
 pub const LIMIT: u32 = 10;
 
 const KEY: &str = "key-of-siam";
@@ -41,20 +41,20 @@
 /// The deadline of every selector, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
 
-/// The shards of one collection, which one selector reaches.
+/// The shards of one collection, which are selected by one selector.
 #[derive(Clone)]
 pub struct Shards {
-    /// The label of the targets, and the name of the selector and collection.
+    /// The `role` label of the targets, also the name of the selector and the collection.
     pub role: &'static str,
-    /// How many shards.
+    /// Number of shards.
     pub count: usize,
-    /// The replicas of each.
+    /// Number of replicas of each shard.
     pub replicas: usize,
-    /// What each target is like.
+    /// The configuration of each target, apart from its name and versions.
     pub template: TargetPlan,
 }
 
-/// The plans of `processes` processes, over which targets are laid in turn.
+/// Returns the plans of `processes` processes, with the targets assigned round-robin.
 pub fn plans(shards: &[Shards], processes: usize) -> Vec<Plan> {
     let mut plans = vec![Plan { seed: 1, ..Plan::default() }; processes];
     let targets = shards.iter().flat_map(targets_of);
@@ -78,7 +78,7 @@
     })
 }
 
-/// The document that puts the targets of `cluster` into service.
+/// Returns the document that declares the targets of `cluster` and their selectors.
 pub fn document(cluster: &Cluster) -> Document {
     let targets = cluster.targets.iter().enumerate().map(|(number, target)| {
         let shard = target.name.as_str().rsplit_once('.').map_or("", |(shard, _)| shard);
@@ -89,7 +89,7 @@
     let selectors = cluster.spec.shards.iter().map(|shards| {
         let selector = SelectorSpec {
             targets: Expression::parse(&format!("role = {}", shards.role))
-                .expect("the expression is right"),
+                .expect("the expression is valid"),
             class: Class::Desk,
             exclusive: false,
             tenants: Vec::new(),
@@ -107,7 +107,7 @@
     Document { targets: targets.collect(), rules, ..Document::default() }
 }
 
-/// A target as its operators declare it.
+/// Returns the specification of a target, as operators declare it.
 pub fn target_spec(address: SocketAddr, centre: &str, shard: &str, role: &str) -> TargetSpec {
     TargetSpec {
         address,
@@ -118,14 +118,14 @@
     }
 }
 
-/// The operators' side of the platform of `cluster`.
+/// Returns a client for publishing documents to the platform of `cluster`.
 pub fn store(cluster: &Cluster) -> DocumentStore {
     let clock: Rc<dyn Clock> = Rc::new(RuntimeClock);
     let client = Rc::new(StoreClient::new(StoreOptions::new(cluster.platform), clock.clone()));
     DocumentStore::new(client, clock, Random::with_seed(1))
 }
 
-/// Publishes `document` in place of what is in force; returns its version.
+/// Publishes `document` as the successor of the current one; returns its version.
 pub async fn publish(store: &DocumentStore, document: &Document) -> io::Result<u64> {
     let base = store.current().await.map_err(io::Error::other)?;
     let by = Authorship { author: "measure", note: "measure" };
@@ -133,7 +133,7 @@
     Ok(version.0)
 }
 
-/// Starts a world of `spec`, puts its document in force, and waits for it.
+/// Starts a cluster, publishes its document, and waits until the cluster has converged.
 pub async fn start(spec: crate::processes::Spec, limit: Duration) -> io::Result<Cluster> {
     let cluster = Cluster::start(spec).await?;
     publish(&store(&cluster), &document(&cluster)).await?;
@@ -141,13 +141,13 @@
     Ok(cluster)
 }
 
-/// A caller of every node of a world.
+/// Callers of all nodes of a cluster.
 pub struct Callers {
     clients: Vec<CallerClient>,
 }
 
 impl Callers {
-    /// Callers that open at most `connections` to each node.
+    /// Creates callers that open at most `connections` connections to each node.
     pub fn new(cluster: &Cluster, connections: usize) -> Callers {
         let clock: Rc<dyn Clock> = Rc::new(RuntimeClock);
         let client = |(number, node): (usize, &crate::processes::NodeProcess)| {
@@ -157,7 +157,7 @@
         Callers { clients: cluster.nodes.iter().enumerate().map(client).collect() }
     }
 
-    /// Sends a search to node `number`, modulo the count of nodes.
+    /// Sends a search to node `number` modulo the number of nodes.
     pub async fn search(&self, number: usize, role: &str, text: &str) -> io::Result<Answer> {
         let body = json!({ "selector": role, "query": { "text": text }, "limit": LIMIT });
         let request = Request::post("/v1/search", JSON, body.to_string().into_bytes())
--- a/crates/measure/src/routes.rs
+++ b/crates/measure/src/routes.rs
@@ -1,7 +1,7 @@
-//! What a routed search costs a node: processor time by search and by part.
+//! A benchmark of the CPU time that a node spends on a routed search, in total and per part.
 //!
-//! The replicas run on a thread of their own, so that the processor time of the
-//! node's thread is that of the node and of one caller.
+//! The replicas run on a separate thread, so that the CPU time of the node's thread covers just
+//! the node and one caller.
 
 use std::{
     net::SocketAddr,
@@ -34,23 +34,23 @@
 };
 use standins::{http::Client, scripted};
 
-/// The records in a part.
+/// Number of records in a part.
 const RECORDS: usize = 12;
 
-/// Measure the processor time that a node spends on routed searches.
+/// Measure the CPU time that a node spends on routed searches.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "routes")]
 pub struct Args {
-    /// the shards of the search
+    /// number of shards of the search
     #[argh(option, default = "20")]
     shards: usize,
 
-    /// how many searches are sent, one after the other
+    /// number of searches, which are sent one after the other
     #[argh(option, default = "2000")]
     searches: usize,
 }
 
-/// Measures, and prints a row.
+/// Runs the benchmark and prints a row.
 pub fn run(args: &Args) -> Result<()> {
     let (sender, receiver) = mpsc::channel();
     let shards = args.shards;
@@ -59,7 +59,7 @@
     standins::block_on(search(args, addresses))
 }
 
-/// Serves a replica of each shard, for good.
+/// Serves a replica of each shard, without end.
 async fn serve(shards: usize, addresses: mpsc::Sender<Vec<SocketAddr>>) {
     let replicas: Vec<scripted::Scripted> = (0..shards).filter_map(replica).collect();
     let _ = addresses.send(replicas.iter().map(|replica| replica.address).collect());
@@ -81,7 +81,7 @@
     let client = Client::new(server.address(), Duration::from_secs(5));
     let mut took = Histogram::<u64>::new(3).map_err(Error::internal)?;
     let mut missing = 0;
-    // Connections are opened before the measurement starts.
+    // The first pass is a warm-up, which opens the connections.
     for is_warm_up in [true, false] {
         let before = processor_time()?;
         let count = if is_warm_up { 20 } else { args.searches };
@@ -181,9 +181,9 @@
     RouteConfig { version: 1, routes: vec![route], services: services.collect(), limits }
 }
 
-/// The processor time of this thread.
+/// Returns the CPU time of this thread.
 fn processor_time() -> Result<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").map_err(Error::internal)?;
     let nanos = text.split_whitespace().next().and_then(|figure| figure.parse().ok());
-    nanos.map(Duration::from_nanos).ok_or_else(|| Error::internal("schedstat can't be read"))
+    nanos.map(Duration::from_nanos).ok_or_else(|| Error::internal("unexpected format of schedstat"))
 }
--- a/crates/measure/src/spread.rs
+++ b/crates/measure/src/spread.rs
@@ -1,5 +1,7 @@
-//! How long a change of configuration takes to be in force on all nodes, and
-//! what control costs, as the count of node processes grows.
+//! A benchmark of configuration changes and control traffic with real processes.
+//!
+//! Reports, for several numbers of nodes, how long a change of configuration takes to be in
+//! force on all nodes, and the resources that nodes and platform spend on control.
 
 use std::{
     collections::BTreeMap,
@@ -21,56 +23,57 @@
 const ROLE: &str = "desk";
 const CENTRES: usize = 3;
 
-/// How long processes may take to come up, for each node.
+/// Time limit for the start of a cluster, per node.
 const START_LIMIT_PER_NODE: Duration = Duration::from_millis(1_500);
 
-/// The least of it.
+/// Lower bound of the time limit for the start of a cluster.
 const MIN_START_LIMIT: Duration = Duration::from_secs(60);
 
-/// How long the last change has before it counts as not in force everywhere.
+/// Time after which the last change counts as not in force everywhere.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(19);
 
-/// How often the status of all is asked for.
+/// Number of requests for the status of all nodes.
 const STATUS_SAMPLES: usize = 7;
 
-/// The line of a node's log that tells of a version.
+/// Start of the log message of a node that puts a version in force.
 const VERSION_LOG_PREFIX: &str = "config: version ";
 
-/// Measure how configuration spreads and what control costs, with real processes.
+/// Measure the propagation of configuration and the cost of control, with real processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "spread")]
 pub struct Args {
-    /// how many nodes, more than once for several sizes; 9, 30, 60, 120 if left out
+    /// number of nodes, may be repeated for several sizes; 9, 30, 60 and 120 if omitted
     #[argh(option)]
     nodes: Vec<usize>,
-    /// targets declared besides the ten that run, which no query asks for
+    /// targets declared besides the ten that run, which no query reaches
     #[argh(option, default = "0")]
     targets: usize,
-    /// changes at each size
+    /// number of changes at each size
     #[argh(option, default = "20")]
     changes: usize,
-    /// seconds between two changes
+    /// time between two changes, in seconds
     #[argh(option, default = "2")]
     pause: u64,
-    /// seconds after the start before costs are taken, as news of it goes on
+    /// time from the start to the idle measurement, in seconds, while gossip about the start
+    /// continues
     #[argh(option, default = "35")]
     calm: u64,
-    /// seconds without changes over which costs are taken
+    /// duration of the idle measurement, without changes, in seconds
     #[argh(option, default = "20")]
     idle: u64,
 }
 
-/// Runs the measurement.
+/// Runs the benchmark.
 pub fn run(args: &Args) -> io::Result<()> {
     let sizes = if args.nodes.is_empty() { vec![9, 30, 60, 120] } else { args.nodes.clone() };
     println!("load average at the start: {}\n", load_average());
-    println!("{} targets are declared besides those that run\n", args.targets);
+    println!("{} targets are declared besides the running ones\n", args.targets);
     print_document_sizes()?;
     println!(
         "\n| nodes | changes | not everywhere in 19 s | in force everywhere: p50 ms | max ms \
-         | on a node: p50 ms | idle node: MiB | most MiB | idle node: % of a core \
+         | on a node: p50 ms | idle node: MiB | max MiB | idle node: % of a core \
          | control bytes/s | messages/s | with changes: % of a core | control bytes/s \
-         | platform calls/s idle | with changes | calls a change | status of all: ms |"
+         | platform calls/s idle | with changes | calls per change | status of all: ms |"
     );
     println!("|{}", " --- |".repeat(17));
     for nodes in sizes {
@@ -80,7 +83,7 @@
     Ok(())
 }
 
-/// What the nodes of a world used in a while.
+/// Resource use of a cluster during a period: per node, except for the platform calls.
 struct ResourceUse {
     memory: f64,
     max_memory: f64,
@@ -119,7 +122,7 @@
     }
 }
 
-/// The document of a world with as many more targets as were asked for.
+/// Returns the document of a cluster with the requested number of additional targets.
 fn extended_document(args: &Args, cluster: &Cluster) -> Document {
     let mut document = document(cluster);
     let mut more = big_document(args.targets, "other").targets;
@@ -155,13 +158,13 @@
     })
 }
 
-/// The mean growth of a counter of the nodes.
+/// Returns the mean growth of a counter over the nodes.
 fn mean_growth(before: &[f64], after: &[f64]) -> f64 {
     let sum: f64 = after.iter().zip(before).map(|(after, before)| after - before).sum();
     sum / after.len().max(1) as f64
 }
 
-/// Makes changes; `starts` gets the time at which the writing of each began.
+/// Publishes changes; stores in `starts` when the publishing of each version began.
 async fn apply_changes(
     args: &Args,
     cluster: &Cluster,
@@ -177,7 +180,7 @@
         let start = now_us();
         match publish(&store, &document).await {
             Ok(version) => drop(starts.insert(version, start)),
-            Err(error) => println!("a change failed: {error}"),
+            Err(error) => println!("failed to publish a change: {error}"),
         }
     }
 }
@@ -196,7 +199,7 @@
     let mut each = Vec::new();
     let mut missing = 0;
     for (version, start) in starts {
-        // A node that took a later version first has this change too.
+        // A node that skipped to a later version has this change as well.
         let times: Vec<u64> =
             seen.iter().filter_map(|seen| Some(*seen.range(version..).next()?.1)).collect();
         each.extend(times.iter().map(|time| time.saturating_sub(*start)));
@@ -226,7 +229,7 @@
     Ok(())
 }
 
-/// The median time in which a node asks all others for their configuration.
+/// Returns the median time in which a node collects the configuration state of all nodes.
 async fn status_ms(cluster: &Cluster) -> io::Result<f64> {
     let client = Client::new(cluster.nodes[0].entry, PROPAGATION_LIMIT);
     let mut times = Vec::new();
@@ -242,7 +245,7 @@
     Ok(quantile_ms(&mut times, 0.5))
 }
 
-/// When each version came into force by a node's log, in microseconds.
+/// Returns the time at which each version came into force, from a node's log, in microseconds.
 fn activation_times(log: &str) -> BTreeMap<u64, u64> {
     let line = |line: &str| {
         let (_, rest) = line.split_once(VERSION_LOG_PREFIX)?;
@@ -253,7 +256,7 @@
     log.lines().filter_map(line).collect()
 }
 
-/// A quantile in milliseconds of times in microseconds.
+/// Returns a quantile of times in microseconds, in milliseconds.
 fn quantile_ms(times: &mut [u64], share: f64) -> f64 {
     times.sort_unstable();
     let last = times.len().saturating_sub(1);
@@ -265,11 +268,9 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64)
 }
 
-/// What a document weighs, and what one change of it makes new.
+/// Prints the size of documents, and the size of the values that one change adds.
 fn print_document_sizes() -> io::Result<()> {
-    println!(
-        "| targets | values | bytes in all | largest | new after one change: values | bytes |"
-    );
+    println!("| targets | values | total bytes | largest | new after one change: values | bytes |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for targets in [100, 1_000, 9_400] {
         let mut document = big_document(targets, ROLE);
--- a/crates/measure/src/spread_storm.rs
+++ b/crates/measure/src/spread_storm.rs
@@ -1,5 +1,8 @@
-//! Storms with real processes: a start of the whole fleet, a data centre lost at
-//! once, its return, and a restart of the fleet; and the platform's calls in each.
+//! Mass starts and failures with real processes.
+//!
+//! Runs four phases: the start of all nodes, the loss of a data centre, its return, and a
+//! restart of all nodes. Reports for each the time until the nodes agree and the calls to the
+//! platform.
 
 use std::{
     cell::Cell,
@@ -21,29 +24,29 @@
 const ROLE: &str = "desk";
 const CENTRES: usize = 8;
 
-/// How long a phase may take.
+/// Time limit of a phase.
 const PHASE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How long the nodes are left alone between two phases.
+/// Pause between two phases.
 const PHASE_PAUSE: Duration = Duration::from_secs(5);
 
-/// Measure storms of the fleet and the platform's calls through them.
+/// Measure mass starts and failures of nodes, and the resulting platform calls.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "storm")]
 pub struct Args {
-    /// how many nodes, more than once for several sizes; 40, 80, 120 if left out
+    /// number of nodes, may be repeated for several sizes; 40, 80 and 120 if omitted
     #[argh(option)]
     nodes: Vec<usize>,
 }
 
-/// Runs the measurement.
+/// Runs the benchmark.
 pub fn run(args: &Args) -> io::Result<()> {
     let sizes = if args.nodes.is_empty() { vec![40, 80, 120] } else { args.nodes.clone() };
     println!("load average at the start: {}", load_average());
-    println!("one of {CENTRES} data centres is lost; a phase ends once all nodes agree\n");
+    println!("one of {CENTRES} data centres is lost; a phase ends when all running nodes agree\n");
     println!(
-        "| nodes | phase | seconds until all agree | platform calls | most in a second \
-         | refused | a node: control bytes/s | processor seconds | MiB |"
+        "| nodes | phase | seconds until all agree | platform calls | peak calls/s \
+         | refused calls | per node: control bytes/s | CPU seconds | MiB |"
     );
     println!("|{}", " --- |".repeat(9));
     for nodes in sizes {
@@ -91,11 +94,11 @@
     }
 }
 
-/// Waits until the nodes that run agree on who is up, and prints what it cost.
+/// Waits until the running nodes agree on which nodes are up, and prints a row of the report.
 async fn measure_phase(cluster: &Cluster, name: &str) -> io::Result<()> {
     let calls = cluster.calls().await?;
     let start = Instant::now();
-    // Those that have just been launched don't answer yet: their counts start at zero.
+    // Nodes that have just been launched do not answer yet: their counters start at zero.
     let before = cluster.metric(CONTROL_BYTES_METRIC).await;
     let usage = cluster.usage()?;
     let peak_calls = Rc::new(Cell::new(0));
@@ -113,7 +116,7 @@
     println!(
         "| {} | {name} | {} | {} | {} | {} | {:.0} | {:.2} | {:.1} |",
         cluster.spec.nodes,
-        converged.map_or_else(|error| format!("not in time: {error}"), |()| format!("{took:.1}")),
+        converged.map_or_else(|error| format!("timed out: {error}"), |()| format!("{took:.1}")),
         last.total - calls.total,
         peak_calls.get(),
         last.refused - calls.refused,
@@ -127,7 +130,9 @@
 
 const CONTROL_BYTES_METRIC: &str = "kumquatnotch_control_bytes_total";
 
-/// Keeps the most calls in any second in `peak`, until it is the last to hold it.
+/// Records the highest number of platform calls per second in `peak`, sampled every second.
+///
+/// Ends once this task holds the only reference to `peak`.
 async fn sample_calls(platform: SocketAddr, peak: Rc<Cell<u64>>) {
     let client = Client::new(platform, PHASE_TIMEOUT);
     let mut last = None;
--- a/crates/measure/src/table.rs
+++ b/crates/measure/src/table.rs
@@ -1,4 +1,5 @@
-//! What a large configuration costs a node: time and memory for each route.
+//! A benchmark of large route tables: memory per route, and the time to build the table and to
+//! look up a route.
 
 use std::{
     hint::black_box,
@@ -14,19 +15,19 @@
 
 use crate::processes;
 
-/// How many requests look for their route.
+/// Number of route look-ups.
 const LOOKUPS: usize = 200_000;
 
-/// Measure what a node spends on each route of a large configuration.
+/// Measure the time and memory of the route table of a large configuration.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "table")]
 pub struct Args {
-    /// the routes of the configuration
+    /// number of routes of the configuration
     #[argh(option, default = "2800")]
     routes: usize,
 }
 
-/// Measures, and prints a row.
+/// Runs the benchmark and prints a row.
 pub fn run(args: &Args) -> Result<()> {
     let before = memory()?;
     let start = Instant::now();
@@ -51,7 +52,7 @@
     Ok(())
 }
 
-/// The memory of this process, in MB.
+/// Returns the resident memory of this process, in MiB.
 fn memory() -> Result<f64> {
     let usage = processes::usage_of(std::process::id()).map_err(Error::internal)?;
     Ok(usage.memory)
--- a/crates/measure/src/today.rs
+++ b/crates/measure/src/today.rs
@@ -1,8 +1,9 @@
-//! The sizes of today with real processes: 9 nodes in 3 data centres, 100
-//! targets, each query to 50 services.
+//! A benchmark of today's production sizes with real processes: 9 nodes in 3 data centres, 100
+//! targets, and queries that fan out to 50 services.
 //!
-//! Two settings of `limits.connections` take turns in one run under the same
-//! rate of queries, whose starts are random and wait for nothing.
+//! Compares settings of `limits.connections` within one run, in alternating rounds at the same
+//! query rate. The load is an open loop: queries start at random times and do not wait for
+//! earlier ones.
 
 use std::{cell::RefCell, collections::BTreeMap, io, rc::Rc, time::Duration};
 
@@ -22,60 +23,61 @@
 const ROLE: &str = "desk";
 const CENTRES: usize = 3;
 
-/// How long processes may take to come up.
+/// Time limit for the start of a cluster.
 const START_LIMIT: Duration = Duration::from_secs(60);
 
-/// How long the last queries of a turn may take.
+/// Time limit for the last queries of a round.
 const DRAIN_LIMIT: Duration = Duration::from_secs(4);
 
-/// The rate at which a new world is warmed up, and for how long.
+/// Query rate and duration of the warm-up of a cluster.
 const WARM_UP: (f64, Duration) = (20.0, Duration::from_secs(3));
 
-/// A run that came this long before its start waited for a slot, in microseconds.
+/// A run counts as queued if it starts this long after its arrival, in microseconds.
 const QUEUED_THRESHOLD_US: u64 = 200;
 
-/// One query in so many has a text that no node has seen.
+/// Every n-th query has a text that no node has seen.
 const NEW_EVERY: usize = 5;
 
-/// The texts of the others.
+/// Number of distinct texts of the other queries.
 const TEXTS: usize = 40;
 
-/// The head of a table of idle nodes.
+/// Header of the table of idle nodes.
 const IDLE_HEAD: &str = "| connections | idle node: MiB | idle node: % of a core \
                          | platform calls/s |\n| --- | --- | --- | --- |";
 
-/// Measure the sizes of today, with real processes.
+/// Measure today's production sizes, with real processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "today")]
 pub struct Args {
-    /// queries a second, more than once for several rates; 60 and 180 if left out
+    /// queries per second, may be repeated for several rates; 60 and 180 if omitted
     #[argh(option)]
     rate: Vec<f64>,
-    /// connections of a node to a target, more than once for several settings
+    /// connections of a node to a target, may be repeated for several settings; 3 and 8 if
+    /// omitted
     #[argh(option)]
     connections: Vec<usize>,
-    /// how many times the settings take turns
+    /// number of rounds of each setting
     #[argh(option, default = "4")]
     repeats: usize,
-    /// the seconds of a turn
+    /// the duration of a round, in seconds
     #[argh(option, default = "8")]
     seconds: u64,
-    /// the median of the service times, in milliseconds
+    /// the median service time, in milliseconds
     #[argh(option, default = "6.0")]
     service_ms: f64,
-    /// how many shards make up a group
+    /// number of shards in a group
     #[argh(option, default = "8")]
     group: usize,
 }
 
-/// Runs the measurement.
+/// Runs the benchmark.
 pub fn run(args: &Args) -> io::Result<()> {
     let rates = if args.rate.is_empty() { vec![60.0, 180.0] } else { args.rate.clone() };
     let settings = if args.connections.is_empty() { vec![3, 8] } else { args.connections.clone() };
     println!("load average at the start: {}", load_average());
     println!(
         "{NODES} nodes, {SERVICES} services of {REPLICAS} replicas with 2 slots; service \
-         {} ms, spread 0.3; {} turns of {} s; times in ms\n",
+         {} ms, spread 0.3; {} rounds of {} s; times in ms\n",
         args.service_ms, args.repeats, args.seconds
     );
     block_on(measure(args, &rates, &settings))?;
@@ -94,9 +96,9 @@
         site.print_idle(Duration::from_secs(10)).await?;
     }
     println!(
-        "\n| queries/s | connections | queries | failed | p50 | p99 | p99.9 | p99 by turn \
-         | coverage | in full | runs a sub-request | waited for a slot | shed \
-         | over the limit of connections | node MiB | node % of a core | platform calls/s |"
+        "\n| queries/s | connections | queries | failed | p50 | p99 | p99.9 | p99 by round \
+         | coverage | complete | runs per sub-request | queued | shed \
+         | connections over limit | node MiB | node % of a core | platform calls/s |"
     );
     println!("|{}", " --- |".repeat(17));
     for rate in rates {
@@ -113,7 +115,7 @@
             tally.print(*rate, &site.cluster)?;
         }
     }
-    println!("\nidle again, while the holders still probe the targets:\n\n{IDLE_HEAD}");
+    println!("\nidle after the load, while the holders still probe the targets:\n\n{IDLE_HEAD}");
     for site in &clusters {
         site.print_idle(Duration::from_secs(10)).await?;
     }
@@ -136,18 +138,18 @@
     }
 }
 
-/// A world with its callers.
+/// A cluster with its callers and the state of reading its run logs.
 struct LoadedCluster {
     cluster: Cluster,
     callers: Rc<Callers>,
-    /// How many runs of each process of targets were read.
+    /// Number of runs already read from each process of targets.
     read: Vec<usize>,
     shed: u64,
     excess_connections: u64,
     sent: usize,
 }
 
-/// What the queries of one turn gave.
+/// Results of the queries of one round.
 #[derive(Default)]
 struct Answers {
     times: Vec<u64>,
@@ -263,12 +265,12 @@
     answers.full += usize::from(answer.coverage.is_full());
 }
 
-/// A reason without the time to come back, which differs each time.
+/// Strips the retry delay from a reason, which differs from refusal to refusal.
 fn strip_retry_time(reason: &str) -> &str {
     reason.split(';').next().unwrap_or(reason)
 }
 
-/// The mean memory after, and the mean processor time between, of the nodes.
+/// Returns the nodes' mean memory in `after`, and their mean CPU time from `before` to `after`.
 pub fn mean_usage(before: &[Usage], after: &[Usage]) -> (f64, f64) {
     let count = after.len().max(1) as f64;
     let memory: f64 = after.iter().map(|usage| usage.memory).sum();
@@ -276,7 +278,7 @@
     (memory / count, cpu / count)
 }
 
-/// What one setting gave at one rate.
+/// Results of one setting at one rate.
 struct Tally {
     times: Histogram<u64>,
     turns: Vec<f64>,
--- a/crates/measure/src/virtual_time.rs
+++ b/crates/measure/src/virtual_time.rs
@@ -1,9 +1,8 @@
-//! Time that moves only when every task waits for it.
+//! Virtual time, which advances only when all tasks are waiting for it.
 //!
-//! The paused clock of the core keeps its sleepers in a list and settles tasks
-//! by polling them a fixed number of times, which is simple and right for tests.
-//! A measurement has millions of sleeps, so this clock keeps a heap, and its
-//! executor knows when every task is at rest.
+//! The paused clock of the core keeps its sleepers in a list and polls tasks a fixed number of
+//! times, which is simple and sufficient for tests. A benchmark sleeps millions of times, so
+//! this clock keeps the sleepers in a heap, and its executor detects when all tasks are idle.
 
 use std::{
     cell::RefCell,
@@ -23,7 +22,7 @@
 use futures_util::{StreamExt, stream::FuturesUnordered};
 use kumquatnotch::core::{Clock, LocalFuture};
 
-/// A clock with an executor that moves it.
+/// A virtual clock with the executor that advances it.
 #[derive(Clone)]
 pub struct VirtualTime {
     state: Rc<RefCell<State>>,
@@ -81,7 +80,7 @@
 }
 
 impl VirtualTime {
-    /// The time since this clock was made.
+    /// Returns the virtual time since the creation of this clock.
     pub fn elapsed(&self) -> Duration {
         self.now() - self.start
     }
@@ -91,12 +90,12 @@
         self.sleep_until(self.now() + span)
     }
 
-    /// Adds a task.
+    /// Spawns a task, which is polled by [`Self::run_for`].
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.spawned.borrow_mut().push(Box::pin(task));
     }
 
-    /// Runs all tasks until `end` on this clock.
+    /// Runs all tasks for `span` of virtual time.
     pub fn run_for(&self, span: Duration) {
         let end = self.now() + span;
         let flag = Arc::new(WakeFlag(AtomicBool::new(false)));
@@ -118,7 +117,8 @@
         }
     }
 
-    /// Moves on to the next sleeper that is due before `end`.
+    /// Advances to the next sleeper that is due by `end` and wakes it; otherwise advances to
+    /// `end` and returns false.
     fn advance(&self, end: Instant) -> bool {
         let mut state = self.state.borrow_mut();
         loop {
@@ -184,7 +184,7 @@
 
 impl Drop for Sleep {
     fn drop(&mut self) {
-        // A sleeper that is gone must not move the time.
+        // A dropped sleep must not advance the time.
         if let Some(waker_slot) = &self.waker_slot {
             waker_slot.borrow_mut().take();
         }
--- a/crates/measure/tests/capacity.rs
+++ b/crates/measure/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! docs/CAPACITY.md holds what the arithmetic gives.
+//! Checks docs/CAPACITY.md against the capacity calculation.
 
 use std::{fs, path::Path};
 
@@ -11,26 +11,25 @@
 const START: &str = "<!-- the table of `measure capacity` -->\n";
 const END: &str = "<!-- its end -->";
 
-/// A reader of the page plans with figures that nobody measured: first the page
-/// is written, then a slope is measured again, then the page still has the old
-/// table, because nothing ties it to the slopes.
+/// Guards against a stale page: after a figure in docs/capacity.toml is measured again, the
+/// page would keep the old table, and its readers would plan with outdated figures.
 #[test]
 fn the_page_has_the_table_that_the_slopes_give() {
     let inputs = inputs();
     let page = read("docs/CAPACITY.md");
 
-    let (_, rest) = page.split_once(START).expect("the page marks the start of its table");
-    let (found, _) = rest.split_once(END).expect("the page marks the end of its table");
+    let (_, rest) = page.split_once(START).expect("the page has the start marker of the table");
+    let (found, _) = rest.split_once(END).expect("the page has the end marker of the table");
 
-    assert_eq!(found, table(&inputs), "put what `measure capacity` prints into the page");
+    assert_eq!(found, table(&inputs), "the table is out of date, see `measure capacity`");
 }
 
-/// A reader looks for the mechanism and finds no such file, because it moved.
+/// Guards against rows that refer to a source file that has been moved or renamed.
 #[test]
 fn every_file_that_carries_a_row_exists() {
     for row in rows(&inputs()) {
         for word in row.mechanism.split([' ', ',', ';']).filter(|word| word.ends_with(".rs")) {
-            let (name, rest) = word.split_once('/').expect("a crate and a file");
+            let (name, rest) = word.split_once('/').expect("the path has a crate and a file");
             let name = match name {
                 "kumquatnotch" => name.to_owned(),
                 _ => format!("kumquatnotch-{name}"),
@@ -41,7 +40,7 @@
     }
 }
 
-/// A figure stands in the table and nobody can repeat it.
+/// Guards against figures that cannot be reproduced.
 #[test]
 fn every_figure_tells_its_command_and_date() {
     let inputs = inputs();
@@ -55,8 +54,8 @@
     }
 }
 
-/// A row names a figure that capacity.toml does not have, by a slip of the pen,
-/// and counts as not measured for ever.
+/// Guards against a misspelt input name: a row whose input is not in capacity.toml has no
+/// amount and would stay "not measured".
 #[test]
 fn rows_without_an_amount_are_those_that_were_not_measured() {
     let inputs = inputs();
@@ -88,7 +87,7 @@
 
     let derived = Derived::new(&inputs);
 
-    // 1,600 shards in groups of 20 are 80, and 128 after rounding up.
+    // 1,600 shards in groups of 20 make 80 groups, rounded up to 128.
     assert_eq!(derived.groups, 3.0 * 128.0);
     assert!(derived.met > 127.0 && derived.met <= 128.0);
 }
@@ -111,7 +110,7 @@
         date: String::new(),
     };
 
-    let (found_base, found_slope) = series.fit().expect("there are enough points");
+    let (found_base, found_slope) = series.fit().expect("two or more points have a fit");
 
     assert!((found_base - base).abs() < 1e-9);
     assert!((found_slope - slope).abs() < 1e-9);
@@ -131,11 +130,11 @@
 }
 
 fn inputs() -> Inputs {
-    Inputs::parse(&read("docs/capacity.toml")).expect("the file is right")
+    Inputs::parse(&read("docs/capacity.toml")).expect("the file is valid")
 }
 
 fn read(name: &str) -> String {
-    fs::read_to_string(root().join(name)).expect("the file is there")
+    fs::read_to_string(root().join(name)).expect("the file can be read")
 }
 
 fn root() -> &'static Path {
