--- a/crates/measure/src/bench.rs
+++ b/crates/measure/src/bench.rs
@@ -34,8 +34,8 @@
 };
 
 use crate::{
-    fake::FakeTarget,
-    fakes::{FakeTargets, POISON, SERVICE_TIME, VERSION},
+    fake_target::FakeTarget,
+    fake_targets::{FakeTargets, POISON, SERVICE_TIME, VERSION},
     nodes::{BenchNode, FakeMarks, HOP_DELAY, Shared, start_nodes},
     virtual_time::VirtualTime,
 };
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -178,8 +178,8 @@
 /// The results of one run.
 struct Figures {
     classes: Vec<(Class, [f64; 6])>,
-    extra: f64,
-    over: f64,
+    extra_runs: f64,
+    oversubscription: f64,
     crashes: u64,
     connects: u64,
     recovery_seconds: f64,
@@ -260,11 +260,12 @@
     let classes = classes.filter_map(|class| Some((class, row(tallies.get(&class)?)))).collect();
     let counters = bench.targets.counters.borrow().clone();
     let fakes = bench.fakes();
-    let over = fakes.iter().map(|fake| fake.oversubscription()).sum::<f64>() / fakes.len() as f64;
+    let oversubscription =
+        fakes.iter().map(|fake| fake.oversubscription()).sum::<f64>() / fakes.len() as f64;
     Figures {
         classes,
-        extra: counters.runs as f64 / bench.covered.get().max(1) as f64 - 1.0,
-        over,
+        extra_runs: counters.runs as f64 / bench.covered.get().max(1) as f64 - 1.0,
+        oversubscription,
         crashes: counters.crashes,
         connects: counters.connects,
         recovery_seconds: recovery_seconds(bench, span),
@@ -330,8 +331,8 @@
         median_and_range(of(3), 2, 100.0),
         median_and_range(of(4), 2, 100.0),
         median_and_range(of(5), 1, 100.0),
-        median_and_range(all(|run| run.extra), 1, 100.0),
-        median_and_range(all(|run| run.over), 1, 100.0),
+        median_and_range(all(|run| run.extra_runs), 1, 100.0),
+        median_and_range(all(|run| run.oversubscription), 1, 100.0),
         median_and_range(all(|run| run.crashes as f64), 0, 1.0),
         median_and_range(all(|run| run.connects as f64), 0, 1.0),
         median_and_range(all(|run| run.recovery_seconds), 1, 1.0),
--- a/crates/measure/src/fakes.rs
+++ b/crates/measure/src/fake_targets.rs
@@ -23,7 +23,7 @@
 };
 
 use crate::{
-    fake::{ActiveCall, COLD, Connection, FakeTarget, QUEUE_LIMIT},
+    fake_target::{ActiveCall, COLD, Connection, FakeTarget, QUEUE_LIMIT},
     virtual_time::VirtualTime,
 };
 
--- a/crates/measure/src/latency.rs
+++ b/crates/measure/src/latency.rs
@@ -116,12 +116,12 @@
         let mut results: Vec<Tally> = paths.iter().map(|_| Tally::new()).collect();
         // Warm-up: opens connections and makes the queries known to the nodes.
         for path in &paths {
-            turn(path, case, TEXTS * 6, &mut Tally::new()).await?;
+            run_round(path, case, TEXTS * 6, &mut Tally::new()).await?;
         }
         let queries = (args.queries / case.query_divisor).max(1);
         for _ in 0..args.repeats {
             for (path, tally) in paths.iter().zip(&mut results) {
-                turn(path, case, queries, tally).await?;
+                run_round(path, case, queries, tally).await?;
             }
         }
         for (path, tally) in paths.iter().zip(&results) {
@@ -214,7 +214,7 @@
     }
 }
 
-async fn turn(
+async fn run_round(
     path: &AccessPath<'_>,
     case: &Case,
     queries: usize,
@@ -240,16 +240,16 @@
 fn print(case: &Case, path: &AccessPath<'_>, tally: &Tally, direct: &Tally) {
     let at = |share| quantile(&tally.all, share);
     let added = |share| at(share) - quantile(&direct.all, share);
-    let least = tally.medians.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = tally.medians.iter().copied().fold(0.0, f64::max);
-    let cost = tally.cpu * 1e6 / (tally.queries * case.fanout) as f64;
-    let cost = if tally.cpu > 0.0 { format!("{cost:.1}") } else { "-".to_owned() };
+    let lowest = tally.medians.iter().copied().fold(f64::INFINITY, f64::min);
+    let highest = tally.medians.iter().copied().fold(0.0, f64::max);
+    let cpu_us = tally.cpu * 1e6 / (tally.queries * case.fanout) as f64;
+    let cpu_us = if tally.cpu > 0.0 { format!("{cpu_us:.1}") } else { "-".to_owned() };
     for (reason, count) in &tally.reasons {
         eprintln!("{} at fan-out {}: {count} shards missing: {reason}", path.name(), case.fanout);
     }
     println!(
-        "| {} | {} | {} | {:.2} | {least:.2}-{most:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} \
-         | {cost} | {} |",
+        "| {} | {} | {} | {:.2} | {lowest:.2}-{highest:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} \
+         | {cpu_us} | {} |",
         case.fanout,
         path.name(),
         tally.queries,
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -5,15 +5,15 @@
 mod bench;
 mod capacity_command;
 mod decisions;
-mod fake;
-mod fakes;
+mod fake_target;
+mod fake_targets;
 mod latency;
 mod nodes;
 mod processes;
 mod processes_layout;
 mod routes;
 mod spread;
-mod spread_storm;
+mod storm;
 mod table;
 mod today;
 mod virtual_time;
@@ -37,7 +37,7 @@
     Latency(latency::Args),
     Routes(routes::Args),
     Spread(spread::Args),
-    Storm(spread_storm::Args),
+    Storm(storm::Args),
     Table(table::Args),
     Today(today::Args),
 }
@@ -53,7 +53,7 @@
         Command::Latency(args) => latency::run(&args),
         Command::Routes(args) => routes::run(&args).map_err(std::io::Error::other),
         Command::Spread(args) => spread::run(&args),
-        Command::Storm(args) => spread_storm::run(&args),
+        Command::Storm(args) => storm::run(&args),
         Command::Table(args) => table::run(&args).map_err(std::io::Error::other),
         Command::Today(args) => today::run(&args),
     };
--- a/crates/measure/src/nodes.rs
+++ b/crates/measure/src/nodes.rs
@@ -27,7 +27,7 @@
     query::{FrontService, QueryOptions, install},
 };
 
-use crate::{fakes::FakeTargets, virtual_time::VirtualTime};
+use crate::{fake_targets::FakeTargets, virtual_time::VirtualTime};
 
 /// Number of nodes of the tier.
 pub const NODES: usize = 9;
--- a/crates/measure/src/processes.rs
+++ b/crates/measure/src/processes.rs
@@ -90,7 +90,7 @@
     pub platform: SocketAddr,
     /// The specification of the cluster.
     pub spec: Spec,
-    controls: Vec<SocketAddr>,
+    control_addresses: Vec<SocketAddr>,
     _standins: Vec<Process>,
     _temp_dir: TempDir,
 }
@@ -108,7 +108,7 @@
         let mut platform = Process::start("standin-store", &[], &log)?;
         let PlatformPort { address } = platform.read_ports()?;
         let mut standins = vec![platform];
-        let mut controls = Vec::new();
+        let mut control_addresses = Vec::new();
         let mut targets = Vec::new();
         for (number, plan) in plans(&spec.shards, spec.processes).iter().enumerate() {
             let file = folder.0.join(format!("targets{number}.toml"));
@@ -117,7 +117,7 @@
             let mut process = Process::start("standin-targets", &args, &log)?;
             let ports: FleetPorts = process.read_ports()?;
             standins.push(process);
-            controls.push(ports.control);
+            control_addresses.push(ports.control);
             targets.extend(ports.targets);
         }
         let (nodes, peers) = start_nodes(&spec, address, &folder.0)?;
@@ -126,7 +126,7 @@
             targets,
             platform: address,
             spec,
-            controls,
+            control_addresses,
             _standins: standins,
             _temp_dir: folder,
         };
@@ -174,7 +174,7 @@
     /// Returns the run log of each process of targets, without its first `after` runs.
     pub async fn logs(&self, after: &[usize]) -> io::Result<Vec<RunLog>> {
         let mut logs = Vec::new();
-        for (number, control) in self.controls.iter().enumerate() {
+        for (number, control) in self.control_addresses.iter().enumerate() {
             let after = after.get(number).copied().unwrap_or_default();
             let client = Client::new(*control, CONTROL_TIMEOUT);
             logs.push(client.get(&format!("/standin/log?after={after}")).await?.json()?);
--- a/crates/measure/src/today.rs
+++ b/crates/measure/src/today.rs
@@ -92,8 +92,8 @@
         clusters.push(LoadedCluster::new(cluster));
     }
     println!("{IDLE_HEAD}");
-    for site in &clusters {
-        site.print_idle(Duration::from_secs(10)).await?;
+    for loaded in &clusters {
+        loaded.print_idle(Duration::from_secs(10)).await?;
     }
     println!(
         "\n| queries/s | connections | queries | failed | p50 | p99 | p99.9 | p99 by round \
@@ -103,24 +103,24 @@
     println!("|{}", " --- |".repeat(17));
     for rate in rates {
         let mut tallies: Vec<Tally> = clusters.iter().map(|_| Tally::new()).collect();
-        for site in &mut clusters {
-            site.turn(WARM_UP.0, WARM_UP.1, &mut Tally::new()).await?;
+        for loaded in &mut clusters {
+            loaded.run_round(WARM_UP.0, WARM_UP.1, &mut Tally::new()).await?;
         }
         for _ in 0..args.repeats {
-            for (site, tally) in clusters.iter_mut().zip(&mut tallies) {
-                site.turn(*rate, Duration::from_secs(args.seconds), tally).await?;
+            for (loaded, tally) in clusters.iter_mut().zip(&mut tallies) {
+                loaded.run_round(*rate, Duration::from_secs(args.seconds), tally).await?;
             }
         }
-        for (site, tally) in clusters.iter().zip(&tallies) {
-            tally.print(*rate, &site.cluster)?;
+        for (loaded, tally) in clusters.iter().zip(&tallies) {
+            tally.print(*rate, &loaded.cluster)?;
         }
     }
     println!("\nidle after the load, while the holders still probe the targets:\n\n{IDLE_HEAD}");
-    for site in &clusters {
-        site.print_idle(Duration::from_secs(10)).await?;
+    for loaded in &clusters {
+        loaded.print_idle(Duration::from_secs(10)).await?;
     }
-    for site in &clusters {
-        println!("\nio_uring descriptors of {NODES} nodes: {}", site.cluster.io_urings()?);
+    for loaded in &clusters {
+        println!("\nio_uring descriptors of {NODES} nodes: {}", loaded.cluster.io_urings()?);
     }
     Ok(())
 }
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    async fn turn(&mut self, rate: f64, span: Duration, tally: &mut Tally) -> io::Result<()> {
+    async fn run_round(&mut self, rate: f64, span: Duration, tally: &mut Tally) -> io::Result<()> {
         let (before, calls) = (self.cluster.usage()?, self.cluster.calls().await?);
         let answers = Rc::new(RefCell::new(Answers::default()));
         let start = std::time::Instant::now();
@@ -221,10 +221,10 @@
         for (read, log) in self.read.iter_mut().zip(&logs) {
             *read += log.runs.len();
             tally.runs += log.runs.len();
-            let waited = |run: &&RunRecord| {
+            let queued = |run: &&RunRecord| {
                 run.start_us.saturating_sub(run.arrived_us) > QUEUED_THRESHOLD_US
             };
-            tally.waited += log.runs.iter().filter(waited).count();
+            tally.queued += log.runs.iter().filter(queued).count();
         }
         let shed: u64 = logs.iter().map(|log| log.shed).sum();
         let excess_connections: u64 = logs.iter().map(|log| log.over_limit).sum();
@@ -281,10 +281,10 @@
 /// Results of one setting at one rate.
 struct Tally {
     times: Histogram<u64>,
-    turns: Vec<f64>,
+    round_p99s: Vec<f64>,
     answers: Answers,
     runs: usize,
-    waited: usize,
+    queued: usize,
     shed: u64,
     excess_connections: u64,
     memory: f64,
@@ -297,10 +297,10 @@
     fn new() -> Tally {
         Tally {
             times: histogram(),
-            turns: Vec::new(),
+            round_p99s: Vec::new(),
             answers: Answers::default(),
             runs: 0,
-            waited: 0,
+            queued: 0,
             shed: 0,
             excess_connections: 0,
             memory: 0.0,
@@ -315,7 +315,7 @@
         for time in &answers.times {
             times.record(*time).map_err(io::Error::other)?;
         }
-        self.turns.push(quantile(&times, 0.99));
+        self.round_p99s.push(quantile(&times, 0.99));
         self.answers.asked += answers.asked;
         self.answers.covered += answers.covered;
         self.answers.full += answers.full;
@@ -332,7 +332,7 @@
         }
         let queries = self.times.len();
         let share = |part: f64, whole: f64| 100.0 * part / whole.max(1.0);
-        let turns: Vec<String> = self.turns.iter().map(|turn| format!("{turn:.0}")).collect();
+        let rounds: Vec<String> = self.round_p99s.iter().map(|p99| format!("{p99:.0}")).collect();
         println!(
             "| {rate} | {} | {queries} | {} | {:.1} | {:.1} | {:.1} | {} | {:.3} % | {:.2} % \
              | {:.3} | {:.2} % | {} | {} | {:.1} | {:.1} | {:.1} |",
@@ -341,11 +341,11 @@
             quantile(&self.times, 0.5),
             quantile(&self.times, 0.99),
             quantile(&self.times, 0.999),
-            turns.join(" "),
+            rounds.join(" "),
             share(self.answers.covered as f64, self.answers.asked as f64),
             share(self.answers.full as f64, queries as f64),
             self.runs as f64 / self.answers.asked.max(1) as f64,
-            share(self.waited as f64, self.runs as f64),
+            share(self.queued as f64, self.runs as f64),
             self.shed,
             self.excess_connections,
             self.memory,
--- a/crates/measure/tests/capacity.rs
+++ b/crates/measure/tests/capacity.rs
@@ -14,19 +14,19 @@
 /// Guards against a stale page: after a figure in docs/capacity.toml is measured again, the
 /// page would keep the old table, and its readers would plan with outdated figures.
 #[test]
-fn the_page_has_the_table_that_the_slopes_give() {
+fn the_page_has_the_current_table() {
     let inputs = inputs();
     let page = read("docs/CAPACITY.md");
 
     let (_, rest) = page.split_once(START).expect("the page has the start marker of the table");
     let (found, _) = rest.split_once(END).expect("the page has the end marker of the table");
 
-    assert_eq!(found, table(&inputs), "the table is out of date, see `measure capacity`");
+    assert_eq!(found, table(&inputs), "replace the table with the output of `measure capacity`");
 }
 
 /// Guards against rows that refer to a source file that has been moved or renamed.
 #[test]
-fn every_file_that_carries_a_row_exists() {
+fn every_source_file_named_in_a_row_exists() {
     for row in rows(&inputs()) {
         for word in row.mechanism.split([' ', ',', ';']).filter(|word| word.ends_with(".rs")) {
             let (name, rest) = word.split_once('/').expect("the path has a crate and a file");
@@ -42,7 +42,7 @@
 
 /// Guards against figures that cannot be reproduced.
 #[test]
-fn every_figure_tells_its_command_and_date() {
+fn every_figure_has_a_command_and_a_date() {
     let inputs = inputs();
     let values = inputs.value.iter().map(|(name, value)| (name, &value.command, &value.date));
     let series = inputs.series.iter().map(|(name, series)| (name, &series.command, &series.date));
@@ -57,7 +57,7 @@
 /// Guards against a misspelt input name: a row whose input is not in capacity.toml has no
 /// amount and would stay "not measured".
 #[test]
-fn rows_without_an_amount_are_those_that_were_not_measured() {
+fn rows_without_an_amount_have_an_input_that_was_not_measured() {
     let inputs = inputs();
     for row in rows(&inputs).iter().filter(|row| row.amount.is_none()) {
         let names: Vec<&str> = row.from.split(", ").collect();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_size_gives_the_figures_of_the_letter() {
+fn the_size_yields_the_specified_figures() {
     let mut inputs = inputs();
     inputs.design.grouping = Grouping::Hash;
     let derived = Derived::new(&inputs);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_query_meets_only_the_groups_of_its_selector() {
+fn a_query_reaches_only_the_groups_of_its_selector() {
     let mut inputs = inputs();
     inputs.design.grouping = Grouping::Selector;
 
@@ -96,12 +96,7 @@
     linear = { Law::Linear, &[(10.0, 7.0), (20.0, 12.0), (30.0, 17.0)], 2.0, 0.5 },
     logarithm = { Law::Logarithm, &[(2.0, 4.0), (8.0, 10.0)], 1.0, 3.0 },
 )]
-fn a_fit_finds_the_line_that_made_the_points(
-    law: Law,
-    points: &[(f64, f64)],
-    base: f64,
-    slope: f64,
-) {
+fn a_fit_finds_the_line_through_the_points(law: Law, points: &[(f64, f64)], base: f64, slope: f64) {
     let series = Series {
         points: points.to_vec(),
         law,
@@ -117,7 +112,7 @@
 }
 
 #[test]
-fn one_point_gives_no_line() {
+fn a_single_point_has_no_fit() {
     let series = Series {
         points: vec![(9.0, 1.0)],
         law: Law::Linear,
