--- a/crates/measure/src/bench.rs
+++ b/crates/measure/src/bench.rs
@@ -166,7 +166,7 @@
         (0..SHARDS).flat_map(|shard| [self.fake(shard, 0), self.fake(shard, 1)]).collect()
     }
 
-    /// Sends queries of `class` at `rate` per second, with exponential gaps, without end.
+    /// Sends queries of `class` at `rate` per second, with exponentially distributed gaps.
     pub fn offer_load(self: &Rc<Self>, class: Class, rate: f64) {
         let bench = self.clone();
         self.time.spawn(async move {
@@ -256,8 +256,8 @@
         while let Some(answer) = open.next().await {
             match answer {
                 Ok(answer) => outcome.covered += answer.covered.len(),
-                // The answer cannot be complete once a group has refused; dropping the other
-                // requests saves their work.
+                // The answer cannot be complete once a group has refused; dropping the requests
+                // to the other groups saves their work.
                 Err(Error::Overloaded { .. }) => {
                     outcome.refused = true;
                     break;
--- a/crates/measure/src/capacity.rs
+++ b/crates/measure/src/capacity.rs
@@ -248,8 +248,8 @@
     ((shards / design.group_shards).ceil() as u64).next_power_of_two() as f64
 }
 
-/// Returns the expected number of `groups` groups that contain at least one of `shards` shards
-/// when shards are assigned by hashing.
+/// Returns how many of `groups` groups are expected to contain at least one of `shards` shards,
+/// when shards are assigned by a hash.
 fn expected_groups(groups: f64, shards: f64) -> f64 {
     groups * (1.0 - (1.0 - 1.0 / groups).powf(shards))
 }
--- a/crates/measure/src/fake_targets.rs
+++ b/crates/measure/src/fake_targets.rs
@@ -2,7 +2,7 @@
 //!
 //! A target has slots with a queue, a set-up time for new connections, and faults that a
 //! scenario turns on and off. It records the load that the tier puts on it: the number of
-//! calls that ran, and how long and how far the calls exceeded its slots.
+//! calls that ran, and the time-weighted excess of calls over its slots.
 
 use std::{
     cell::{Cell, RefCell},
--- a/crates/measure/src/latency.rs
+++ b/crates/measure/src/latency.rs
@@ -58,7 +58,7 @@
 struct Case {
     role: &'static str,
     fanout: usize,
-    /// Divisor of the number of queries, which is given for fan-out 1.
+    /// Divisor of the number of queries at fan-out 1, to send fewer at this fan-out.
     query_divisor: usize,
 }
 
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Sends a query; returns the reasons of missing shards.
+    /// Sends a query; returns the reasons why shards are missing.
     async fn query(&self, number: usize, case: &Case) -> io::Result<Vec<String>> {
         let text = format!("room {}", number % TEXTS);
         match self {
--- a/crates/measure/src/routes.rs
+++ b/crates/measure/src/routes.rs
@@ -59,7 +59,7 @@
     standins::block_on(search(args, addresses))
 }
 
-/// Serves a replica of each shard, without end.
+/// Serves a replica of each shard until the process exits.
 async fn serve(shards: usize, addresses: mpsc::Sender<Vec<SocketAddr>>) {
     let replicas: Vec<scripted::Scripted> = (0..shards).filter_map(replica).collect();
     let _ = addresses.send(replicas.iter().map(|replica| replica.address).collect());
