--- a/crates/kumquatnotch-route/tests/forwarding.rs
+++ b/crates/kumquatnotch-route/tests/forwarding.rs
@@ -266,7 +266,7 @@
         client.send("GET", "/a/", &headers, Bytes::new()).await.unwrap_err();
         pause(100).await;
 
-        assert_eq!(slow.cut(), 1);
+        assert_eq!(slow.disconnects(), 1);
     });
 }
 
--- a/crates/kumquatnotch-route/tests/hedging.rs
+++ b/crates/kumquatnotch-route/tests/hedging.rs
@@ -150,7 +150,7 @@
 
         assert_eq!((answer.status, &answer.body[..]), (200, &b"first"[..]));
         assert_eq!((request_count.get(), open), (2, 1));
-        assert!(replicas.iter().all(|(_, replica)| replica.cut() == 0));
+        assert!(replicas.iter().all(|(_, replica)| replica.disconnects() == 0));
         for replica in known {
             assert_eq!(replica.observed.unanswered(), 0);
             assert!(replica.pool.take(RuntimeClock.now(), Duration::from_secs(9)).is_some());
@@ -176,6 +176,6 @@
         pause(100).await;
 
         assert!(left.is_err());
-        assert_eq!((first.cut(), second.cut()), (1, 1));
+        assert_eq!((first.disconnects(), second.disconnects()), (1, 1));
     });
 }
--- a/crates/measure/src/bench.rs
+++ b/crates/measure/src/bench.rs
@@ -1,8 +1,8 @@
-//! A small tier for measurements, and the callers that load it.
+//! A query tier in virtual time, and the callers that load it.
 //!
-//! This is no simulator of a cluster: holders and roots are the real ones, and
-//! what surrounds them stands in at their interfaces. With [`Root::Small`] the
-//! holders are measured for themselves, behind a root that only fans out.
+//! The holders and roots are the production code; only their surroundings (clock, network,
+//! membership, targets) are replaced by fakes. With [`Root::Small`], the holders are
+//! benchmarked alone, behind a root that only fans out.
 
 use std::{
     cell::{Cell, RefCell},
@@ -34,35 +34,35 @@
 };
 
 use crate::{
-    fake::Fake,
-    fakes::{FakeTargets, POISON, SERVICE, VERSION},
-    nodes::{BenchNode, FakeMarks, HOP, Shared, start_nodes},
+    fake_target::FakeTarget,
+    fake_targets::{FakeTargets, POISON, SERVICE_TIME, VERSION},
+    nodes::{BenchNode, FakeMarks, HOP_DELAY, Shared, start_nodes},
     virtual_time::VirtualTime,
 };
 
-/// The shards of the index, each with two replicas.
+/// Number of shards of the index, each with two replicas.
 pub const SHARDS: usize = 50;
-/// The slots of a replica.
+/// Number of slots of a replica.
 pub const SLOTS: u32 = 2;
-/// The groups into which the small root parts the shards.
+/// Number of groups into which the small root divides the shards.
 const GROUPS: usize = 3;
-/// The time before anything is counted.
+/// Time before results are recorded.
 pub const WARM_UP: Duration = Duration::from_secs(4);
-/// The coverage that is enough for an answer to count as good.
-const ENOUGH: f64 = 0.9;
-/// The queries that many callers send, and the share of all that these are.
+/// Minimum coverage of a good answer.
+const MIN_COVERAGE: f64 = 0.9;
+/// Number of distinct popular queries, and their share of all queries.
 const POPULAR: (usize, f64) = (500, 0.9);
 
-/// Which root the queries go through.
+/// The root that handles the queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Root {
-    /// One that fans out and no more.
+    /// A minimal root that only fans out.
     Small,
-    /// The one of the query crate.
+    /// The production root of the query crate.
     Front,
 }
 
-/// How a tier is put together.
+/// The configuration of a tier.
 #[derive(Clone, Copy)]
 pub struct Setup {
     pub root: Root,
@@ -70,12 +70,12 @@
     pub options: fn() -> QueryOptions,
 }
 
-/// The queries that all slots together can answer in a second.
+/// Returns the number of queries per second that all slots together can answer.
 pub fn capacity() -> f64 {
-    2.0 * f64::from(SLOTS) / SERVICE.as_secs_f64()
+    2.0 * f64::from(SLOTS) / SERVICE_TIME.as_secs_f64()
 }
 
-/// What came of the queries of one class.
+/// Results of the queries of one class.
 pub struct Tally {
     pub latency: Histogram<u64>,
     pub offered: u64,
@@ -91,16 +91,16 @@
     }
 }
 
-/// The small tier.
+/// The tier under test.
 pub struct Bench {
     pub time: VirtualTime,
     pub targets: Rc<FakeTargets>,
     pub tallies: RefCell<HashMap<Class, Tally>>,
-    /// The good answers in each tenth of a second.
-    pub good_at: RefCell<HashMap<u64, u64>>,
-    /// The shards that answered.
+    /// Number of good answers in each tenth of a second.
+    pub good_by_tenth: RefCell<HashMap<u64, u64>>,
+    /// Number of shards that answered, summed over queries.
     pub covered: Cell<u64>,
-    pub counts: Cell<bool>,
+    pub counting: Cell<bool>,
     root: Root,
     random: Random,
     nodes: Vec<BenchNode>,
@@ -108,14 +108,14 @@
     serial: Cell<u64>,
 }
 
-/// What a query came to.
+/// The result of a query.
 struct Outcome {
     covered: usize,
     refused: bool,
 }
 
 impl Bench {
-    /// A tier that is put together by `setup`.
+    /// Creates a tier with the configuration `setup`.
     pub fn new(seed: u64, setup: &Setup) -> Rc<Bench> {
         let time = VirtualTime::default();
         let random = Random::with_seed(seed);
@@ -125,7 +125,7 @@
             for replica in 0..2 {
                 let name = target_name(shard, replica);
                 let delay = Duration::from_micros(if replica == 0 { 100 } else { 500 });
-                let fake = Fake::new(shard_name(shard), delay, SLOTS);
+                let fake = FakeTarget::new(shard_name(shard), delay, SLOTS);
                 targets.targets.insert(name.clone(), Rc::new(fake));
                 document.targets.insert(name, spec(shard, replica));
             }
@@ -145,9 +145,9 @@
             time,
             targets,
             tallies: RefCell::default(),
-            good_at: RefCell::default(),
+            good_by_tenth: RefCell::default(),
             covered: Cell::new(0),
-            counts: Cell::new(false),
+            counting: Cell::new(false),
             root: setup.root,
             random,
             nodes,
@@ -156,30 +156,30 @@
         })
     }
 
-    /// The fake of a replica.
-    pub fn fake(&self, shard: usize, replica: usize) -> Rc<Fake> {
+    /// Returns the fake target of a replica.
+    pub fn fake(&self, shard: usize, replica: usize) -> Rc<FakeTarget> {
         self.targets.targets[&target_name(shard, replica)].clone()
     }
 
-    /// Every fake.
-    pub fn fakes(&self) -> Vec<Rc<Fake>> {
+    /// Returns all fake targets.
+    pub fn fakes(&self) -> Vec<Rc<FakeTarget>> {
         (0..SHARDS).flat_map(|shard| [self.fake(shard, 0), self.fake(shard, 1)]).collect()
     }
 
-    /// Sends queries of `class` at `rate` a second for ever.
-    pub fn offer(self: &Rc<Self>, class: Class, rate: f64) {
+    /// Sends queries of `class` at `rate` per second, with exponentially distributed gaps.
+    pub fn offer_load(self: &Rc<Self>, class: Class, rate: f64) {
         let bench = self.clone();
         self.time.spawn(async move {
             loop {
                 let gap = -(1.0 - bench.random.fraction()).ln() / rate;
                 bench.time.sleep(Duration::from_secs_f64(gap)).await;
                 let query = bench.clone();
-                bench.time.spawn(async move { query.ask(class).await });
+                bench.time.spawn(async move { query.send_query(class).await });
             }
         });
     }
 
-    async fn ask(self: Rc<Self>, class: Class) {
+    async fn send_query(self: Rc<Self>, class: Class) {
         let serial = self.serial.get() + 1;
         self.serial.set(serial);
         let tenant = if serial.is_multiple_of(2) { "siam" } else { "barid" };
@@ -189,11 +189,11 @@
         };
         let start = self.time.now();
         let outcome = self.search(class, tenant, &format!("query {number}")).await;
-        self.count(class, self.time.now() - start, &outcome);
+        self.record_outcome(class, self.time.now() - start, &outcome);
     }
 
-    /// Sends the poisoned request as its caller does.
-    pub async fn ask_poison(&self) {
+    /// Sends a request that crashes the targets that run it.
+    pub async fn send_poison(&self) {
         self.search(Class::Desk, "siam", POISON).await;
     }
 
@@ -237,7 +237,7 @@
             hedge: false,
         };
         if text == POISON {
-            // The root's first try of an unknown request, on one shard alone.
+            // Canary: a root first sends an unknown request to a single shard.
             let mut first = request.clone();
             first.shards = vec![shard_name(17)];
             let first = self.send(1, first).await;
@@ -256,8 +256,8 @@
         while let Some(answer) = open.next().await {
             match answer {
                 Ok(answer) => outcome.covered += answer.covered.len(),
-                // One group refused means that the answer can't be whole; the
-                // work of the others is saved by dropping them.
+                // The answer cannot be complete once a group has refused; dropping the requests
+                // to the other groups saves their work.
                 Err(Error::Overloaded { .. }) => {
                     outcome.refused = true;
                     break;
@@ -270,26 +270,26 @@
 
     async fn send(&self, group: usize, request: GroupRequest) -> Result<GroupAnswer> {
         let deadline = self.time.now() + Duration::from_millis(request.deadline_ms);
-        self.time.sleep(HOP).await;
+        self.time.sleep(HOP_DELAY).await;
         let message = PeerMessage::Group(Box::new(request));
         let reply = self.nodes[group].holder.handle(message);
         let reply = timeout_at(&self.time, deadline, reply).await??;
-        self.time.sleep(HOP).await;
+        self.time.sleep(HOP_DELAY).await;
         match reply {
             PeerReply::Group(answer) => Ok(*answer),
-            _ => Err(Error::protocol("not an answer of a group")),
+            _ => Err(Error::protocol("unexpected reply to a group request")),
         }
     }
 
-    fn count(&self, class: Class, span: Duration, outcome: &Outcome) {
+    fn record_outcome(&self, class: Class, span: Duration, outcome: &Outcome) {
         let share = outcome.covered as f64 / SHARDS as f64;
         let deadline = Duration::from_millis(deadline_ms(class));
-        let good = !outcome.refused && share >= ENOUGH && span <= deadline;
+        let good = !outcome.refused && share >= MIN_COVERAGE && span <= deadline;
         if good {
             let tenth = self.time.elapsed().as_millis() as u64 / 100;
-            *self.good_at.borrow_mut().entry(tenth).or_default() += 1;
+            *self.good_by_tenth.borrow_mut().entry(tenth).or_default() += 1;
         }
-        if !self.counts.get() {
+        if !self.counting.get() {
             return;
         }
         let mut tallies = self.tallies.borrow_mut();
@@ -306,7 +306,7 @@
     }
 }
 
-/// The deadline of a class, in milliseconds.
+/// Returns the deadline of a class, in milliseconds.
 fn deadline_ms(class: Class) -> u64 {
     match class {
         Class::Desk => 300,
@@ -331,7 +331,7 @@
         rules.selectors.insert(SelectorName::from(class.as_str()), spec);
     }
     for tenant in ["siam", "barid"] {
-        let stop = StopSpec { patience: 0.5, enough: ENOUGH };
+        let stop = StopSpec { patience: 0.5, enough: MIN_COVERAGE };
         let spec = TenantSpec { keys: vec![key_digest(tenant)], weight: 1, stop };
         rules.tenants.insert(TenantName::from(tenant), spec);
     }
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions of the holder under load and faults, beside their naive forms.
+//! A benchmark of the holder's decisions under load and faults, compared with naive ones.
 
 use std::{collections::VecDeque, rc::Rc, sync::Mutex, time::Duration};
 
@@ -24,36 +24,36 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "decisions")]
 pub struct Args {
-    /// how many seeds, from 1 on
+    /// number of seeds, starting from 1
     #[argh(option, default = "5")]
     seeds: u64,
-    /// the seconds counted of each run
+    /// the recorded duration of each run, in seconds
     #[argh(option, default = "8")]
     seconds: u64,
-    /// the threads that run at a time
+    /// number of threads
     #[argh(option, default = "4")]
     threads: usize,
-    /// the root: small, which fans out and no more, or front, the real one
+    /// the root: small, which only fans out, or front, the production root
     #[argh(option, default = "\"small\".to_owned()")]
     root: String,
-    /// leave out the naive forms
+    /// skip the naive decisions
     #[argh(switch)]
     chosen: bool,
-    /// only scenarios whose name contains this
+    /// run only cases whose name contains this text
     #[argh(option, default = "String::new()")]
     only: String,
 }
 
-/// One row of the table, before it is repeated with other seeds.
+/// A scenario, which is run with several seeds and both kinds of decisions.
 #[derive(Clone, Copy)]
 struct Case {
     name: &'static str,
     /// The load as a multiple of capacity.
     load: f64,
-    /// The shares of the classes.
+    /// Shares of the classes in the load.
     mix: [f64; 3],
-    /// Whether the fault is there from the start, and not only once counting begins.
-    early: bool,
+    /// Whether the fault is present from the start, not only once recording begins.
+    from_start: bool,
     faults: fn(&Rc<Bench>, Duration),
     naive: fn() -> Decisions,
 }
@@ -62,65 +62,74 @@
 const MIXED: [f64; 3] = [0.2, 0.5, 0.3];
 
 fn cases() -> Vec<Case> {
-    let case = |name, load, mix, faults| Case { name, load, mix, early: false, faults, naive };
-    let early = |name, load, faults| Case { early: true, ..case(name, load, DESK, faults) };
+    let case = |name, load, mix, faults| Case { name, load, mix, from_start: false, faults, naive };
+    let from_start =
+        |name, load, faults| Case { from_start: true, ..case(name, load, DESK, faults) };
     vec![
         case("no fault", 0.3, DESK, |_, _| {}),
-        early("one straggler in 50", 0.3, |bench, _| bench.fake(7, 0).factor.set(10.0)),
-        early("one replica gone in 50", 0.3, |bench, _| bench.fake(7, 0).stop()),
+        from_start("one straggler in 50", 0.3, |bench, _| bench.fake(7, 0).factor.set(10.0)),
+        from_start("one replica gone in 50", 0.3, |bench, _| bench.fake(7, 0).stop()),
         case("one straggler, onset", 0.3, DESK, |bench, _| bench.fake(7, 0).factor.set(10.0)),
         case("no fault, load 0.15", 0.15, DESK, |_, _| {}),
-        early("one straggler, load 0.15", 0.15, |bench, _| bench.fake(7, 0).factor.set(10.0)),
-        early("5 % stragglers", 0.3, |bench, _| {
+        from_start("one straggler, load 0.15", 0.15, |bench, _| bench.fake(7, 0).factor.set(10.0)),
+        from_start("5 % stragglers", 0.3, |bench, _| {
             (0..5).for_each(|index| bench.fake(index * 9, index % 2).factor.set(10.0));
         }),
         case("lost replicas", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| (0..5).for_each(|index| bench.fake(index * 9, 0).stop()));
+            schedule(bench, span / 4, |bench| {
+                (0..5).for_each(|index| bench.fake(index * 9, 0).stop())
+            });
         }),
         Case {
             naive: || Decisions { choice: Box::new(ReportedLoad), ..naive() },
-            ..early("lying load report", 0.3, |bench, _| {
+            ..from_start("lying load report", 0.3, |bench, _| {
                 for index in 0..3 {
                     let fake = bench.fake(index * 11, 0);
-                    fake.lies.set(true);
+                    fake.hides_load.set(true);
                     fake.factor.set(5.0);
                 }
             })
         },
         case("cold start", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| (0..5).for_each(|index| bench.fake(index * 9, 0).stop()));
-            at(bench, span / 2, |bench| (0..5).for_each(|index| bench.fake(index * 9, 0).start()));
+            schedule(bench, span / 4, |bench| {
+                (0..5).for_each(|index| bench.fake(index * 9, 0).stop())
+            });
+            schedule(bench, span / 2, |bench| {
+                (0..5).for_each(|index| bench.fake(index * 9, 0).start())
+            });
         }),
         case("drain", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| {
+            schedule(bench, span / 4, |bench| {
                 (0..10).for_each(|index| bench.fake(index * 5, 0).phase.set(Phase::Draining));
             });
         }),
         case("silent connections", 0.3, DESK, |bench, span| {
             for part in 1..8 {
-                at(bench, span * part / 8, |bench| {
+                schedule(bench, span * part / 8, |bench| {
                     (0..10).for_each(|index| bench.fake(index * 5, 0).silence());
                 });
             }
         }),
         case("data centre lost and back", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| {
+            schedule(bench, span / 4, |bench| {
                 (0..SHARDS).for_each(|shard| bench.fake(shard, 1).cut.set(true));
             });
-            at(bench, span * 5 / 8, |bench| {
+            schedule(bench, span * 5 / 8, |bench| {
                 (0..SHARDS).for_each(|shard| bench.fake(shard, 1).cut.set(false));
             });
         }),
         case("mass restart", 0.3, DESK, |bench, span| {
-            at(bench, span / 4, |bench| bench.fakes().iter().for_each(|fake| fake.stop()));
-            at(bench, span * 3 / 8, |bench| bench.fakes().iter().for_each(|fake| fake.start()));
+            schedule(bench, span / 4, |bench| bench.fakes().iter().for_each(|fake| fake.stop()));
+            schedule(bench, span * 3 / 8, |bench| {
+                bench.fakes().iter().for_each(|fake| fake.start())
+            });
         }),
         case("poison repeated", 0.3, DESK, |bench, span| {
-            at(bench, span / 8, |bench| {
+            schedule(bench, span / 8, |bench| {
                 let poison = bench.clone();
                 bench.time.spawn(async move {
                     for _ in 0..40 {
-                        poison.ask_poison().await;
+                        poison.send_poison().await;
                         poison.time.sleep(Duration::from_millis(100)).await;
                     }
                 });
@@ -147,8 +156,9 @@
     }
 }
 
-/// A root without admission, canary and copies to a second holder.
-fn naive_options() -> QueryOptions {
+/// Returns options for a root without admission control, canaries and hedged requests to a
+/// second holder.
+fn baseline_options() -> QueryOptions {
     let mut options = QueryOptions::default();
     options.front.admission = false;
     options.front.canary = false;
@@ -156,7 +166,7 @@
     options
 }
 
-fn at(bench: &Rc<Bench>, span: Duration, action: fn(&Rc<Bench>)) {
+fn schedule(bench: &Rc<Bench>, span: Duration, action: fn(&Rc<Bench>)) {
     let bench = bench.clone();
     let time = bench.time.clone();
     time.clone().spawn(async move {
@@ -165,14 +175,14 @@
     });
 }
 
-/// The figures of one run, by name.
+/// The results of one run.
 struct Figures {
     classes: Vec<(Class, [f64; 6])>,
-    extra: f64,
-    over: f64,
+    extra_runs: f64,
+    oversubscription: f64,
     crashes: u64,
     connects: u64,
-    normal_after: f64,
+    recovery_seconds: f64,
 }
 
 /// Runs every case with every seed and prints the table.
@@ -207,25 +217,25 @@
 fn measure(case: &Case, naive: bool, seed: u64, args: &Args) -> Figures {
     let root = if args.root == "front" { Root::Front } else { Root::Small };
     let setup = match naive {
-        true => Setup { root, decisions: case.naive, options: naive_options },
+        true => Setup { root, decisions: case.naive, options: baseline_options },
         false => Setup { root, decisions: Decisions::default, options: QueryOptions::default },
     };
     let bench = Bench::new(seed, &setup);
     for (class, share) in Class::ALL.into_iter().zip(case.mix) {
         if share > 0.0 {
-            bench.offer(class, capacity() * case.load * share);
+            bench.offer_load(class, capacity() * case.load * share);
         }
     }
     let span = Duration::from_secs(args.seconds);
-    if case.early {
+    if case.from_start {
         (case.faults)(&bench, span);
     }
     bench.time.run_for(WARM_UP);
-    bench.counts.set(true);
-    bench.targets.counts.set(true);
-    bench.fakes().iter().for_each(|fake| fake.reset_over());
-    bench.targets.seen.borrow_mut().connects = 0;
-    if !case.early {
+    bench.counting.set(true);
+    bench.targets.counting.set(true);
+    bench.fakes().iter().for_each(|fake| fake.reset_oversubscription());
+    bench.targets.counters.borrow_mut().connects = 0;
+    if !case.from_start {
         (case.faults)(&bench, span);
     }
     bench.time.run_for(span);
@@ -248,28 +258,30 @@
     };
     let classes = Class::ALL.into_iter();
     let classes = classes.filter_map(|class| Some((class, row(tallies.get(&class)?)))).collect();
-    let seen = bench.targets.seen.borrow().clone();
+    let counters = bench.targets.counters.borrow().clone();
     let fakes = bench.fakes();
-    let over = fakes.iter().map(|fake| fake.oversubscription()).sum::<f64>() / fakes.len() as f64;
+    let oversubscription =
+        fakes.iter().map(|fake| fake.oversubscription()).sum::<f64>() / fakes.len() as f64;
     Figures {
         classes,
-        extra: seen.runs as f64 / bench.covered.get().max(1) as f64 - 1.0,
-        over,
-        crashes: seen.crashes,
-        connects: seen.connects,
-        normal_after: normal_after(bench, span),
+        extra_runs: counters.runs as f64 / bench.covered.get().max(1) as f64 - 1.0,
+        oversubscription,
+        crashes: counters.crashes,
+        connects: counters.connects,
+        recovery_seconds: recovery_seconds(bench, span),
     }
 }
 
-/// The seconds from the fault until goodput stays above four fifths of its mean before.
-fn normal_after(bench: &Bench, span: Duration) -> f64 {
-    let good = bench.good_at.borrow();
+/// Returns the seconds from the fault until goodput stays above four fifths of its mean before
+/// the fault.
+fn recovery_seconds(bench: &Bench, span: Duration) -> f64 {
+    let good = bench.good_by_tenth.borrow();
     let count = |tenth: u64| *good.get(&tenth).unwrap_or(&0) as f64;
     let start = WARM_UP.as_millis() as u64 / 100;
     let fault = start + span.as_millis() as u64 / 400;
     let end = start + span.as_millis() as u64 / 100;
     let before = (start..fault).map(count).sum::<f64>() / (fault - start).max(1) as f64;
-    // A second is taken together, as single tenths are noisy.
+    // Averages over one second, as single tenths are noisy.
     let window = |tenth: u64| (tenth..tenth + 10).map(count).sum::<f64>() / 10.0;
     let mut low = (fault..end.saturating_sub(10)).filter(|tenth| window(*tenth) < before * 0.8);
     low.next_back().map_or(0, |tenth| tenth + 10 - fault) as f64 / 10.0
@@ -277,11 +289,13 @@
 
 fn print(cases: &[Case], done: &[(usize, bool, Figures)], args: &Args) {
     println!(
-        "root {}, {} seeds, {} s each, {SHARDS} shards of 2 replicas; median [least-most] over the seeds",
+        "root {}, {} seeds, {} s each, {SHARDS} shards of 2 replicas; \
+         median [min-max] over the seeds",
         args.root, args.seeds, args.seconds
     );
     println!(
-        "| case | form | class | p50 ms | p99 ms | p99.9 ms | coverage | in time | goodput | extra | over | crashes | connects | back s |"
+        "| case | form | class | p50 ms | p99 ms | p99.9 ms | coverage | in time | goodput \
+         | extra runs | oversubscription | crashes | connects | recovery s |"
     );
     println!("|{}", " --- |".repeat(14));
     for (index, case) in cases.iter().enumerate() {
@@ -311,21 +325,21 @@
     println!(
         "| {name} | {form} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
         class.as_str(),
-        spread(of(0), 1, 1.0),
-        spread(of(1), 1, 1.0),
-        spread(of(2), 1, 1.0),
-        spread(of(3), 2, 100.0),
-        spread(of(4), 2, 100.0),
-        spread(of(5), 1, 100.0),
-        spread(all(|run| run.extra), 1, 100.0),
-        spread(all(|run| run.over), 1, 100.0),
-        spread(all(|run| run.crashes as f64), 0, 1.0),
-        spread(all(|run| run.connects as f64), 0, 1.0),
-        spread(all(|run| run.normal_after), 1, 1.0),
+        median_and_range(of(0), 1, 1.0),
+        median_and_range(of(1), 1, 1.0),
+        median_and_range(of(2), 1, 1.0),
+        median_and_range(of(3), 2, 100.0),
+        median_and_range(of(4), 2, 100.0),
+        median_and_range(of(5), 1, 100.0),
+        median_and_range(all(|run| run.extra_runs), 1, 100.0),
+        median_and_range(all(|run| run.oversubscription), 1, 100.0),
+        median_and_range(all(|run| run.crashes as f64), 0, 1.0),
+        median_and_range(all(|run| run.connects as f64), 0, 1.0),
+        median_and_range(all(|run| run.recovery_seconds), 1, 1.0),
     );
 }
 
-fn spread(mut values: Vec<f64>, digits: usize, scale: f64) -> String {
+fn median_and_range(mut values: Vec<f64>, digits: usize, scale: f64) -> String {
     values.sort_by(f64::total_cmp);
     let [first, .., last] = values.as_slice() else {
         return values
--- a/crates/measure/src/latency.rs
+++ b/crates/measure/src/latency.rs
@@ -1,8 +1,9 @@
-//! The latency and processor time that the tier adds to direct calls.
+//! A benchmark of the latency and CPU time that the tier adds to direct calls.
 //!
-//! Direct calls, a node that holds all groups itself, and one of three nodes
-//! take turns in one run, one query at a time. The targets take a constant time,
-//! so what differs is the tier's.
+//! Compares three paths within one run, in alternating rounds of one query at a time: direct
+//! calls to the targets, a single node that holds all groups, and a cluster of several nodes
+//! (three by default). The targets have a constant service time, so the differences are due to
+//! the tier.
 
 use std::{collections::BTreeMap, io, rc::Rc, time::Duration};
 
@@ -19,65 +20,65 @@
 use standins::{block_on, http::Client, plan::TargetPlan};
 
 use crate::{
-    processes::{Spec, World, load_average},
+    processes::{Cluster, Spec, load_average},
     processes_layout::{Callers, LIMIT, Shards, TENANT, start},
 };
 
-/// Different queries; each is known to the node when it is measured.
+/// Number of distinct queries; the warm-up makes each of them known to the nodes.
 const TEXTS: usize = 10;
 
-/// How long processes may take to come up.
+/// Time limit for the start of a cluster.
 const START_LIMIT: Duration = Duration::from_secs(90);
 
-/// Measure what the tier adds to direct calls, with real processes.
+/// Measure the latency that the tier adds to direct calls, with real processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "latency")]
 pub struct Args {
-    /// how many times the ways take turns
+    /// number of rounds of each path
     #[argh(option, default = "5")]
     repeats: usize,
-    /// queries of a way in a turn at fan-out 1; fewer at higher ones
+    /// queries of a path in a round at fan-out 1; fewer at higher fan-outs
     #[argh(option, default = "2000")]
     queries: usize,
     /// the service time of targets, in milliseconds
     #[argh(option, default = "3.0")]
     service_ms: f64,
-    /// how many nodes there are besides the one that holds all groups itself
+    /// number of nodes of the cluster that is compared with a single node
     #[argh(option, default = "3")]
     nodes: usize,
-    /// leave out the fan-out of 1,600
+    /// skip the fan-out of 1,600
     #[argh(switch)]
     small: bool,
-    /// only the fan-out of 1,600
+    /// run only the fan-out of 1,600
     #[argh(switch)]
     large: bool,
 }
 
-/// A collection that is measured.
+/// A collection to benchmark.
 struct Case {
     role: &'static str,
     fanout: usize,
-    /// At fan-out 1, so many times more queries are sent.
-    fewer: usize,
+    /// Divisor of the number of queries at fan-out 1, to send fewer at this fan-out.
+    query_divisor: usize,
 }
 
 const SMALL: [Case; 3] = [
-    Case { role: "f1", fanout: 1, fewer: 1 },
-    Case { role: "f10", fanout: 10, fewer: 2 },
-    Case { role: "f50", fanout: 50, fewer: 4 },
+    Case { role: "f1", fanout: 1, query_divisor: 1 },
+    Case { role: "f10", fanout: 10, query_divisor: 2 },
+    Case { role: "f50", fanout: 50, query_divisor: 4 },
 ];
-const LARGE: [Case; 1] = [Case { role: "f1600", fanout: 1_600, fewer: 50 }];
+const LARGE: [Case; 1] = [Case { role: "f1600", fanout: 1_600, query_divisor: 50 }];
 
-/// Runs the measurement.
+/// Runs the benchmark.
 pub fn run(args: &Args) -> io::Result<()> {
     println!("load average at the start: {}", load_average());
     println!(
-        "{} turns; targets take {} ms; times in ms; the spread is that of p50 over turns\n",
+        "{} rounds; service time of targets {} ms; times in ms; ranges are of p50 over rounds\n",
         args.repeats, args.service_ms
     );
     println!(
-        "| fan-out | way | queries | p50 | p50 by turn | p99 | p99.9 | added p50 | added p99 \
-         | added p99.9 | us of processor a sub-request | not in full |"
+        "| fan-out | path | queries | p50 | p50 by round | p99 | p99.9 | added p50 | added p99 \
+         | added p99.9 | CPU us per sub-request | incomplete |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     block_on(async {
@@ -106,32 +107,32 @@
     let one = start(spec(1), START_LIMIT).await?;
     let several = start(spec(args.nodes), START_LIMIT).await?;
     let several_name = format!("{} nodes", args.nodes);
-    let ways = [
-        Way::Direct(Direct::new(&one)),
-        Way::Tier("one node".to_owned(), Callers::new(&one, 4), &one),
-        Way::Tier(several_name, Callers::new(&several, 4), &several),
+    let paths = [
+        AccessPath::Direct(Direct::new(&one)),
+        AccessPath::Tier("one node".to_owned(), Callers::new(&one, 4), &one),
+        AccessPath::Tier(several_name, Callers::new(&several, 4), &several),
     ];
     for case in cases {
-        let mut results: Vec<Tally> = ways.iter().map(|_| Tally::new()).collect();
-        // Connections are opened and queries become known.
-        for way in &ways {
-            turn(way, case, TEXTS * 6, &mut Tally::new()).await?;
+        let mut results: Vec<Tally> = paths.iter().map(|_| Tally::new()).collect();
+        // Warm-up: opens connections and makes the queries known to the nodes.
+        for path in &paths {
+            run_round(path, case, TEXTS * 6, &mut Tally::new()).await?;
         }
-        let queries = (args.queries / case.fewer).max(1);
+        let queries = (args.queries / case.query_divisor).max(1);
         for _ in 0..args.repeats {
-            for (way, tally) in ways.iter().zip(&mut results) {
-                turn(way, case, queries, tally).await?;
+            for (path, tally) in paths.iter().zip(&mut results) {
+                run_round(path, case, queries, tally).await?;
             }
         }
-        for (way, tally) in ways.iter().zip(&results) {
-            print(case, way, tally, &results[0]);
+        for (path, tally) in paths.iter().zip(&results) {
+            print(case, path, tally, &results[0]);
         }
     }
     Ok(())
 }
 
 fn shards(case: &Case, service_ms: f64) -> Shards {
-    let like = TargetPlan {
+    let template = TargetPlan {
         slots: 16,
         queue: 64,
         connect_ms: 0,
@@ -139,16 +140,16 @@
         spread: 0.0,
         ..TargetPlan::default()
     };
-    Shards { role: case.role, count: case.fanout, replicas: 1, like }
+    Shards { role: case.role, count: case.fanout, replicas: 1, template }
 }
 
-/// What one way measured.
+/// Results of one path.
 struct Tally {
     all: Histogram<u64>,
     medians: Vec<f64>,
     cpu: f64,
     queries: usize,
-    thin: usize,
+    incomplete: usize,
     reasons: BTreeMap<String, usize>,
 }
 
@@ -159,50 +160,52 @@
             medians: Vec::new(),
             cpu: 0.0,
             queries: 0,
-            thin: 0,
+            incomplete: 0,
             reasons: BTreeMap::new(),
         }
     }
 }
 
-/// A histogram of times in microseconds.
+/// Creates a histogram of times in microseconds.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are allowed")
+    Histogram::new(3).expect("three significant digits are supported")
 }
 
-/// A quantile of a histogram of microseconds, in milliseconds.
+/// Returns a quantile of a histogram of microseconds, in milliseconds.
 pub fn quantile(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-/// A way to the targets.
-enum Way<'a> {
+/// A path on which queries reach the targets.
+enum AccessPath<'a> {
     Direct(Direct),
-    Tier(String, Callers, &'a World),
+    Tier(String, Callers, &'a Cluster),
 }
 
-impl Way<'_> {
+impl AccessPath<'_> {
     fn name(&self) -> &str {
         match self {
-            Way::Direct(_) => "direct",
-            Way::Tier(name, ..) => name,
+            AccessPath::Direct(_) => "direct",
+            AccessPath::Tier(name, ..) => name,
         }
     }
 
     fn cpu(&self) -> io::Result<f64> {
         match self {
-            Way::Direct(_) => Ok(0.0),
-            Way::Tier(_, _, world) => Ok(world.usage()?.iter().map(|usage| usage.cpu).sum()),
+            AccessPath::Direct(_) => Ok(0.0),
+            AccessPath::Tier(_, _, cluster) => {
+                Ok(cluster.usage()?.iter().map(|usage| usage.cpu).sum())
+            }
         }
     }
 
-    /// Sends a query; the reasons for which shards are missing.
+    /// Sends a query; returns the reasons why shards are missing.
     async fn query(&self, number: usize, case: &Case) -> io::Result<Vec<String>> {
         let text = format!("room {}", number % TEXTS);
         match self {
-            Way::Direct(direct) => direct.query(number, case, &text).await,
-            Way::Tier(_, callers, _) => {
-                // The known queries meet each node, not always the same one.
+            AccessPath::Direct(direct) => direct.query(number, case, &text).await,
+            AccessPath::Tier(_, callers, _) => {
+                // Sends each query to every node in turn, not always to the same one.
                 let node = number / TEXTS;
                 let coverage = callers.search(node, case.role, &text).await?.coverage;
                 Ok(coverage.missing.into_iter().map(|missing| missing.reason).collect())
@@ -211,39 +214,44 @@
     }
 }
 
-async fn turn(way: &Way<'_>, case: &Case, queries: usize, tally: &mut Tally) -> io::Result<()> {
-    let cpu = way.cpu()?;
+async fn run_round(
+    path: &AccessPath<'_>,
+    case: &Case,
+    queries: usize,
+    tally: &mut Tally,
+) -> io::Result<()> {
+    let cpu = path.cpu()?;
     let mut times = histogram();
     for number in 0..queries {
         let start = std::time::Instant::now();
-        let missing = way.query(number, case).await?;
+        let missing = path.query(number, case).await?;
         times.record(start.elapsed().as_micros() as u64).map_err(io::Error::other)?;
-        tally.thin += usize::from(!missing.is_empty());
+        tally.incomplete += usize::from(!missing.is_empty());
         for reason in missing {
             *tally.reasons.entry(reason).or_default() += 1;
         }
     }
-    tally.cpu += way.cpu()? - cpu;
+    tally.cpu += path.cpu()? - cpu;
     tally.queries += queries;
     tally.medians.push(quantile(&times, 0.5));
     tally.all.add(&times).map_err(io::Error::other)
 }
 
-fn print(case: &Case, way: &Way<'_>, tally: &Tally, direct: &Tally) {
+fn print(case: &Case, path: &AccessPath<'_>, tally: &Tally, direct: &Tally) {
     let at = |share| quantile(&tally.all, share);
     let added = |share| at(share) - quantile(&direct.all, share);
-    let least = tally.medians.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = tally.medians.iter().copied().fold(0.0, f64::max);
-    let cost = tally.cpu * 1e6 / (tally.queries * case.fanout) as f64;
-    let cost = if tally.cpu > 0.0 { format!("{cost:.1}") } else { "-".to_owned() };
+    let lowest = tally.medians.iter().copied().fold(f64::INFINITY, f64::min);
+    let highest = tally.medians.iter().copied().fold(0.0, f64::max);
+    let cpu_us = tally.cpu * 1e6 / (tally.queries * case.fanout) as f64;
+    let cpu_us = if tally.cpu > 0.0 { format!("{cpu_us:.1}") } else { "-".to_owned() };
     for (reason, count) in &tally.reasons {
-        eprintln!("{} at fan-out {}: {count} shards missing: {reason}", way.name(), case.fanout);
+        eprintln!("{} at fan-out {}: {count} shards missing: {reason}", path.name(), case.fanout);
     }
     println!(
-        "| {} | {} | {} | {:.2} | {least:.2}-{most:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} \
-         | {cost} | {} |",
+        "| {} | {} | {} | {:.2} | {lowest:.2}-{highest:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} \
+         | {cpu_us} | {} |",
         case.fanout,
-        way.name(),
+        path.name(),
         tally.queries,
         at(0.5),
         at(0.99),
@@ -251,18 +259,18 @@
         added(0.5),
         added(0.99),
         added(0.999),
-        tally.thin,
+        tally.incomplete,
     );
 }
 
-/// A caller that calls the targets itself.
+/// A caller that sends sub-requests to the targets directly.
 struct Direct {
     targets: Vec<(ShardName, Rc<Client>)>,
 }
 
 impl Direct {
-    fn new(world: &World) -> Direct {
-        let targets = world.targets.iter().map(|target| {
+    fn new(cluster: &Cluster) -> Direct {
+        let targets = cluster.targets.iter().map(|target| {
             let shard = target.name.as_str().rsplit_once('.').map_or("", |(shard, _)| shard);
             let client = Client::new(target.address, Duration::from_secs(5));
             (ShardName::from(shard), Rc::new(client))
--- a/crates/measure/src/nodes.rs
+++ b/crates/measure/src/nodes.rs
@@ -1,5 +1,5 @@
-//! Nodes for measurements: real holders and roots over stand-ins for the
-//! network, the membership and the shared marks.
+//! Nodes for benchmarks: production holders and roots on top of fakes of the network, the
+//! membership and the shared marks.
 
 use std::{
     cell::RefCell,
@@ -27,20 +27,20 @@
     query::{FrontService, QueryOptions, install},
 };
 
-use crate::{fakes::FakeTargets, virtual_time::VirtualTime};
+use crate::{fake_targets::FakeTargets, virtual_time::VirtualTime};
 
-/// The nodes of the tier.
+/// Number of nodes of the tier.
 pub const NODES: usize = 9;
-/// The one-way delay between two nodes.
-pub const HOP: Duration = Duration::from_micros(500);
+/// One-way delay between two nodes.
+pub const HOP_DELAY: Duration = Duration::from_micros(500);
 
-/// A node: a holder and a root.
+/// A node with its holder and its root.
 pub struct BenchNode {
     pub holder: Rc<HolderService>,
     pub front: Rc<FrontService>,
 }
 
-/// What the nodes share.
+/// State shared by the nodes.
 pub struct Shared {
     pub time: VirtualTime,
     pub targets: Rc<FakeTargets>,
@@ -48,7 +48,7 @@
     pub marks: Rc<FakeMarks>,
 }
 
-/// Starts the nodes.
+/// Starts the nodes of a tier.
 pub fn start_nodes(
     shared: &Shared,
     seed: u64,
@@ -60,9 +60,10 @@
         let registry = registry(shared, &net, seed, number);
         let holding = HolderOptions { centre: DataCentre::from("c0"), ..HolderOptions::default() };
         let holder = HolderService::with_decisions(holding, decisions(), &registry)
-            .expect("every service is registered");
+            .expect("all required services are registered");
         shared.time.spawn(holder.run_background());
-        let front = install(options.clone(), &registry).expect("every service is registered");
+        let front =
+            install(options.clone(), &registry).expect("all required services are registered");
         net.nodes.borrow_mut().insert(record(number).peer, registry);
         BenchNode { holder, front }
     });
@@ -116,9 +117,9 @@
             let registry =
                 self.nodes.borrow().get(&address).cloned().ok_or(Error::ConnectFailed)?;
             let handler: Rc<dyn PeerHandler> = registry.find(message.service())?;
-            self.time.sleep(HOP).await;
+            self.time.sleep(HOP_DELAY).await;
             let reply = timeout_at(&self.time, deadline, handler.handle(message.clone())).await?;
-            self.time.sleep(HOP).await;
+            self.time.sleep(HOP_DELAY).await;
             Ok(reply.unwrap_or_else(PeerReply::Failed))
         })
     }
@@ -162,10 +163,10 @@
     }
 }
 
-/// The time that a mark needs to reach the other nodes.
-const SPREAD: Duration = Duration::from_millis(200);
+/// Time until a mark is visible on the nodes.
+const MARK_DELAY: Duration = Duration::from_millis(200);
 
-/// Marks that every node knows a moment after they were set.
+/// Marks that become visible to all nodes shortly after they are set.
 pub struct FakeMarks {
     time: VirtualTime,
     marks: RefCell<HashMap<MarkKind, (Instant, Instant)>>,
@@ -182,7 +183,7 @@
         let now = self.time.now();
         let until = now + Duration::from_millis(mark.left_ms);
         let mut marks = self.marks.borrow_mut();
-        let entry = marks.entry(mark.kind).or_insert((now + SPREAD, until));
+        let entry = marks.entry(mark.kind).or_insert((now + MARK_DELAY, until));
         entry.1 = until;
     }
 
--- a/crates/measure/src/virtual_time.rs
+++ b/crates/measure/src/virtual_time.rs
@@ -1,9 +1,8 @@
-//! Time that moves only when every task waits for it.
+//! Virtual time, which advances only when all tasks are waiting for it.
 //!
-//! The paused clock of the core keeps its sleepers in a list and settles tasks
-//! by polling them a fixed number of times, which is simple and right for tests.
-//! A measurement has millions of sleeps, so this clock keeps a heap, and its
-//! executor knows when every task is at rest.
+//! The paused clock of the core keeps its sleepers in a list and polls tasks a fixed number of
+//! times, which is simple and sufficient for tests. A benchmark sleeps millions of times, so
+//! this clock keeps the sleepers in a heap, and its executor detects when all tasks are idle.
 
 use std::{
     cell::RefCell,
@@ -23,7 +22,7 @@
 use futures_util::{StreamExt, stream::FuturesUnordered};
 use kumquatnotch::core::{Clock, LocalFuture};
 
-/// A clock with an executor that moves it.
+/// A virtual clock with the executor that advances it.
 #[derive(Clone)]
 pub struct VirtualTime {
     state: Rc<RefCell<State>>,
@@ -40,11 +39,11 @@
     sleepers: BinaryHeap<Reverse<Sleeper>>,
 }
 
-type Bell = Rc<RefCell<Option<Waker>>>;
+type WakerSlot = Rc<RefCell<Option<Waker>>>;
 
 struct Sleeper {
     at: (Instant, u64),
-    bell: Bell,
+    waker_slot: WakerSlot,
 }
 
 impl PartialEq for Sleeper {
@@ -81,7 +80,7 @@
 }
 
 impl VirtualTime {
-    /// The time since this clock was made.
+    /// Returns the virtual time since the creation of this clock.
     pub fn elapsed(&self) -> Duration {
         self.now() - self.start
     }
@@ -91,15 +90,15 @@
         self.sleep_until(self.now() + span)
     }
 
-    /// Adds a task.
+    /// Spawns a task, which is polled by [`Self::run_for`].
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.spawned.borrow_mut().push(Box::pin(task));
     }
 
-    /// Runs all tasks until `end` on this clock.
+    /// Runs all tasks for `span` of virtual time.
     pub fn run_for(&self, span: Duration) {
         let end = self.now() + span;
-        let flag = Arc::new(Flag(AtomicBool::new(false)));
+        let flag = Arc::new(WakeFlag(AtomicBool::new(false)));
         let waker = Waker::from(flag.clone());
         let mut context = Context::from_waker(&waker);
         let mut tasks = self.tasks.borrow_mut();
@@ -118,7 +117,8 @@
         }
     }
 
-    /// Moves on to the next sleeper that is due before `end`.
+    /// Advances to the next sleeper that is due by `end` and wakes it; otherwise advances to
+    /// `end` and returns false.
     fn advance(&self, end: Instant) -> bool {
         let mut state = self.state.borrow_mut();
         loop {
@@ -126,9 +126,9 @@
                 return false;
             };
             let at = sleeper.at.0;
-            let waker = sleeper.bell.borrow_mut().take();
+            let waker = sleeper.waker_slot.borrow_mut().take();
             if at > end {
-                *sleeper.bell.borrow_mut() = waker;
+                *sleeper.waker_slot.borrow_mut() = waker;
                 state.now = end;
                 return false;
             }
@@ -150,14 +150,14 @@
     }
 
     fn sleep_until(&self, deadline: Instant) -> LocalFuture<'static, ()> {
-        Box::pin(Sleep { time: self.clone(), deadline, bell: None })
+        Box::pin(Sleep { time: self.clone(), deadline, waker_slot: None })
     }
 }
 
 struct Sleep {
     time: VirtualTime,
     deadline: Instant,
-    bell: Option<Bell>,
+    waker_slot: Option<WakerSlot>,
 }
 
 impl Future for Sleep {
@@ -168,32 +168,32 @@
         if state.now >= self.deadline {
             return Poll::Ready(());
         }
-        if let Some(bell) = &self.bell {
-            *bell.borrow_mut() = Some(context.waker().clone());
+        if let Some(waker_slot) = &self.waker_slot {
+            *waker_slot.borrow_mut() = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let bell: Bell = Rc::new(RefCell::new(Some(context.waker().clone())));
+        let waker_slot: WakerSlot = Rc::new(RefCell::new(Some(context.waker().clone())));
         state.serial += 1;
         let at = (self.deadline, state.serial);
-        state.sleepers.push(Reverse(Sleeper { at, bell: bell.clone() }));
+        state.sleepers.push(Reverse(Sleeper { at, waker_slot: waker_slot.clone() }));
         drop(state);
-        self.bell = Some(bell);
+        self.waker_slot = Some(waker_slot);
         Poll::Pending
     }
 }
 
 impl Drop for Sleep {
     fn drop(&mut self) {
-        // A sleeper that is gone must not move the time.
-        if let Some(bell) = &self.bell {
-            bell.borrow_mut().take();
+        // A dropped sleep must not advance the time.
+        if let Some(waker_slot) = &self.waker_slot {
+            waker_slot.borrow_mut().take();
         }
     }
 }
 
-struct Flag(AtomicBool);
+struct WakeFlag(AtomicBool);
 
-impl Wake for Flag {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::Relaxed);
     }
--- a/crates/standins/src/scripted.rs
+++ b/crates/standins/src/scripted.rs
@@ -1,7 +1,8 @@
-//! A server that answers each request by a script, to the byte.
+//! An HTTP server with scripted responses.
 //!
-//! It stands in for replicas that misbehave: the script sees each request and
-//! says what goes over the connection, whether that is an answer or not.
+//! Stands in for misbehaving replicas: the script receives each request and returns the
+//! exact bytes, pauses and closures to play on the connection, which need not form a valid
+//! response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,22 +22,22 @@
     h1::codec::decoder::{FillPayload, RequestDecoder},
 };
 
-use crate::{http::Request, hub, listen, signal::Signal};
+use crate::{http::Request, listen, server, signal::Signal};
 
-/// What goes over a connection in answer to a request.
+/// A step of the response to a request.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// These bytes.
+    /// Sends these bytes.
     Send(Vec<u8>),
-    /// Nothing for a while.
+    /// Sends nothing for this time.
     Wait(Duration),
-    /// Nothing, for good.
+    /// Sends nothing more and keeps the connection open.
     Silence,
-    /// The end of the connection.
+    /// Closes the connection.
     Close,
 }
 
-/// An answer with a length, of a status, headers and a body.
+/// Returns a step that sends a complete response with a `content-length` header.
 pub fn answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Step {
     let mut head = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n", body.len());
     for (name, value) in headers {
@@ -53,12 +54,12 @@
 struct Shared {
     script: Box<Script>,
     requests: RefCell<Vec<Request>>,
-    cut: Cell<u32>,
+    disconnects: Cell<u32>,
 }
 
-/// A server that answers by a script, until it is dropped.
+/// A scripted server, stopped on drop.
 pub struct Scripted {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     shared: Rc<Shared>,
     stop: Rc<Signal>,
@@ -66,38 +67,38 @@
 
 impl Drop for Scripted {
     fn drop(&mut self) {
-        self.stop.give();
+        self.stop.trigger();
     }
 }
 
 impl Scripted {
-    /// Starts to answer on a free port of the loopback address.
+    /// Starts a server on a free port of the loopback address.
     pub fn start(script: impl Fn(&Request) -> Vec<Step> + 'static) -> io::Result<Scripted> {
         let listener = listen(0)?;
         let address = listener.local_addr()?;
         let shared = Rc::new(Shared {
             script: Box::new(script),
             requests: RefCell::default(),
-            cut: Cell::new(0),
+            disconnects: Cell::new(0),
         });
         let stop = Rc::new(Signal::default());
         monoio::spawn(accept(listener, shared.clone(), stop.clone()));
         Ok(Scripted { address, shared, stop })
     }
 
-    /// The requests that came so far.
+    /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<Request> {
         self.shared.requests.borrow().clone()
     }
 
-    /// How often the other side left while the script was at work.
-    pub fn cut(&self) -> u32 {
-        self.shared.cut.get()
+    /// Number of connections that the peer closed while a response was being played.
+    pub fn disconnects(&self) -> u32 {
+        self.shared.disconnects.get()
     }
 }
 
 async fn accept(listener: TcpListener, shared: Rc<Shared>, stop: Rc<Signal>) {
-    while let Some(stream) = hub::accept(&listener, &stop).await {
+    while let Some(stream) = server::accept(&listener, &stop).await {
         let (shared, stop) = (shared.clone(), stop.clone());
         monoio::spawn(async move {
             let served = std::pin::pin!(serve(stream, shared));
@@ -114,22 +115,23 @@
     while let Some(request) = next {
         let steps = (shared.script)(&request);
         shared.requests.borrow_mut().push(request);
-        // The end of the connection, or the next request, shows while one is in work.
+        // Reads ahead while the response is played, to notice that the peer closes the
+        // connection or pipelines the next request.
         let played = std::pin::pin!(play(&mut writer, steps));
-        let coming = std::pin::pin!(read(&mut decoder));
-        next = match select(played, coming).await {
-            Either::Left((true, coming)) => coming.await,
+        let next_request = std::pin::pin!(read(&mut decoder));
+        next = match select(played, next_request).await {
+            Either::Left((true, next_request)) => next_request.await,
             Either::Left((false, _)) => return,
             Either::Right((Some(request), played)) => played.await.then_some(request),
             Either::Right((None, _)) => {
-                shared.cut.set(shared.cut.get() + 1);
+                shared.disconnects.set(shared.disconnects.get() + 1);
                 return;
             }
         };
     }
 }
 
-/// Reads the next request; `None` at the end of the connection.
+/// Reads the next request; `None` once the connection is closed.
 async fn read(decoder: &mut RequestDecoder<OwnedReadHalf<TcpStream>>) -> Option<Request> {
     let request = decoder.next().await?.ok()?;
     decoder.fill_payload().await.ok()?;
@@ -143,7 +145,7 @@
     })
 }
 
-/// Plays the steps; false if the connection is to be closed.
+/// Plays the steps; returns false if the connection is to be closed.
 async fn play(writer: &mut OwnedWriteHalf<TcpStream>, steps: Vec<Step>) -> bool {
     for step in steps {
         match step {
--- a/crates/standins/src/targets.rs
+++ b/crates/standins/src/targets.rs
@@ -1,4 +1,4 @@
-//! Many stand-in targets in one process, with one port for control.
+//! A set of stand-in targets in one process, with a shared control port.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -9,42 +9,42 @@
 use crate::{
     faults::FaultChange,
     http::{self, Handler, Reply, Request},
-    hub::{self, Serving},
     listen,
     plan::Plan,
     records::RunLog,
+    server::{self, ServerHandle},
     signal::Signal,
     target::{Connection, Target},
 };
 
-/// How often a target tries to listen on its port again, and the pause between.
-const LISTEN_TRIES: usize = 100;
-const LISTEN_PAUSE: Duration = Duration::from_millis(20);
+/// Number of attempts of a restarted target to listen on its port, and the delay between them.
+const LISTEN_ATTEMPTS: usize = 100;
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Where the targets of a process listen.
+/// The addresses that the targets of a process listen on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetPorts {
-    /// Where faults are set and runs are read.
+    /// The control address, where faults are set and runs are read.
     pub control: SocketAddr,
-    /// The targets, in the order of the plan.
+    /// The addresses of the targets, in the order of the plan.
     pub targets: Vec<TargetPort>,
 }
 
-/// Where a target listens.
+/// The address that a target listens on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TargetPort {
-    /// Its name.
+    /// The name of the target.
     pub name: TargetName,
-    /// Its address.
+    /// The address of the target.
     pub address: SocketAddr,
 }
 
-/// The targets of a process; they end when this is dropped.
+/// The targets of a process, stopped on drop.
 pub struct Fleet {
-    /// Where they listen.
+    /// The addresses that they listen on.
     pub ports: FleetPorts,
     inner: Rc<Inner>,
-    _control: Serving,
+    _control: ServerHandle,
 }
 
 struct Inner {
@@ -71,24 +71,24 @@
         }
         let inner = Rc::new(Inner { targets, log, stop: Signal::default() });
         for (target, (listener, port)) in inner.targets.iter().zip(listeners) {
-            monoio::spawn(live(target.clone(), listener, port, inner.clone()));
+            monoio::spawn(run_target(target.clone(), listener, port, inner.clone()));
         }
-        let control = hub::spawn(listen(plan.control)?, Rc::new(Control(inner.clone())))?;
+        let control = server::spawn(listen(plan.control)?, Rc::new(Control(inner.clone())))?;
         let ports = FleetPorts { control: control.address, targets: ports };
         Ok(Fleet { ports, inner, _control: control })
     }
 
-    /// Changes the faults of one target or all; false if there is no such target.
+    /// Changes the faults of one target or all; returns false if there is no such target.
     pub fn apply(&self, change: &FaultChange) -> bool {
         self.inner.apply(change)
     }
 
-    /// What the targets ran.
+    /// Returns the records of what the targets ran.
     pub fn log(&self) -> RunLog {
         self.inner.log.borrow().clone()
     }
 
-    /// The address of the target of that name.
+    /// Returns the address of the target called `name`.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let target = self.ports.targets.iter().find(|target| target.name.as_str() == name);
         target.map(|target| target.address)
@@ -97,8 +97,8 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.inner.stop.give();
-        self.inner.targets.iter().for_each(|target| target.life().stop.give());
+        self.inner.stop.trigger();
+        self.inner.targets.iter().for_each(|target| target.incarnation().stop.trigger());
     }
 }
 
@@ -114,45 +114,44 @@
     }
 }
 
-/// Runs a target from life to life.
-async fn live(target: Rc<Target>, mut listener: TcpListener, port: u16, inner: Rc<Inner>) {
+/// Runs a target, with a new incarnation after each crash.
+async fn run_target(target: Rc<Target>, mut listener: TcpListener, port: u16, inner: Rc<Inner>) {
     loop {
-        let life = target.life();
-        while let Some(stream) = hub::accept(&listener, &life.stop).await {
+        let incarnation = target.incarnation();
+        while let Some(stream) = server::accept(&listener, &incarnation.stop).await {
             let connection = Rc::new(Connection::open(&target));
-            let life = life.clone();
+            let incarnation = incarnation.clone();
             monoio::spawn(async move {
-                connection.prepare().await;
-                http::serve(stream, connection, &life.stop).await;
+                connection.simulate_setup().await;
+                http::serve(stream, connection, &incarnation.stop).await;
             });
         }
-        // While the port is closed, connects are refused, as with a process
-        // that is gone.
+        // Closing the port makes connection attempts fail, as with a process that has exited.
         drop(listener);
         let down = target.faults.borrow().restart_ms;
         monoio::time::sleep(Duration::from_millis(down)).await;
-        if inner.stop.is_given() {
+        if inner.stop.is_triggered() {
             return;
         }
         target.restart();
-        listener = match listen_again(port).await {
+        listener = match listen_with_retry(port).await {
             Ok(listener) => listener,
             Err(_) => return,
         };
     }
 }
 
-async fn listen_again(port: u16) -> io::Result<TcpListener> {
-    for _ in 0..LISTEN_TRIES {
+async fn listen_with_retry(port: u16) -> io::Result<TcpListener> {
+    for _ in 0..LISTEN_ATTEMPTS {
         if let Ok(listener) = listen(port) {
             return Ok(listener);
         }
-        monoio::time::sleep(LISTEN_PAUSE).await;
+        monoio::time::sleep(LISTEN_RETRY_DELAY).await;
     }
     listen(port)
 }
 
-/// The control port.
+/// Handles requests to the control port.
 struct Control(Rc<Inner>);
 
 impl Handler for Control {
