--- a/crates/kumquatnotch-holder/src/calls.rs
+++ b/crates/kumquatnotch-holder/src/calls.rs
@@ -21,7 +21,7 @@
 ///
 /// Probes renew the mark while the target drains, so a target that has returned is used again
 /// soon after.
-pub const DRAINING_SPAN: Duration = Duration::from_secs(10);
+pub const DRAINING_TTL: Duration = Duration::from_secs(10);
 
 /// Share of its time left for which a request that lost its target waits for an idle replica.
 ///
@@ -234,7 +234,7 @@
             entry.abandoned_calls = 0;
         }
         if let Some(shard) = table.shards.get_mut(&work.shard) {
-            shard.add_service(latency);
+            shard.update_service_time(latency);
         }
         drop(table);
         self.hedge.borrow_mut().on_latency(latency);
@@ -256,7 +256,7 @@
             // The elapsed time is recorded as for an abandoned call when the slot is released.
             Error::TimedOut => return,
             Error::ConnectionSilent => {
-                self.meters.silences.increment(1);
+                self.meters.silent_connections.increment(1);
                 return;
             }
             _ => slot.completed = true,
@@ -275,7 +275,7 @@
             Error::Draining => {
                 entry.replica.on_draining();
                 drop(table);
-                self.set_mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
+                self.set_mark(MarkKind::Draining(target.clone()), DRAINING_TTL);
                 tracing::info!(%target, "holder: target is draining");
             }
             Error::VersionGone { version } => {
--- a/crates/kumquatnotch-holder/src/core.rs
+++ b/crates/kumquatnotch-holder/src/core.rs
@@ -85,8 +85,9 @@
     /// Applies the current document if it has changed.
     pub fn refresh_document(&self) -> Result<()> {
         let document = self.documents.current().ok_or(Error::NotReady)?;
-        let gone = self.table.borrow_mut().apply_document(&document, &self.options, self.new_limit);
-        for name in &gone {
+        let removed =
+            self.table.borrow_mut().apply_document(&document, &self.options, self.new_limit);
+        for name in &removed {
             tracing::info!(target = %name, "holder: target was removed or its address changed");
             self.targets.disconnect(name);
         }
--- a/crates/kumquatnotch-holder/src/crash.rs
+++ b/crates/kumquatnotch-holder/src/crash.rs
@@ -24,7 +24,7 @@
 struct CrashCheck {
     core: Rc<Core>,
     target: TargetName,
-    present: Vec<Running>,
+    in_flight: Vec<Running>,
     alone: bool,
     crashed: bool,
 }
@@ -37,20 +37,20 @@
 
 /// Role of a call in the crash check of its target.
 enum CheckStart {
-    First { known: Option<u64>, spec: Rc<TargetSpec>, present: Vec<Running>, alone: bool },
+    First { incarnation: Option<u64>, spec: Rc<TargetSpec>, in_flight: Vec<Running>, alone: bool },
     Joined(oneshot::Receiver<()>),
-    Gone,
+    Removed,
 }
 
 impl CrashCheck {
-    async fn run(mut self, spec: Rc<TargetSpec>, known: Option<u64>) {
+    async fn run(mut self, spec: Rc<TargetSpec>, incarnation: Option<u64>) {
         let core = self.core.clone();
         let mut status = core.query_status(&self.target, &spec).await;
-        if is_same_incarnation(&status, known) {
+        if is_same_incarnation(&status, incarnation) {
             sleep(&*core.clock, RECHECK_DELAY).await;
             status = core.query_status(&self.target, &spec).await;
         }
-        self.crashed = !is_same_incarnation(&status, known);
+        self.crashed = !is_same_incarnation(&status, incarnation);
         core.record_status(&self.target, status.ok());
     }
 }
@@ -61,41 +61,43 @@
     /// A crash cuts off all calls in flight at once. The first one probes the target and the others
     /// wait for the result, so that the crash is counted only once.
     pub async fn check_crash(self: &Rc<Self>, target: &TargetName) {
-        let (known, spec, present, alone) = match self.begin_check(target) {
-            CheckStart::First { known, spec, present, alone } => (known, spec, present, alone),
+        let (incarnation, spec, in_flight, alone) = match self.begin_check(target) {
+            CheckStart::First { incarnation, spec, in_flight, alone } => {
+                (incarnation, spec, in_flight, alone)
+            }
             CheckStart::Joined(receiver) => {
                 let _ = receiver.await;
                 return;
             }
-            CheckStart::Gone => return,
+            CheckStart::Removed => return,
         };
         // The request must become a suspect even if its caller gives up during the check.
         // `crashed` is therefore true until a probe shows otherwise.
         let (core, target) = (self.clone(), target.clone());
-        let check = CrashCheck { core, target, present, alone, crashed: true };
+        let check = CrashCheck { core, target, in_flight, alone, crashed: true };
         // The check runs in its own task, so that the caller's deadline cannot cut it short. If
         // this holder is slow, the deadline passes first, and a request that crashed nothing would
         // be contained.
-        monoio::spawn(check.run(spec, known)).await;
+        monoio::spawn(check.run(spec, incarnation)).await;
     }
 
     fn begin_check(&self, target: &TargetName) -> CheckStart {
         let mut table = self.table.borrow_mut();
         let Some(entry) = table.entries.get_mut(target) else {
-            return CheckStart::Gone;
+            return CheckStart::Removed;
         };
-        if let Some(waiting) = &mut entry.crash_waiters {
+        if let Some(waiters) = &mut entry.crash_waiters {
             let (sender, receiver) = oneshot::channel();
-            waiting.push(sender);
+            waiters.push(sender);
             return CheckStart::Joined(receiver);
         }
         entry.crash_waiters = Some(Vec::new());
-        let known = entry.replica.incarnation();
+        let incarnation = entry.replica.incarnation();
         let alone = entry.suspect_slot.is_some();
         CheckStart::First {
-            known,
+            incarnation,
             spec: entry.spec.clone(),
-            present: distinct_running(entry),
+            in_flight: distinct_running(entry),
             alone,
         }
     }
@@ -119,41 +121,41 @@
     }
 
     fn end_check(&self, check: &CrashCheck) {
-        let CrashCheck { target, present, alone, crashed, .. } = check;
-        let waiting = {
+        let CrashCheck { target, in_flight, alone, crashed, .. } = check;
+        let waiters = {
             let mut table = self.table.borrow_mut();
             let entry = table.entries.get_mut(target);
             entry.and_then(|entry| entry.crash_waiters.take()).unwrap_or_default()
         };
         if *crashed {
             self.meters.crashes.increment(1);
-            tracing::warn!(%target, beside = present.len(), "holder: target crashed");
+            tracing::warn!(%target, beside = in_flight.len(), "holder: target crashed");
             let mut containment = self.containment.borrow_mut();
-            if let Some(print) = containment.on_crash(present, *alone, self.now()) {
+            if let Some(fingerprint) = containment.on_crash(in_flight, *alone, self.now()) {
                 let span = containment.span();
                 drop(containment);
-                self.set_mark(MarkKind::Contained(print), span);
-                tracing::warn!(%print, "holder: request crashes targets and is contained");
+                self.set_mark(MarkKind::Contained(fingerprint), span);
+                tracing::warn!(print = %fingerprint, "holder: request crashes targets and is contained");
             }
         }
-        for sender in waiting {
+        for sender in waiters {
             let _ = sender.send(());
         }
     }
 }
 
-/// Whether a target answered and its incarnation is still `known`.
-fn is_same_incarnation(status: &Result<TargetStatus>, known: Option<u64>) -> bool {
-    status.as_ref().is_ok_and(|status| known == Some(status.incarnation))
+/// Whether a target answered and its incarnation is still `incarnation`.
+fn is_same_incarnation(status: &Result<TargetStatus>, incarnation: Option<u64>) -> bool {
+    status.as_ref().is_ok_and(|status| incarnation == Some(status.incarnation))
 }
 
 /// Returns the distinct requests in flight to a target.
 fn distinct_running(entry: &Entry) -> Vec<Running> {
-    let mut present: Vec<Running> = Vec::new();
+    let mut in_flight: Vec<Running> = Vec::new();
     for (_, running) in &entry.running {
-        if !present.contains(running) {
-            present.push(running.clone());
+        if !in_flight.contains(running) {
+            in_flight.push(running.clone());
         }
     }
-    present
+    in_flight
 }
--- a/crates/kumquatnotch-holder/src/group.rs
+++ b/crates/kumquatnotch-holder/src/group.rs
@@ -45,7 +45,7 @@
         self.refresh_document()?;
         let start = self.now();
         let deadline = start + Duration::from_millis(request.deadline_ms);
-        let patience = start + Duration::from_millis(request.patience_ms);
+        let partial_deadline = start + Duration::from_millis(request.patience_ms);
         let eligible = self.table.borrow_mut().eligible(&request.selector)?;
         if let Verdict::Refused(left) = self.verdict(request.fingerprint) {
             return Err(contained(left));
@@ -56,7 +56,7 @@
             .iter()
             .map(|shard| Rc::new(self.shard_work(request, shard, &eligible, deadline)))
             .collect();
-        let results = self.gather(&works, patience.min(deadline), deadline).await;
+        let results = self.gather(&works, partial_deadline.min(deadline), deadline).await;
         Ok(self.merge(request, &works, results))
     }
 
@@ -103,11 +103,11 @@
         Err(Error::overloaded((wait - bound).max(MIN_RETRY_AFTER)))
     }
 
-    /// Runs all calls until `patience`, or until `deadline` while no shard has been answered.
+    /// Runs all calls until `partial_deadline`, or until `deadline` while no shard has been answered.
     async fn gather(
         self: &Rc<Self>,
         works: &[Rc<Work>],
-        patience: Instant,
+        partial_deadline: Instant,
         deadline: Instant,
     ) -> Vec<Option<Result<kumquatnotch_core::target::TargetReply>>> {
         let mut results: Vec<_> = works.iter().map(|_| None).collect();
@@ -117,7 +117,7 @@
             .map(|(index, work)| async move { (index, self.run(work).await) })
             .collect();
         let mut covered = 0;
-        let mut timer = self.clock.sleep_until(patience);
+        let mut timer = self.clock.sleep_until(partial_deadline);
         loop {
             match select(running.next(), timer).await {
                 Either::Left((None, _)) => return results,
--- a/crates/kumquatnotch-holder/src/meters.rs
+++ b/crates/kumquatnotch-holder/src/meters.rs
@@ -23,7 +23,7 @@
     /// Crashes of targets with calls in flight.
     pub crashes: Counter,
     /// Connections that stopped responding.
-    pub silences: Counter,
+    pub silent_connections: Counter,
 }
 
 #[derive(Clone)]
@@ -42,7 +42,7 @@
             sheds: counter!("kumquatnotch_holder_sheds_total"),
             refusals: counter!("kumquatnotch_holder_refusals_total"),
             crashes: counter!("kumquatnotch_holder_crashes_total"),
-            silences: counter!("kumquatnotch_holder_silent_connections_total"),
+            silent_connections: counter!("kumquatnotch_holder_silent_connections_total"),
         }
     }
 }
--- a/crates/kumquatnotch-holder/src/probes.rs
+++ b/crates/kumquatnotch-holder/src/probes.rs
@@ -21,7 +21,7 @@
     target::{Phase, TargetStatus},
 };
 
-use crate::{calls::DRAINING_SPAN, core::Core, slots::expire_waiters, table::Table};
+use crate::{calls::DRAINING_TTL, core::Core, slots::expire_waiters, table::Table};
 
 /// Interval between two rounds of the background work.
 const TICK: Duration = Duration::from_millis(25);
@@ -234,7 +234,7 @@
         }
         drop(table);
         if status.phase == Phase::Draining {
-            self.set_mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
+            self.set_mark(MarkKind::Draining(target.clone()), DRAINING_TTL);
             if !was_draining {
                 tracing::info!(%target, "holder: target is draining");
             }
@@ -271,10 +271,10 @@
     /// Returns the next target that is due for a probe.
     fn next_due(&self) -> Option<TargetName> {
         let now = self.now();
-        let pause = || self.random.jitter(self.options.probe_interval);
+        let interval = || self.random.jitter(self.options.probe_interval);
         let mut table = self.table.borrow_mut();
         table.schedule_new_shards(&self.options, now);
-        table.take_due(&self.options, &pause, now)
+        table.take_due(&self.options, &interval, now)
     }
 
     /// Dispatches every queue, as a replica can become usable by the passage of time alone.
--- a/crates/kumquatnotch-holder/src/schedule.rs
+++ b/crates/kumquatnotch-holder/src/schedule.rs
@@ -109,7 +109,7 @@
     pub fn take_due(
         &mut self,
         options: &HolderOptions,
-        pause: &dyn Fn() -> Duration,
+        interval: &dyn Fn() -> Duration,
         now: Instant,
     ) -> Option<TargetName> {
         while self.schedule.heap.peek().is_some_and(|Reverse((at, _))| *at <= now) {
@@ -125,7 +125,7 @@
                 continue;
             }
             if !self.schedule.is_full_rate(now) && can_defer_probe(entry, options, now) {
-                self.schedule_probe(&name, now + pause() / CHECKS_PER_INTERVAL);
+                self.schedule_probe(&name, now + interval() / CHECKS_PER_INTERVAL);
                 continue;
             }
             self.entries.get_mut(&name)?.probing = true;
--- a/crates/kumquatnotch-holder/src/selection.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -99,8 +99,8 @@
         }
         let candidates: Vec<Candidate> =
             usable.iter().map(|name| self.candidate(&table.entries[name], now)).collect();
-        let need = CallProfile { ahead: offer.ahead, urgent: request.work.class == Class::Desk };
-        match self.choice.pick(&candidates, need, &self.random) {
+        let profile = CallProfile { ahead: offer.ahead, urgent: request.work.class == Class::Desk };
+        match self.choice.pick(&candidates, profile, &self.random) {
             Pick::Take(index) => Selection::Start(usable[index].clone()),
             Pick::Wait => Selection::Wait,
         }
@@ -191,11 +191,11 @@
         return Selection::Wait;
     }
     // Without a reservation a busy replica would never become idle.
-    let least = usable
+    let least_busy = usable
         .iter()
         .filter(|name| open(&entries[*name]))
         .min_by_key(|name| entries[*name].replica.in_flight());
-    if let Some(entry) = least.and_then(|name| entries.get_mut(name)) {
+    if let Some(entry) = least_busy.and_then(|name| entries.get_mut(name)) {
         entry.reserved_for = Some(id);
     }
     Selection::Wait
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -223,7 +223,7 @@
         let Shard { queue, pending, last_desk_request, .. } = shard;
         let desk_active = last_desk_request
             .is_some_and(|at| now.saturating_duration_since(at) < DESK_RESERVE_PERIOD);
-        let taken = queue.take(now, &mut |waiter, offer| {
+        let selected = queue.take(now, &mut |waiter, offer| {
             let Some(entry) = pending.get(&waiter.id) else {
                 return true;
             };
@@ -248,7 +248,7 @@
                 let _ = gone.sender.send(Err(error));
             }
         }
-        let Some(waiter) = taken else {
+        let Some(waiter) = selected else {
             return more;
         };
         more = true;
--- a/crates/kumquatnotch-holder/src/table.rs
+++ b/crates/kumquatnotch-holder/src/table.rs
@@ -120,18 +120,18 @@
         options: &HolderOptions,
         limit: fn() -> Box<dyn Limit>,
     ) -> Vec<TargetName> {
-        let same = |known: &Rc<Document>| Rc::ptr_eq(known, document);
+        let same = |idle_time: &Rc<Document>| Rc::ptr_eq(idle_time, document);
         if self.document.as_ref().is_some_and(same) {
             return Vec::new();
         }
-        let mut gone: Vec<TargetName> = Vec::new();
+        let mut removed: Vec<TargetName> = Vec::new();
         for (name, entry) in &self.entries {
             match document.targets.get(name) {
                 Some(spec) if spec.address == entry.spec.address => {}
-                _ => gone.push(name.clone()),
+                _ => removed.push(name.clone()),
             }
         }
-        for name in &gone {
+        for name in &removed {
             self.entries.remove(name);
         }
         for (name, spec) in &document.targets {
@@ -151,7 +151,7 @@
         self.eligible.clear();
         self.rebuild_index();
         self.schedule.invalidate();
-        gone
+        removed
     }
 
     /// Returns the targets that `selector` matches.
@@ -176,9 +176,9 @@
         now: Instant,
         queue: fn() -> Box<dyn WaitQueue>,
     ) -> &mut Shard {
-        let known =
+        let idle_time =
             self.shards.get(name).map(|shard| now.saturating_duration_since(shard.last_request));
-        if known.is_none_or(|since| since > self.idle_timeout) {
+        if idle_time.is_none_or(|since| since > self.idle_timeout) {
             self.schedule.add_shard(name);
         }
         let shard = self.shards.entry(name.clone()).or_insert_with(|| Shard {
@@ -241,7 +241,7 @@
 
 impl Shard {
     /// Adds the duration of a call to the moving average.
-    pub fn add_service(&mut self, span: Duration) {
+    pub fn update_service_time(&mut self, span: Duration) {
         self.service_seconds += (span.as_secs_f64() - self.service_seconds) * SERVICE_TIME_WEIGHT;
     }
 }
@@ -300,11 +300,11 @@
         self.abandoned_calls += 1;
         // A target that is cut off neither answers nor refuses calls. An immediate probe
         // distinguishes it from a slow one.
-        let sooner = self.is_unresponsive() && self.next_probe.is_some_and(|at| at > now);
-        if sooner {
+        let probe_now = self.is_unresponsive() && self.next_probe.is_some_and(|at| at > now);
+        if probe_now {
             self.next_probe = Some(now);
         }
-        sooner
+        probe_now
     }
 
     /// Whether repeated calls were abandoned with no answer or successful probe since.
--- a/crates/kumquatnotch-holder/tests/common/mod.rs
+++ b/crates/kumquatnotch-holder/tests/common/mod.rs
@@ -76,7 +76,7 @@
 }
 
 /// A holder with its scripted targets and fake services.
-pub struct World {
+pub struct Fixture {
     pub clock: PausedClock,
     pub scripts: Rc<ScriptedTargets>,
     pub documents: Rc<FakeDocuments>,
@@ -207,14 +207,14 @@
     fn disconnect(&self, _name: &TargetName) {}
 }
 
-impl World {
+impl Fixture {
     /// Creates a holder of targets given as pairs of name and shard.
-    pub fn new(targets: &[(&str, &str)]) -> World {
-        World::with(targets, Decisions::default())
+    pub fn new(targets: &[(&str, &str)]) -> Fixture {
+        Fixture::with(targets, Decisions::default())
     }
 
     /// Creates a holder with the given policies.
-    pub fn with(targets: &[(&str, &str)], decisions: Decisions) -> World {
+    pub fn with(targets: &[(&str, &str)], decisions: Decisions) -> Fixture {
         let clock = PausedClock::default();
         let scripts = Rc::new(ScriptedTargets {
             clock: clock.clone(),
@@ -232,7 +232,7 @@
         registry.register(services::RANDOM, Random::with_seed(1));
         let holder =
             HolderService::with_decisions(HolderOptions::default(), decisions, &registry).unwrap();
-        World { clock, scripts, documents, marks, holder }
+        Fixture { clock, scripts, documents, marks, holder }
     }
 
     pub fn script(&self, name: &str) -> &ScriptedTarget {
--- a/crates/kumquatnotch-holder/tests/crashes.rs
+++ b/crates/kumquatnotch-holder/tests/crashes.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Behaviour, World, request};
+use common::{Behaviour, Fixture, request};
 use futures_util::future::{Either, join, select};
 use kumquatnotch_core::{Clock, Error};
 use yare::parameterized;
@@ -22,19 +22,19 @@
     both = { 40, 1 },
 )]
 fn crash_is_confirmed_before_a_hedge_or_retry(down_ms: u64, probes_after_crash: u32) {
-    let world = World::new(&REPLICAS);
+    let fixture = Fixture::new(&REPLICAS);
 
-    let answer = world.run(async {
-        world.warm_up(300).await;
-        world.pause(200).await;
+    let answer = fixture.run(async {
+        fixture.warm_up(300).await;
+        fixture.pause(200).await;
         for (name, _) in REPLICAS {
-            world.script(name).down_delay.set(Duration::from_millis(down_ms));
-            world.script(name).probes_after_crash.set(probes_after_crash);
+            fixture.script(name).down_delay.set(Duration::from_millis(down_ms));
+            fixture.script(name).probes_after_crash.set(probes_after_crash);
         }
-        world.group(request(&["s0"], "poison")).await.unwrap()
+        fixture.group(request(&["s0"], "poison")).await.unwrap()
     });
 
-    let crashes: u32 = REPLICAS.iter().map(|(name, _)| world.script(name).crashes.get()).sum();
+    let crashes: u32 = REPLICAS.iter().map(|(name, _)| fixture.script(name).crashes.get()).sum();
     assert_eq!(crashes, 2);
     assert_eq!(answer.missing[0].error, Error::ConnectionLost);
 }
@@ -44,20 +44,20 @@
 // it takes the shard for slow and sends the request to all other shards, which crash too.
 #[test]
 fn suspect_without_an_idle_replica_fails_before_the_deadline() {
-    let world = World::new(&[("a", "s0"), ("b", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0"), ("b", "s0")]);
 
-    let (answer, took) = world.run(async {
-        world.warm_up(1).await;
-        let start = world.clock.now();
-        let (busy, again) = (request(&["s0"], "busy"), request(&["s0"], "again"));
-        world.set_behaviour("a", Behaviour::Hang);
-        world.set_behaviour("b", Behaviour::Hang);
+    let (answer, took) = fixture.run(async {
+        fixture.warm_up(1).await;
+        let start = fixture.clock.now();
+        let (busy, second) = (request(&["s0"], "busy"), request(&["s0"], "again"));
+        fixture.set_behaviour("a", Behaviour::Hang);
+        fixture.set_behaviour("b", Behaviour::Hang);
         let poison = async {
-            world.pause(1).await;
-            let answer = world.group(request(&["s0"], "poison")).await.unwrap();
-            (answer, world.clock.now() - start)
+            fixture.pause(1).await;
+            let answer = fixture.group(request(&["s0"], "poison")).await.unwrap();
+            (answer, fixture.clock.now() - start)
         };
-        let others = join(world.group(busy), world.group(again));
+        let others = join(fixture.group(busy), fixture.group(second));
         match select(Box::pin(poison), Box::pin(others)).await {
             Either::Left((told, _)) => told,
             Either::Right(_) => panic!("the hanging calls ended before the suspect"),
@@ -73,11 +73,11 @@
 // the request has run, and the root would send it to the other shards and crash their targets.
 #[test]
 fn executed_request_fails_with_connection_lost_not_no_target() {
-    let world = World::new(&[("a", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0")]);
 
-    let answer = world.run(async {
-        world.warm_up(1).await;
-        world.group(request(&["s0"], "poison")).await.unwrap()
+    let answer = fixture.run(async {
+        fixture.warm_up(1).await;
+        fixture.group(request(&["s0"], "poison")).await.unwrap()
     });
 
     assert_eq!(answer.missing[0].error, Error::ConnectionLost);
--- a/crates/kumquatnotch-holder/tests/holder.rs
+++ b/crates/kumquatnotch-holder/tests/holder.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Behaviour, VERSION, World, document, request};
+use common::{Behaviour, Fixture, VERSION, document, request};
 use futures_util::future::{join, join_all};
 use kumquatnotch_core::{
     Clock, Error,
@@ -27,18 +27,18 @@
 
 #[test]
 fn hits_of_all_shards_are_merged() {
-    let world = World::new(&[("a", "s0"), ("b", "s1")]);
+    let fixture = Fixture::new(&[("a", "s0"), ("b", "s1")]);
     let now = Duration::from_millis(1);
-    world.set_behaviour(
+    fixture.set_behaviour(
         "a",
         Behaviour::Answer(now, vec![hit("k2", 0.5, "siam"), hit("k1", 0.9, "siam")]),
     );
-    world.set_behaviour(
+    fixture.set_behaviour(
         "b",
         Behaviour::Answer(now, vec![hit("k1", 0.9, "siam"), hit("k0", 0.5, "siam")]),
     );
 
-    let answer = world.run(world.group(request(&["s0", "s1"], "q"))).unwrap();
+    let answer = fixture.run(fixture.group(request(&["s0", "s1"], "q"))).unwrap();
 
     let keys: Vec<&str> = answer.hits.iter().map(|hit| hit.key.as_str()).collect();
     assert_eq!(keys, ["k1", "k0", "k2"]);
@@ -49,13 +49,13 @@
 // own private fields and none of other tenants, even if a target fails.
 #[test]
 fn private_fields_are_returned_only_to_their_owner() {
-    let world = World::new(&[("a", "s0"), ("b", "s1")]);
+    let fixture = Fixture::new(&[("a", "s0"), ("b", "s1")]);
     let hits = vec![hit("own", 0.9, "siam"), hit("rival", 0.8, "barid")];
-    world.set_behaviour("a", Behaviour::Answer(Duration::from_millis(1), hits));
+    fixture.set_behaviour("a", Behaviour::Answer(Duration::from_millis(1), hits));
     let secret = Error::TargetFailed { detail: "rate 40 of barid".to_owned() };
-    world.set_behaviour("b", Behaviour::Fail(secret));
+    fixture.set_behaviour("b", Behaviour::Fail(secret));
 
-    let answer = world.run(world.group(request(&["s0", "s1"], "q"))).unwrap();
+    let answer = fixture.run(fixture.group(request(&["s0", "s1"], "q"))).unwrap();
 
     assert!(answer.hits[0].private.is_some());
     assert!(answer.hits[1].private.is_none());
@@ -65,10 +65,10 @@
 
 #[test]
 fn versions_are_read_from_the_targets() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
 
     let shards = vec![ShardName::from("s0")];
-    let reply = world.run(world.holder.handle(PeerMessage::Versions(shards))).unwrap();
+    let reply = fixture.run(fixture.holder.handle(PeerMessage::Versions(shards))).unwrap();
 
     let PeerReply::Versions(versions) = reply else { panic!("not versions") };
     assert_eq!(versions[0].versions.len(), 1);
@@ -89,16 +89,16 @@
 // snapshot.
 #[test]
 fn resharded_versions_are_reported_under_the_declared_shard() {
-    let world = World::new(&[("a", "s0")]);
-    world.script("a").extra_held.borrow_mut().push(resharded(VERSION.0 + 1));
+    let fixture = Fixture::new(&[("a", "s0")]);
+    fixture.script("a").extra_held.borrow_mut().push(resharded(VERSION.0 + 1));
 
-    let (polled, answered) = world.run(async {
+    let (polled, answered) = fixture.run(async {
         let versions = PeerMessage::Versions(vec![ShardName::from("s0")]);
-        let polled = world.holder.handle(versions).await.unwrap();
+        let polled = fixture.holder.handle(versions).await.unwrap();
         let request =
             GroupRequest { version: IndexVersion(VERSION.0 + 1), ..request(&["r0"], "moved") };
-        world.script("a").version.set(IndexVersion(VERSION.0 + 1));
-        (polled, world.group(request).await.unwrap())
+        fixture.script("a").version.set(IndexVersion(VERSION.0 + 1));
+        (polled, fixture.group(request).await.unwrap())
     });
 
     let PeerReply::Versions(polled) = polled else { panic!("{polled:?}") };
@@ -112,13 +112,13 @@
 // version that it does not belong to.
 #[test]
 fn draining_targets_still_report_their_versions() {
-    let world = World::new(&[("a", "s0")]);
-    world.script("a").phase.set(Phase::Draining);
+    let fixture = Fixture::new(&[("a", "s0")]);
+    fixture.script("a").phase.set(Phase::Draining);
 
-    let polled = world.run(async {
+    let polled = fixture.run(async {
         let versions = PeerMessage::Versions(vec![ShardName::from("s0")]);
-        world.holder.handle(versions.clone()).await.unwrap();
-        world.holder.handle(versions).await.unwrap()
+        fixture.holder.handle(versions.clone()).await.unwrap();
+        fixture.holder.handle(versions).await.unwrap()
     });
 
     let PeerReply::Versions(polled) = polled else { panic!("{polled:?}") };
@@ -127,13 +127,13 @@
 
 #[test]
 fn version_without_a_replica_is_reported_gone() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
     let gone = GroupRequest { version: IndexVersion(6), ..request(&["s0"], "q") };
 
-    let answer = world.run(async {
-        world.warm_up(1).await;
-        world.pause(50).await;
-        world.group(gone).await.unwrap()
+    let answer = fixture.run(async {
+        fixture.warm_up(1).await;
+        fixture.pause(50).await;
+        fixture.group(gone).await.unwrap()
     });
 
     assert_eq!(answer.missing[0].error, Error::VersionGone { version: 6 });
@@ -144,11 +144,11 @@
 // than requested. Its hits must not be mixed with those of other shards.
 #[test]
 fn reply_of_another_version_is_rejected() {
-    let world = World::new(&[("a", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0")]);
 
-    let answer = world.run(async {
-        world.script("a").version.set(IndexVersion(8));
-        world.group(request(&["s0"], "q")).await.unwrap()
+    let answer = fixture.run(async {
+        fixture.script("a").version.set(IndexVersion(8));
+        fixture.group(request(&["s0"], "q")).await.unwrap()
     });
 
     assert!(answer.covered.is_empty());
@@ -157,45 +157,45 @@
 // A target is known to be draining by its refusal of a call, a probe, the mark of another node, or
 // the document. From then on it must get no new calls, and no query may fail.
 #[parameterized(
-    refusal = { |world| world.set_behaviour("a", Behaviour::Fail(Error::Draining)) },
-    probe = { |world| world.script("a").phase.set(Phase::Draining) },
-    mark = { |world| {
+    refusal = { |fixture| fixture.set_behaviour("a", Behaviour::Fail(Error::Draining)) },
+    probe = { |fixture| fixture.script("a").phase.set(Phase::Draining) },
+    mark = { |fixture| {
         let kind = MarkKind::Draining(TargetName::from("a"));
-        world.marks.0.borrow_mut().push(Mark { kind, left_ms: 10_000 });
+        fixture.marks.0.borrow_mut().push(Mark { kind, left_ms: 10_000 });
     } },
-    configured = { |world| {
+    configured = { |fixture| {
         let mut document = document(&PAIR);
         document.targets.get_mut("a").unwrap().drain = true;
-        *world.documents.0.borrow_mut() = std::rc::Rc::new(document);
+        *fixture.documents.0.borrow_mut() = std::rc::Rc::new(document);
     } },
 )]
-fn draining_target_gets_no_new_work(drain: fn(&World)) {
-    let world = World::new(&PAIR);
-
-    let before = world.run(async {
-        world.warm_up(10).await;
-        drain(&world);
-        world.pause(2_000).await;
-        world.warm_up(10).await;
-        let before = world.script("a").calls.borrow().len();
-        world.warm_up(20).await;
+fn draining_target_gets_no_new_work(drain: fn(&Fixture)) {
+    let fixture = Fixture::new(&PAIR);
+
+    let before = fixture.run(async {
+        fixture.warm_up(10).await;
+        drain(&fixture);
+        fixture.pause(2_000).await;
+        fixture.warm_up(10).await;
+        let before = fixture.script("a").calls.borrow().len();
+        fixture.warm_up(20).await;
         before
     });
 
-    assert_eq!(world.script("a").calls.borrow().len(), before);
+    assert_eq!(fixture.script("a").calls.borrow().len(), before);
 }
 
 #[test]
 fn lost_replica_does_not_reduce_coverage() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
 
-    world.run(async {
-        world.warm_up(10).await;
-        world.script("a").up.set(false);
-        world.warm_up(10).await;
+    fixture.run(async {
+        fixture.warm_up(10).await;
+        fixture.script("a").up.set(false);
+        fixture.warm_up(10).await;
     });
 
-    assert!(world.script("b").calls.borrow().len() >= 10);
+    assert!(fixture.script("b").calls.borrow().len() >= 10);
 }
 
 // An exclusive call fails after it was sent. Unless the error proves that it has not run, a retry
@@ -209,14 +209,14 @@
     refused = { Error::ConnectFailed, true },
 )]
 fn exclusive_call_is_retried_only_if_it_has_not_run(error: Error, again: bool) {
-    let world = World::new(&PAIR);
-    world.set_behaviour("a", Behaviour::Fail(error.clone()));
-    world.set_behaviour("b", Behaviour::Fail(error));
+    let fixture = Fixture::new(&PAIR);
+    fixture.set_behaviour("a", Behaviour::Fail(error.clone()));
+    fixture.set_behaviour("b", Behaviour::Fail(error));
 
-    let result = world.run(world.relay("hold", 1_000));
+    let result = fixture.run(fixture.relay("hold", 1_000));
 
     assert!(result.is_err());
-    let sent = world.script("a").calls.borrow().len() + world.script("b").calls.borrow().len();
+    let sent = fixture.script("a").calls.borrow().len() + fixture.script("b").calls.borrow().len();
     assert_eq!(sent > 1, again, "sent {sent} times");
 }
 
@@ -224,18 +224,18 @@
 // may have run, so it must not be reported as "not run".
 #[test]
 fn late_exclusive_call_is_not_hedged() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
 
-    let result = world.run(async {
-        world.warm_up(200).await;
-        world.set_behaviour("a", Behaviour::Hang);
-        world.set_behaviour("b", Behaviour::Hang);
-        world.relay("hold", 500).await
+    let result = fixture.run(async {
+        fixture.warm_up(200).await;
+        fixture.set_behaviour("a", Behaviour::Hang);
+        fixture.set_behaviour("b", Behaviour::Hang);
+        fixture.relay("hold", 500).await
     });
 
     assert_eq!(result, Err(Error::TimedOut));
     let calls =
-        |name| world.script(name).calls.borrow().iter().filter(|body| *body == "hold").count();
+        |name| fixture.script(name).calls.borrow().iter().filter(|body| *body == "hold").count();
     assert_eq!(calls("a") + calls("b"), 1);
 }
 
@@ -244,64 +244,64 @@
 // although the call succeeds.
 #[test]
 fn exclusive_reply_is_awaited_beyond_the_deadline() {
-    let world = World::new(&[("a", "s0")]);
-    world.set_latency("a", 600);
+    let fixture = Fixture::new(&[("a", "s0")]);
+    fixture.set_latency("a", 600);
 
-    let result = world.run(world.relay("hold", 500));
+    let result = fixture.run(fixture.relay("hold", 500));
 
     assert!(result.is_ok(), "{result:?}");
-    assert_eq!(*world.script("a").calls.borrow(), ["hold"]);
+    assert_eq!(*fixture.script("a").calls.borrow(), ["hold"]);
 }
 
 // An exclusive call is never answered. The wait must end after the grace period and release the
 // slot.
 #[test]
 fn exclusive_call_without_reply_times_out_after_the_grace_period() {
-    let world = World::new(&[("a", "s0")]);
-    world.set_behaviour("a", Behaviour::Hang);
+    let fixture = Fixture::new(&[("a", "s0")]);
+    fixture.set_behaviour("a", Behaviour::Hang);
 
-    let (result, span) = world.run(async {
-        let start = world.clock.now();
-        let result = world.relay("hold", 500).await;
-        (result, world.clock.now() - start)
+    let (result, span) = fixture.run(async {
+        let start = fixture.clock.now();
+        let result = fixture.relay("hold", 500).await;
+        (result, fixture.clock.now() - start)
     });
 
     assert_eq!(result, Err(Error::TimedOut));
     assert_eq!(span, std::time::Duration::from_millis(2_500));
-    assert_eq!(world.script("a").in_flight.get(), 0);
+    assert_eq!(fixture.script("a").in_flight.get(), 0);
 }
 
 // The connections of a call and its retry stop responding, but new connections work. The targets
 // must not be marked down, so the next call is answered.
 #[test]
 fn silent_connection_does_not_mark_the_target_down() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
 
-    let covered = world.run(async {
-        world.warm_up(10).await;
-        world.set_behaviour("a", Behaviour::Fail(Error::ConnectionSilent));
-        world.set_behaviour("b", Behaviour::Fail(Error::ConnectionSilent));
-        let lost = world.group(request(&["s0"], "x")).await.unwrap();
+    let covered = fixture.run(async {
+        fixture.warm_up(10).await;
+        fixture.set_behaviour("a", Behaviour::Fail(Error::ConnectionSilent));
+        fixture.set_behaviour("b", Behaviour::Fail(Error::ConnectionSilent));
+        let lost = fixture.group(request(&["s0"], "x")).await.unwrap();
         assert!(lost.covered.is_empty());
-        world.set_latency("a", 6);
-        world.set_latency("b", 6);
-        world.group(request(&["s0"], "y")).await.unwrap().covered
+        fixture.set_latency("a", 6);
+        fixture.set_latency("b", 6);
+        fixture.group(request(&["s0"], "y")).await.unwrap().covered
     });
 
     assert_eq!(covered.len(), 1);
 }
 
 #[test]
-fn partial_answer_is_returned_when_patience_ends() {
-    let world = World::new(&[("a", "s0"), ("b", "s1")]);
-    world.set_behaviour("b", Behaviour::Hang);
+fn partial_answer_is_returned_at_its_deadline() {
+    let fixture = Fixture::new(&[("a", "s0"), ("b", "s1")]);
+    fixture.set_behaviour("b", Behaviour::Hang);
     let mut request = request(&["s0", "s1"], "q");
     request.patience_ms = 100;
 
-    let (answer, elapsed) = world.run(async {
-        let start = world.clock.now();
-        let answer = world.group(request).await.unwrap();
-        (answer, world.clock.now() - start)
+    let (answer, elapsed) = fixture.run(async {
+        let start = fixture.clock.now();
+        let answer = fixture.group(request).await.unwrap();
+        (answer, fixture.clock.now() - start)
     });
 
     assert_eq!(elapsed, Duration::from_millis(100));
@@ -313,11 +313,11 @@
 // never sent and may be reported as not run.
 #[test]
 fn queued_call_expires_as_not_run() {
-    let world = World::new(&[("a", "s0")]);
-    world.set_behaviour("a", Behaviour::Hang);
+    let fixture = Fixture::new(&[("a", "s0")]);
+    fixture.set_behaviour("a", Behaviour::Hang);
 
     let answers =
-        world.run(join_all(["x", "y", "z"].map(|body| world.group(request(&["s0"], body)))));
+        fixture.run(join_all(["x", "y", "z"].map(|body| fixture.group(request(&["s0"], body)))));
 
     let errors: Vec<u16> =
         answers.into_iter().map(|answer| answer.unwrap().missing[0].error.code()).collect();
@@ -328,35 +328,35 @@
 // or the replica would stay unusable for all callers.
 #[test]
 fn cancelled_request_frees_its_slots() {
-    let world = World::new(&[("a", "s0")]);
-
-    let answer = world.run(async {
-        world.set_behaviour("a", Behaviour::Hang);
-        let calls = join_all(["x", "y", "z"].map(|body| world.group(request(&["s0"], body))));
-        let deadline = world.clock.now() + Duration::from_millis(50);
-        assert!(timeout_at(&world.clock, deadline, calls).await.is_err());
-        world.set_latency("a", 6);
-        world.group(request(&["s0"], "w")).await.unwrap()
+    let fixture = Fixture::new(&[("a", "s0")]);
+
+    let answer = fixture.run(async {
+        fixture.set_behaviour("a", Behaviour::Hang);
+        let calls = join_all(["x", "y", "z"].map(|body| fixture.group(request(&["s0"], body))));
+        let deadline = fixture.clock.now() + Duration::from_millis(50);
+        assert!(timeout_at(&fixture.clock, deadline, calls).await.is_err());
+        fixture.set_latency("a", 6);
+        fixture.group(request(&["s0"], "w")).await.unwrap()
     });
 
     assert_eq!(answer.covered.len(), 1);
-    assert_eq!(world.script("a").in_flight.get(), 0);
+    assert_eq!(fixture.script("a").in_flight.get(), 0);
 }
 
 // An exclusive call is queued behind two that hang, and all three have the same deadline. It is
 // reported as expired and not run, so it must not be sent when the slots are released.
 #[test]
 fn expired_exclusive_call_is_never_sent() {
-    let world = World::new(&[("a", "s0")]);
-    world.set_behaviour("a", Behaviour::Hang);
+    let fixture = Fixture::new(&[("a", "s0")]);
+    fixture.set_behaviour("a", Behaviour::Hang);
 
-    let ((_, _), last) = world.run(async {
-        let hanging = join(world.relay("x", 100), world.relay("y", 100));
-        let both = join(hanging, world.relay("z", 100)).await;
-        world.pause(200).await;
+    let ((_, _), last) = fixture.run(async {
+        let hanging = join(fixture.relay("x", 100), fixture.relay("y", 100));
+        let both = join(hanging, fixture.relay("z", 100)).await;
+        fixture.pause(200).await;
         both
     });
 
     assert_eq!(last, Err(Error::ExpiredInQueue));
-    assert_eq!(*world.script("a").calls.borrow(), ["x", "y"]);
+    assert_eq!(*fixture.script("a").calls.borrow(), ["x", "y"]);
 }
--- a/crates/kumquatnotch-holder/tests/load.rs
+++ b/crates/kumquatnotch-holder/tests/load.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Behaviour, World, request};
+use common::{Behaviour, Fixture, request};
 use futures_util::future::{join, join_all};
 use kumquatnotch_core::{Clock, Error, clock::sleep, document::Class, query::GroupRequest};
 use kumquatnotch_holder::Decisions;
@@ -32,16 +32,17 @@
 #[test]
 fn late_call_is_hedged_and_the_loser_cancelled() {
     let late = |decisions| {
-        let world = World::with(&PAIR, decisions);
-        let elapsed = world.run(async {
-            world.warm_up(200).await;
-            world.set_behaviour("a", Behaviour::Hang);
-            let start = world.clock.now();
+        let fixture = Fixture::with(&PAIR, decisions);
+        let elapsed = fixture.run(async {
+            fixture.warm_up(200).await;
+            fixture.set_behaviour("a", Behaviour::Hang);
+            let start = fixture.clock.now();
             let _ =
-                join(world.group(request(&["s0"], "x")), world.group(request(&["s0"], "y"))).await;
-            world.clock.now() - start
+                join(fixture.group(request(&["s0"], "x")), fixture.group(request(&["s0"], "y")))
+                    .await;
+            fixture.clock.now() - start
         });
-        (elapsed, world.script("a").in_flight.get())
+        (elapsed, fixture.script("a").in_flight.get())
     };
 
     let (elapsed, in_flight) = late(Decisions::default());
@@ -54,12 +55,12 @@
 
 /// Sends `count` concurrent queries and returns the maximum in flight at the target.
 fn max_in_flight(decisions: Decisions, count: usize) -> u32 {
-    let world = World::with(&[("a", "s0")], decisions);
-    world.run(async {
+    let fixture = Fixture::with(&[("a", "s0")], decisions);
+    fixture.run(async {
         let bodies: Vec<String> = (0..count).map(|index| format!("q{index}")).collect();
-        join_all(bodies.iter().map(|body| world.group(request(&["s0"], body)))).await
+        join_all(bodies.iter().map(|body| fixture.group(request(&["s0"], body)))).await
     });
-    world.script("a").max_in_flight.get()
+    fixture.script("a").max_in_flight.get()
 }
 
 #[test]
@@ -72,15 +73,15 @@
 // with a retry-after time, and all others are answered.
 #[test]
 fn overload_is_refused_at_once() {
-    let world = World::new(&[("a", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0")]);
 
-    let (refused, served) = world.run(async {
-        world.warm_up(50).await;
+    let (refused, served) = fixture.run(async {
+        fixture.warm_up(50).await;
         let bodies: Vec<String> = (0..600).map(|index| format!("q{index}")).collect();
-        let start = world.clock.now();
+        let start = fixture.clock.now();
         let results = join_all(bodies.iter().map(|body| async {
-            let result = world.group(request(&["s0"], body)).await;
-            (result, world.clock.now() - start)
+            let result = fixture.group(request(&["s0"], body)).await;
+            (result, fixture.clock.now() - start)
         }))
         .await;
         let refused: Vec<_> = results
@@ -105,23 +106,23 @@
 fn request_that_crashes_targets_is_contained() {
     let targets = [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
     let crashes = |decisions| {
-        let world = World::with(&targets, decisions);
-        let last = world.run(async {
-            world.warm_up(20).await;
-            world.pause(200).await;
+        let fixture = Fixture::with(&targets, decisions);
+        let last = fixture.run(async {
+            fixture.warm_up(20).await;
+            fixture.pause(200).await;
             let mut last = None;
             for index in 0..6 {
                 let body = format!("innocent {index}");
                 let (poison, innocent) = join(
-                    world.group(request(&["s0"], "poison")),
-                    world.group(request(&["s0"], &body)),
+                    fixture.group(request(&["s0"], "poison")),
+                    fixture.group(request(&["s0"], &body)),
                 )
                 .await;
                 last = Some((poison, innocent));
             }
             last.unwrap()
         });
-        (targets.iter().map(|(name, _)| world.script(name).crashes.get()).sum::<u32>(), last)
+        (targets.iter().map(|(name, _)| fixture.script(name).crashes.get()).sum::<u32>(), last)
     };
 
     let (chosen, (poison, innocent)) = crashes(Decisions::default());
@@ -135,25 +136,25 @@
 
 #[test]
 fn audit_call_runs_after_desk_calls() {
-    let world = World::new(&[("a", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0")]);
     let audit = GroupRequest { class: Class::Audit, ..request(&["s0"], "audit") };
 
-    world.run(async {
+    fixture.run(async {
         let desk = async {
             let bodies: Vec<String> = (0..6).map(|index| format!("d{index}")).collect();
-            join_all(bodies.iter().map(|body| world.group(request(&["s0"], body)))).await;
+            join_all(bodies.iter().map(|body| fixture.group(request(&["s0"], body)))).await;
         };
         let busy = async {
-            join_all(["x", "y"].map(|body| world.group(request(&["s0"], body)))).await;
+            join_all(["x", "y"].map(|body| fixture.group(request(&["s0"], body)))).await;
         };
         let later = async {
-            sleep(&world.clock, Duration::from_millis(1)).await;
-            let _ = join(world.group(audit), desk).await;
+            sleep(&fixture.clock, Duration::from_millis(1)).await;
+            let _ = join(fixture.group(audit), desk).await;
         };
         join(busy, later).await;
     });
 
-    assert_eq!(world.script("a").calls.borrow().last().map(String::as_str), Some("audit"));
+    assert_eq!(fixture.script("a").calls.borrow().last().map(String::as_str), Some("audit"));
 }
 
 // Forty targets restart at once. While they are down, the holder sends them no calls and only a
@@ -164,25 +165,25 @@
         (0..40).map(|index| (format!("t{index}"), format!("s{}", index / 2))).collect();
     let targets: Vec<(&str, &str)> = names.iter().map(|(t, s)| (t.as_str(), s.as_str())).collect();
     let shards: Vec<&str> = targets.iter().step_by(2).map(|(_, shard)| *shard).collect();
-    let world = World::new(&targets);
+    let fixture = Fixture::new(&targets);
 
-    let (refused, calls, back) = world.run(async {
-        world.group(request(&shards, "q")).await.unwrap();
-        targets.iter().for_each(|(name, _)| world.script(name).up.set(false));
-        world.group(request(&shards, "x")).await.unwrap();
+    let (refused, calls, back) = fixture.run(async {
+        fixture.group(request(&shards, "q")).await.unwrap();
+        targets.iter().for_each(|(name, _)| fixture.script(name).up.set(false));
+        fixture.group(request(&shards, "x")).await.unwrap();
         let calls = || -> usize {
-            targets.iter().map(|(name, _)| world.script(name).calls.borrow().len()).sum()
+            targets.iter().map(|(name, _)| fixture.script(name).calls.borrow().len()).sum()
         };
         let before = calls();
-        let refused = world.group(request(&shards, "y")).await.unwrap().missing.len();
-        world.pause(2_000).await;
+        let refused = fixture.group(request(&shards, "y")).await.unwrap().missing.len();
+        fixture.pause(2_000).await;
         let during = calls() - before;
-        targets.iter().for_each(|(name, _)| world.script(name).up.set(true));
-        world.pause(1_000).await;
-        let back = world.group(request(&shards, "z")).await.unwrap().covered.len();
+        targets.iter().for_each(|(name, _)| fixture.script(name).up.set(true));
+        fixture.pause(1_000).await;
+        let back = fixture.group(request(&shards, "z")).await.unwrap().covered.len();
         (refused, during, back)
     });
 
     assert_eq!((refused, calls, back), (20, 0, 20));
-    assert!(world.scripts.max_probing.get() <= 16);
+    assert!(fixture.scripts.max_probing.get() <= 16);
 }
--- a/crates/kumquatnotch-holder/tests/probes.rs
+++ b/crates/kumquatnotch-holder/tests/probes.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Behaviour, World, document, request};
+use common::{Behaviour, Fixture, document, request};
 use futures_util::future::join;
 use kumquatnotch_core::{
     Clock, Error,
@@ -17,10 +17,10 @@
 const PAIR: [(&str, &str); 2] = [("a", "s0"), ("b", "s1")];
 
 /// Queries the shard "s0" every 100 ms for `seconds`.
-async fn query_repeatedly(world: &World, seconds: usize) {
+async fn query_repeatedly(fixture: &Fixture, seconds: usize) {
     for index in 0..seconds * 10 {
-        world.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
-        world.pause(94).await;
+        fixture.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
+        fixture.pause(94).await;
     }
 }
 
@@ -29,12 +29,12 @@
 // is probed less often. The idle target is still probed every second.
 #[test]
 fn target_that_answers_calls_is_probed_less() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
 
-    let (busy, idle) = world.run(async {
-        world.group(request(&["s0", "s1"], "first")).await.unwrap();
-        query_repeatedly(&world, 30).await;
-        (world.script("a").probes.get(), world.script("b").probes.get())
+    let (busy, idle) = fixture.run(async {
+        fixture.group(request(&["s0", "s1"], "first")).await.unwrap();
+        query_repeatedly(&fixture, 30).await;
+        (fixture.script("a").probes.get(), fixture.script("b").probes.get())
     });
 
     assert!((7..=15).contains(&busy), "{busy} probes of the target that answers");
@@ -45,21 +45,21 @@
 // version only through probes, so these must not be deferred for too long.
 #[test]
 fn new_version_is_discovered_while_calls_are_answered() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
     let newer = IndexVersion(8);
 
-    let seen = world.run(async {
-        query_repeatedly(&world, 5).await;
-        let start = world.clock.now();
-        world.script("a").version.set(newer);
+    let seen = fixture.run(async {
+        query_repeatedly(&fixture, 5).await;
+        let start = fixture.clock.now();
+        fixture.script("a").version.set(newer);
         loop {
             // For a while the target serves the previous version as well as the new one.
-            let result = world.group(request(&["s0"], "q")).await.unwrap();
-            let told = result.held.iter().flat_map(|shard| &shard.versions);
-            if told.into_iter().any(|held| held.version == newer) {
-                break world.clock.now() - start;
+            let result = fixture.group(request(&["s0"], "q")).await.unwrap();
+            let reported = result.held.iter().flat_map(|shard| &shard.versions);
+            if reported.into_iter().any(|held| held.version == newer) {
+                break fixture.clock.now() - start;
             }
-            world.pause(100).await;
+            fixture.pause(100).await;
         }
     });
 
@@ -70,22 +70,22 @@
 // idle timeout has passed, and must be probed again after the new request.
 #[test]
 fn targets_of_idle_shards_are_not_probed() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
 
-    let (pause, after) = world.run(async {
-        world.group(request(&["s0"], "q")).await.unwrap();
-        world.pause(70_000).await;
-        let probes = || world.script("a").probes.get();
+    let (pause, after) = fixture.run(async {
+        fixture.group(request(&["s0"], "q")).await.unwrap();
+        fixture.pause(70_000).await;
+        let probes = || fixture.script("a").probes.get();
         let before = probes();
-        world.pause(100_000).await;
+        fixture.pause(100_000).await;
         let pause = probes() - before;
-        world.group(request(&["s0"], "again")).await.unwrap();
+        fixture.group(request(&["s0"], "again")).await.unwrap();
         let before = probes();
-        world.pause(10_000).await;
+        fixture.pause(10_000).await;
         (pause, probes() - before)
     });
 
-    assert_eq!((pause, world.script("b").probes.get()), (0, 0));
+    assert_eq!((pause, fixture.script("b").probes.get()), (0, 0));
     assert!((6..=18).contains(&after), "{after} probes");
 }
 
@@ -94,16 +94,17 @@
 // be noticed.
 #[test]
 fn dropped_probe_is_rescheduled() {
-    let world = World::new(&PAIR);
+    let fixture = Fixture::new(&PAIR);
 
-    let probes = world.run(async {
-        let now = world.clock.now();
+    let probes = fixture.run(async {
+        let now = fixture.clock.now();
         let shards = vec![ShardName::from("s0")];
-        let asking = world.holder.handle(PeerMessage::Versions(shards));
-        let cut = timeout_at(&world.clock, now + Duration::from_micros(500), asking).await;
-        assert!(cut.is_err());
-        world.pause(5_000).await;
-        world.script("a").probes.get()
+        let request_versions = fixture.holder.handle(PeerMessage::Versions(shards));
+        let cancelled =
+            timeout_at(&fixture.clock, now + Duration::from_micros(500), request_versions).await;
+        assert!(cancelled.is_err());
+        fixture.pause(5_000).await;
+        fixture.script("a").probes.get()
     });
 
     assert!(probes >= 3, "{probes} probes");
@@ -113,23 +114,23 @@
 // must get no work until the mark expires, and must be used again afterwards.
 #[test]
 fn draining_mark_survives_a_document_change_and_expires() {
-    let world = World::new(&[("a", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0")]);
     let target = TargetName::from("a");
 
-    let (marked, renewed, ended) = world.run(async {
-        let covered = async || world.group(request(&["s0"], "q")).await.unwrap().covered.len();
-        world.group(request(&["s0"], "q")).await.unwrap();
+    let (marked, renewed, ended) = fixture.run(async {
+        let covered = async || fixture.group(request(&["s0"], "q")).await.unwrap().covered.len();
+        fixture.group(request(&["s0"], "q")).await.unwrap();
         let mark = Mark { kind: MarkKind::Draining(target), left_ms: 10_000 };
-        world.marks.0.borrow_mut().push(mark);
-        world.pause(60).await;
+        fixture.marks.0.borrow_mut().push(mark);
+        fixture.pause(60).await;
         let marked = covered().await;
         let mut moved = document(&[("a", "s0")]);
         moved.targets.values_mut().for_each(|spec| spec.address.set_port(10));
-        *world.documents.0.borrow_mut() = std::rc::Rc::new(moved);
-        world.pause(60).await;
+        *fixture.documents.0.borrow_mut() = std::rc::Rc::new(moved);
+        fixture.pause(60).await;
         let renewed = covered().await;
-        world.marks.0.borrow_mut().clear();
-        world.pause(60).await;
+        fixture.marks.0.borrow_mut().clear();
+        fixture.pause(60).await;
         (marked, renewed, covered().await)
     });
 
@@ -142,36 +143,36 @@
 // for a healthy target.
 #[test]
 fn holder_delay_does_not_fail_probes() {
-    let world = World::new(&[("a", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0")]);
 
-    let answer = world.run(async {
-        world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").extra_probe_steps.set(4);
+    let answer = fixture.run(async {
+        fixture.group(request(&["s0"], "first")).await.unwrap();
+        fixture.script("a").extra_probe_steps.set(4);
         for _ in 0..100 {
-            world.pause(1).await;
-            world.clock.advance(Duration::from_millis(149));
+            fixture.pause(1).await;
+            fixture.clock.advance(Duration::from_millis(149));
         }
-        world.group(request(&["s0"], "q")).await.unwrap()
+        fixture.group(request(&["s0"], "q")).await.unwrap()
     });
 
     assert_eq!(answer.covered.len(), 1, "{:?}", answer.missing);
-    assert!(world.script("a").probes.get() >= 4);
+    assert!(fixture.script("a").probes.get() >= 4);
 }
 
 // The status endpoint of a target hangs, but the target answers calls. It must not be marked down,
 // as it is the only replica of its shard.
 #[test]
 fn target_that_answers_calls_stays_up_without_probes() {
-    let world = World::new(&[("a", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0")]);
 
-    let missing = world.run(async {
-        world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").extra_probe_steps.set(10_000);
+    let missing = fixture.run(async {
+        fixture.group(request(&["s0"], "first")).await.unwrap();
+        fixture.script("a").extra_probe_steps.set(10_000);
         let mut missing = 0;
         for index in 0..80 {
-            let answer = world.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
+            let answer = fixture.group(request(&["s0"], &format!("q{index}"))).await.unwrap();
             missing += answer.missing.len();
-            world.pause(94).await;
+            fixture.pause(94).await;
         }
         missing
     });
@@ -183,17 +184,17 @@
 // must still detect within a few seconds that the target is down.
 #[test]
 fn unresponsive_target_is_detected_despite_holder_delays() {
-    let world = World::new(&[("a", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0")]);
 
-    let error = world.run(async {
-        world.group(request(&["s0"], "first")).await.unwrap();
-        world.script("a").extra_probe_steps.set(100_000);
-        world.set_behaviour("a", Behaviour::Hang);
+    let error = fixture.run(async {
+        fixture.group(request(&["s0"], "first")).await.unwrap();
+        fixture.script("a").extra_probe_steps.set(100_000);
+        fixture.set_behaviour("a", Behaviour::Hang);
         for _ in 0..30 {
-            world.pause(100).await;
-            world.clock.advance(Duration::from_millis(100));
+            fixture.pause(100).await;
+            fixture.clock.advance(Duration::from_millis(100));
         }
-        world.group(request(&["s0"], "q")).await.unwrap().missing[0].error.clone()
+        fixture.group(request(&["s0"], "q")).await.unwrap().missing[0].error.clone()
     });
 
     assert_eq!(error, Error::NoTarget);
@@ -204,32 +205,32 @@
 // refused for minutes.
 #[test]
 fn holder_delay_is_not_mistaken_for_a_crash() {
-    let world = World::new(&[("a", "s0"), ("b", "s0")]);
+    let fixture = Fixture::new(&[("a", "s0"), ("b", "s0")]);
 
-    let answer = world.run(async {
-        world.warm_up(10).await;
+    let answer = fixture.run(async {
+        fixture.warm_up(10).await;
         for name in ["a", "b"] {
-            world.script(name).extra_probe_steps.set(4);
-            world.set_behaviour(name, Behaviour::Fail(Error::ConnectionLost));
+            fixture.script(name).extra_probe_steps.set(4);
+            fixture.set_behaviour(name, Behaviour::Fail(Error::ConnectionLost));
         }
         let busy = async {
             for _ in 0..400 {
-                world.pause(1).await;
-                world.clock.advance(Duration::from_millis(149));
+                fixture.pause(1).await;
+                fixture.clock.advance(Duration::from_millis(149));
             }
         };
-        let asked = async {
+        let queries = async {
             for _ in 0..4 {
-                let _ = world.group(request(&["s0"], "same")).await;
-                world.pause(500).await;
+                let _ = fixture.group(request(&["s0"], "same")).await;
+                fixture.pause(500).await;
             }
             for name in ["a", "b"] {
-                world.script(name).extra_probe_steps.set(0);
-                world.set_latency(name, 6);
+                fixture.script(name).extra_probe_steps.set(0);
+                fixture.set_latency(name, 6);
             }
         };
-        join(busy, asked).await;
-        world.group(request(&["s0"], "same")).await
+        join(busy, queries).await;
+        fixture.group(request(&["s0"], "same")).await
     });
 
     assert_eq!(answer.map(|answer| answer.covered.len()), Ok(1));
