--- a/crates/kumquatnotch-holder/src/calls.rs
+++ b/crates/kumquatnotch-holder/src/calls.rs
@@ -25,12 +25,12 @@
 
 /// Share of its time left for which a request that lost its target waits for an idle replica.
 ///
-/// The root withholds a request from other shards while it waits for this one, for at most half of
-/// its patience. If the holder does not answer before then, the root fans out a request that may
-/// crash every target.
+/// The root withholds a request from the other shards while it waits for its canary shard, for at
+/// most half of the time until partial answers are due. If the holder does not answer before then,
+/// the root fans out a request that may crash every target.
 const ALONE_WAIT_SHARE: f64 = 0.2;
 
-/// Number of hedge delays after which a hedged copy bypasses the queue.
+/// Number of hedge delays after which a hedged call bypasses the queue.
 ///
 /// Otherwise a call on a silent connection would not be hedged while there is a queue, although it
 /// has waited longer than any call in the queue.
@@ -44,7 +44,7 @@
         let mut tries = 0;
         // Error of the last attempt that may have run. It takes precedence over the refusal of a
         // later attempt: a request that crashed the last replica would otherwise fail with "no
-        // target", and the root would take the shard for lost and send the request elsewhere.
+        // target", and the root would treat the shard as lost and send the request elsewhere.
         let mut last_run_error: Option<Error> = None;
         loop {
             let alone = match self.verdict(work.fingerprint) {
@@ -155,7 +155,7 @@
         first_success(first, Box::pin(self.call(work, slot))).await
     }
 
-    /// Takes a slot for a hedged copy if one is free and the hedge budget allows it.
+    /// Takes a slot for a hedged call if one is free and the hedge budget allows it.
     fn hedge_slot(
         self: &Rc<Self>,
         work: &Work,
@@ -163,7 +163,7 @@
         bypass_queue: bool,
     ) -> Option<Slot> {
         // The request itself may have crashed the target whose connection was lost. Until the
-        // crash check ends, the request is not a suspect yet, and a hedged copy could crash a
+        // crash check ends, the request is not a suspect yet, and a hedged call could crash a
         // second replica without identifying the request as the cause.
         if self.has_crash_check(tried) {
             return None;
@@ -179,7 +179,7 @@
         Some(slot)
     }
 
-    /// Whether a crash check of one of `tried` is in progress.
+    /// Returns whether a crash check of one of `tried` is in progress.
     fn has_crash_check(&self, tried: &[TargetName]) -> bool {
         let table = self.table.borrow();
         let mut entries = tried.iter().filter_map(|name| table.entries.get(name));
@@ -226,8 +226,8 @@
         let mut table = self.table.borrow_mut();
         if let Some(entry) = table.entries.get_mut(&slot.target) {
             entry.replica.on_answer(latency, reply.load, now);
-            // To the limit, the latencies of cold caches look like lost slots. It would be lowered
-            // just when the target has to catch up.
+            // The limit would interpret the latencies of cold caches as a loss of capacity, and
+            // would be lowered while the target has to catch up.
             if entry.replica.is_settled() {
                 entry.limit.on_answer(slot.level, latency, now);
             }
--- a/crates/kumquatnotch-holder/src/crash.rs
+++ b/crates/kumquatnotch-holder/src/crash.rs
@@ -135,7 +135,10 @@
                 let span = containment.span();
                 drop(containment);
                 self.set_mark(MarkKind::Contained(fingerprint), span);
-                tracing::warn!(print = %fingerprint, "holder: request crashes targets and is contained");
+                tracing::warn!(
+                    print = %fingerprint,
+                    "holder: request crashes targets and is contained"
+                );
             }
         }
         for sender in waiters {
@@ -144,7 +147,7 @@
     }
 }
 
-/// Whether a target answered and its incarnation is still `incarnation`.
+/// Returns whether a target answered and still has the given incarnation.
 fn is_same_incarnation(status: &Result<TargetStatus>, incarnation: Option<u64>) -> bool {
     status.as_ref().is_ok_and(|status| incarnation == Some(status.incarnation))
 }
--- a/crates/kumquatnotch-holder/src/group.rs
+++ b/crates/kumquatnotch-holder/src/group.rs
@@ -34,7 +34,7 @@
 ///
 /// If each shard refused on its own, almost every query would miss shards and the work of the
 /// others would be wasted. The group is therefore refused as a whole well before single shards
-/// refuse. The average keeps one overloaded shard from refusing the whole group.
+/// refuse. Due to the averaging, a single overloaded shard does not refuse the whole group.
 const MAX_GROUP_WAIT_SHARE: f64 = 0.2;
 /// Minimum retry-after time of a refused group.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
@@ -78,7 +78,7 @@
             fingerprint: request.fingerprint,
             eligible: eligible.clone(),
             deadline,
-            // If this is already a hedged copy of the whole group, its calls are not hedged again.
+            // The calls of a hedged group request are not hedged again.
             hedgeable: !request.hedge,
             sent: Cell::new(false),
         }
@@ -103,7 +103,8 @@
         Err(Error::overloaded((wait - bound).max(MIN_RETRY_AFTER)))
     }
 
-    /// Runs all calls until `partial_deadline`, or until `deadline` while no shard has been answered.
+    /// Runs all calls until `partial_deadline`, or until `deadline` if no shard has been answered
+    /// by then.
     async fn gather(
         self: &Rc<Self>,
         works: &[Rc<Work>],
--- a/crates/kumquatnotch-holder/src/lib.rs
+++ b/crates/kumquatnotch-holder/src/lib.rs
@@ -8,7 +8,7 @@
 //! A request passes through these modules in order: `group` splits it by shard, `slots` and
 //! `selection` assign each part a replica or a place in the queue, `calls` sends, hedges and
 //! retries it, `crash` checks whether a lost connection was a crash, and `merge` combines the
-//! hits. `probes` refreshes the state of the targets in the background, at the times kept by
+//! hits. `probes` refreshes the state of the targets in the background, at the times set by
 //! `schedule`.
 
 #![forbid(unsafe_code)]
--- a/crates/kumquatnotch-holder/src/meters.rs
+++ b/crates/kumquatnotch-holder/src/meters.rs
@@ -12,7 +12,7 @@
     histograms: RefCell<HashMap<(TenantName, Class), Histograms>>,
     /// Calls sent to targets.
     pub calls: Counter,
-    /// Hedged copies of late calls.
+    /// Hedged calls, sent because the first call is late.
     pub hedges: Counter,
     /// Retries of failed calls.
     pub retries: Counter,
--- a/crates/kumquatnotch-holder/src/probes.rs
+++ b/crates/kumquatnotch-holder/src/probes.rs
@@ -27,8 +27,8 @@
 const TICK: Duration = Duration::from_millis(25);
 /// Maximum number of concurrent probes.
 ///
-/// After a mass restart all targets are due at once, and each new connection costs a target
-/// milliseconds.
+/// After a mass restart all targets are due at once, and each new connection takes a target
+/// milliseconds of work.
 const MAX_CONCURRENT_PROBES: usize = 16;
 /// Maximum delay of a timer that is due to the resolution of the runtime.
 const TIMER_GRANULARITY: Duration = Duration::from_millis(2);
@@ -141,7 +141,7 @@
 
     /// Requests the status of a target; the timeout is extended by the delays of this node.
     ///
-    /// A busy holder reads answers late. If it took its own delay for missing answers, it would
+    /// A busy holder reads answers late. If it mistook its own delay for missing answers, it would
     /// refuse requests for all of its targets. The time by which its ticks were late therefore does
     /// not count towards the timeout.
     pub async fn query_status(
@@ -200,7 +200,7 @@
                 let connect_failed = matches!(error, Error::ConnectFailed | Error::ConnectRefused);
                 let refused = connect_failed && before_timeout;
                 // A target that answered a call in the meantime is alive, and a probe that used the
-                // maximum extension because this node was late proves nothing.
+                // maximum extension because this node was late is inconclusive.
                 let answered = entry.replica.last_answer().is_some_and(|at| at > started);
                 let inconclusive = took >= self.options.probe_timeout * MAX_TIMEOUT_FACTOR;
                 if !refused && (answered || inconclusive) {
--- a/crates/kumquatnotch-holder/src/schedule.rs
+++ b/crates/kumquatnotch-holder/src/schedule.rs
@@ -1,7 +1,7 @@
 //! The schedule of probes.
 //!
 //! Searching all targets for the next one after each probe would take time quadratic in their
-//! number. Probe times are kept in a heap instead, and outdated entries are skipped when they
+//! number. Probe times are stored in a heap instead, and outdated entries are skipped when they
 //! are due.
 
 use std::{
@@ -144,7 +144,7 @@
     }
 }
 
-/// Whether the probe of a target can be deferred because it answers calls.
+/// Returns whether the probe of a target can be deferred because it answers calls.
 fn can_defer_probe(entry: &Entry, options: &HolderOptions, now: Instant) -> bool {
     let (Some(last_status), Some(last_answer)) = (entry.last_status, entry.replica.last_answer())
     else {
--- a/crates/kumquatnotch-holder/src/selection.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -49,7 +49,8 @@
 }
 
 impl Core {
-    /// Whether the remaining free slots are reserved for the desk and closed to this audit call.
+    /// Returns whether the remaining free slots are reserved for the desk class, so that this audit
+    /// call must wait.
     ///
     /// A running call cannot be preempted, so without a reserve a desk call that finds all slots
     /// occupied would wait for an audit call to end.
--- a/crates/kumquatnotch-holder/src/service.rs
+++ b/crates/kumquatnotch-holder/src/service.rs
@@ -117,7 +117,7 @@
                 PeerMessage::Relay(relay) => {
                     Ok(PeerReply::Relay(Box::new(self.relay(*relay).await?)))
                 }
-                _ => Err(Error::protocol("unsupported message for a holder")),
+                _ => Err(Error::protocol("unexpected message for the holder service")),
             }
         })
     }
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -118,7 +118,7 @@
         slot
     }
 
-    /// Takes a free slot of an untried replica for a hedged copy of `work`.
+    /// Takes a free slot of an untried replica for a hedged call of `work`.
     ///
     /// Queued calls take precedence unless `bypass_queue` is set.
     pub fn spare_slot(
@@ -190,8 +190,8 @@
 
     /// Assigns free slots of a shard to its waiters.
     pub fn dispatch(self: &Rc<Self>, name: &ShardName) {
-        // A slot whose waiter has gone is released by its drop, which borrows the table.
-        // It must therefore be dropped after the borrow has ended.
+        // Dropping a slot releases it, which borrows the table. A slot whose waiter was
+        // cancelled must therefore be dropped after this borrow has ended.
         let mut unclaimed = Vec::new();
         loop {
             let mut table = self.table.borrow_mut();
@@ -244,8 +244,8 @@
         let mut more = !rejected.is_empty();
         for (waiter, error) in rejected {
             queue.remove(&waiter);
-            if let Some(gone) = pending.remove(&waiter.id) {
-                let _ = gone.sender.send(Err(error));
+            if let Some(entry) = pending.remove(&waiter.id) {
+                let _ = entry.sender.send(Err(error));
             }
         }
         let Some(waiter) = selected else {
@@ -347,20 +347,21 @@
         let Some(shard) = shards.get_mut(guard.shard) else {
             return;
         };
-        if let Some(gone) = shard.pending.remove(&guard.id) {
-            shard.queue.remove(&gone.waiter);
+        if let Some(entry) = shard.pending.remove(&guard.id) {
+            shard.queue.remove(&entry.waiter);
         }
     }
 }
 
 /// Removes the waiters with less than [`MIN_CALL_TIME`] left until their deadline.
 ///
-/// A slot released just before the deadline of a waiter would start a call whose result is of no
-/// use. An exclusive request would then run after its caller was told that it expired.
+/// A slot released just before the deadline of a waiter would start a call whose result is
+/// useless. An exclusive request would then run after its caller was
+/// notified that it expired.
 pub fn expire_waiters(shard: &mut Shard, now: Instant) {
-    for gone in shard.queue.expire(now + MIN_CALL_TIME) {
-        if let Some(gone) = shard.pending.remove(&gone.id) {
-            let _ = gone.sender.send(Err(Error::ExpiredInQueue));
+    for waiter in shard.queue.expire(now + MIN_CALL_TIME) {
+        if let Some(entry) = shard.pending.remove(&waiter.id) {
+            let _ = entry.sender.send(Err(Error::ExpiredInQueue));
         }
     }
 }
--- a/crates/kumquatnotch-holder/src/table.rs
+++ b/crates/kumquatnotch-holder/src/table.rs
@@ -60,7 +60,7 @@
     pub running: Vec<(u64, Running)>,
     /// Slot of a suspect request that runs alone.
     pub suspect_slot: Option<u64>,
-    /// Waiter for which the replica is kept free of other calls.
+    /// Waiter for which the replica is reserved; it takes no other calls until then.
     pub reserved_for: Option<u64>,
     /// Calls waiting for the crash check in progress, if there is one.
     pub crash_waiters: Option<Vec<oneshot::Sender<()>>>,
@@ -240,7 +240,7 @@
 }
 
 impl Shard {
-    /// Adds the duration of a call to the moving average.
+    /// Updates the moving average of the service time with the duration of a call.
     pub fn update_service_time(&mut self, span: Duration) {
         self.service_seconds += (span.as_secs_f64() - self.service_seconds) * SERVICE_TIME_WEIGHT;
     }
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Whether it can be given a call now, including draining marks and crash checks.
+    /// Returns whether it can be given a call now, including draining marks and crash checks.
     pub fn fitness(&self, now: Instant) -> Fitness {
         if self.spec.drain || self.marked_draining {
             return Fitness::Draining;
@@ -278,7 +278,7 @@
         self.replica.fitness(now)
     }
 
-    /// Whether it can be given calls now or once it stops shedding load.
+    /// Returns whether it can be given calls now or once it stops shedding load.
     pub fn is_usable(&self, now: Instant) -> bool {
         matches!(self.fitness(now), Fitness::Ready | Fitness::Shedding(_))
     }
@@ -298,7 +298,7 @@
     pub fn on_abandoned(&mut self, elapsed: Duration, now: Instant) -> bool {
         self.replica.on_cancelled(elapsed);
         self.abandoned_calls += 1;
-        // A target that is cut off neither answers nor refuses calls. An immediate probe
+        // An unreachable target neither answers nor refuses calls. An immediate probe
         // distinguishes it from a slow one.
         let probe_now = self.is_unresponsive() && self.next_probe.is_some_and(|at| at > now);
         if probe_now {
@@ -307,12 +307,12 @@
         probe_now
     }
 
-    /// Whether repeated calls were abandoned with no answer or successful probe since.
+    /// Returns whether repeated calls were abandoned with no answer or successful probe since.
     pub fn is_unresponsive(&self) -> bool {
         self.abandoned_calls >= MAX_ABANDONED_CALLS
     }
 
-    /// Maximum number of calls in flight to it from this holder.
+    /// Returns the maximum number of calls in flight to it from this holder.
     pub fn allowed(&self, holders: u32) -> u32 {
         kumquatnotch_policy::limit::share(self.limit.allowed(), holders)
     }
--- a/crates/kumquatnotch-holder/tests/common/mod.rs
+++ b/crates/kumquatnotch-holder/tests/common/mod.rs
@@ -112,7 +112,7 @@
 }
 
 impl ScriptedTarget {
-    /// Whether it answers a probe although it is down; uses up one of `probes_after_crash`.
+    /// Returns whether it answers a probe although it is down; uses up one of `probes_after_crash`.
     fn answers_probe(&self) -> bool {
         let left = self.probes_after_crash.get();
         self.probes_after_crash.set(left.saturating_sub(1));
--- a/crates/kumquatnotch-holder/tests/crashes.rs
+++ b/crates/kumquatnotch-holder/tests/crashes.rs
@@ -12,10 +12,10 @@
 const REPLICAS: [(&str, &str); 5] =
     [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
 
-// A request crashes a target. Either the probe of the crash check fails late, so that the call is
-// due for a hedge meanwhile, or the crashing target still answers a probe. In both cases the
-// request must become a suspect before it reaches another target; otherwise it would crash more
-// than two of the five. The caller sees a lost connection.
+/// A request crashes a target. Either the probe of the crash check fails late, so that the call is
+/// due for a hedge meanwhile, or the crashing target still answers a probe. In both cases the
+/// request must become a suspect before it reaches another target; otherwise it would crash more
+/// than two of the five. The caller sees a lost connection.
 #[parameterized(
     found_late = { 40, 0 },
     still_answers = { 0, 1 },
@@ -39,9 +39,10 @@
     assert_eq!(answer.missing[0].error, Error::ConnectionLost);
 }
 
-// A request crashes a target, and the other replica of the shard stays busy, so the suspect cannot
-// run alone there. The root must get the lost connection well before its patience ends. Otherwise
-// it takes the shard for slow and sends the request to all other shards, which crash too.
+/// A request crashes a target, and the other replica of the shard stays busy, so the suspect cannot
+/// run alone there. The root must get the lost connection well before partial answers are due.
+/// Otherwise it treats the shard as slow and sends the request to all other shards, whose targets
+/// crash too.
 #[test]
 fn suspect_without_an_idle_replica_fails_before_the_deadline() {
     let fixture = Fixture::new(&[("a", "s0"), ("b", "s0")]);
@@ -68,9 +69,9 @@
     assert!(took < Duration::from_millis(250), "{took:?}");
 }
 
-// A request crashes the only target of its shard, so the retry fails for lack of a target. The
-// root must get the lost connection of the first attempt. The refusal of the retry would hide that
-// the request has run, and the root would send it to the other shards and crash their targets.
+/// A request crashes the only target of its shard, so the retry fails for lack of a target. The
+/// root must get the lost connection of the first attempt. The refusal of the retry would hide that
+/// the request has run, and the root would send it to the other shards and crash their targets.
 #[test]
 fn executed_request_fails_with_connection_lost_not_no_target() {
     let fixture = Fixture::new(&[("a", "s0")]);
--- a/crates/kumquatnotch-holder/tests/holder.rs
+++ b/crates/kumquatnotch-holder/tests/holder.rs
@@ -45,8 +45,8 @@
     assert_eq!(answer.covered.len(), 2);
 }
 
-// Hits and error texts of targets contain private data of several tenants. A caller must get its
-// own private fields and none of other tenants, even if a target fails.
+/// Hits and error texts of targets contain private data of several tenants. A caller must get its
+/// own private fields and none of other tenants, even if a target fails.
 #[test]
 fn private_fields_are_returned_only_to_their_owner() {
     let fixture = Fixture::new(&[("a", "s0"), ("b", "s1")]);
@@ -84,9 +84,9 @@
     }
 }
 
-// After a repartition the next version has shards of other names. If the holder reported only held
-// shards with the declared name, no root would see the new layout, and every search would find no
-// snapshot.
+/// After a repartition the next version has shards of other names. If the holder reported only held
+/// shards with the declared name, no root would see the new layout, and every search would find no
+/// snapshot.
 #[test]
 fn resharded_versions_are_reported_under_the_declared_shard() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -107,9 +107,9 @@
     assert!(answered.held[0].versions.contains(&resharded(VERSION.0 + 1)));
 }
 
-// The targets of a shard drain after a repartition. If they were left out, a node that starts then
-// would not learn the layout of the version, and would list the declared shard as missing from a
-// version that it does not belong to.
+/// The targets of a shard drain after a repartition. If they were left out, a node that starts then
+/// would not learn the layout of the version, and would list the declared shard as missing from a
+/// version that it does not belong to.
 #[test]
 fn draining_targets_still_report_their_versions() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -140,8 +140,8 @@
     assert_eq!(answer.held[0].versions[0].version, VERSION);
 }
 
-// The index of a replica is replaced between probe and call, so it answers from a newer snapshot
-// than requested. Its hits must not be mixed with those of other shards.
+/// The index of a replica is replaced between probe and call, so it answers from a newer snapshot
+/// than requested. Its hits must not be mixed with those of other shards.
 #[test]
 fn reply_of_another_version_is_rejected() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -154,8 +154,8 @@
     assert!(answer.covered.is_empty());
 }
 
-// A target is known to be draining by its refusal of a call, a probe, the mark of another node, or
-// the document. From then on it must get no new calls, and no query may fail.
+/// A holder learns that a target drains from its refusal of a call, a probe, the mark of another
+/// node, or the document. From then on it must get no new calls, and no query may fail.
 #[parameterized(
     refusal = { |fixture| fixture.set_behaviour("a", Behaviour::Fail(Error::Draining)) },
     probe = { |fixture| fixture.script("a").phase.set(Phase::Draining) },
@@ -198,8 +198,8 @@
     assert!(fixture.script("b").calls.borrow().len() >= 10);
 }
 
-// An exclusive call fails after it was sent. Unless the error proves that it has not run, a retry
-// could run it twice, for example hold a room twice.
+/// An exclusive call fails after it was sent. Unless the error proves that it has not run, a retry
+/// could run it twice, for example hold a room twice.
 #[parameterized(
     lost = { Error::ConnectionLost, false },
     silent = { Error::ConnectionSilent, false },
@@ -220,8 +220,8 @@
     assert_eq!(sent > 1, again, "sent {sent} times");
 }
 
-// An exclusive call is late. A hedge could run it twice, so none is sent. At its deadline the call
-// may have run, so it must not be reported as "not run".
+/// An exclusive call is late. A hedge could run it twice, so none is sent. At its deadline the call
+/// may have run, so it must not be reported as "not run".
 #[test]
 fn late_exclusive_call_is_not_hedged() {
     let fixture = Fixture::new(&PAIR);
@@ -239,9 +239,9 @@
     assert_eq!(calls("a") + calls("b"), 1);
 }
 
-// An exclusive call takes longer than its deadline. The caller is told that it is still running and
-// asks again later. If the call were dropped at its deadline, the outcome would remain unknown
-// although the call succeeds.
+/// An exclusive call takes longer than its deadline. The caller gets "still running" and retries
+/// later. If the call were dropped at its deadline, the outcome would remain unknown although the
+/// call succeeds.
 #[test]
 fn exclusive_reply_is_awaited_beyond_the_deadline() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -253,8 +253,8 @@
     assert_eq!(*fixture.script("a").calls.borrow(), ["hold"]);
 }
 
-// An exclusive call is never answered. The wait must end after the grace period and release the
-// slot.
+/// An exclusive call is never answered. The wait must end after the grace period and release the
+/// slot.
 #[test]
 fn exclusive_call_without_reply_times_out_after_the_grace_period() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -271,8 +271,8 @@
     assert_eq!(fixture.script("a").in_flight.get(), 0);
 }
 
-// The connections of a call and its retry stop responding, but new connections work. The targets
-// must not be marked down, so the next call is answered.
+/// The connections of a call and its retry stop responding, but new connections work. The targets
+/// must not be marked down, so the next call is answered.
 #[test]
 fn silent_connection_does_not_mark_the_target_down() {
     let fixture = Fixture::new(&PAIR);
@@ -309,8 +309,8 @@
     assert_eq!(answer.missing[0].error, Error::TimedOut);
 }
 
-// Two calls hang in the only slots, and a third is queued until its deadline. Only the third was
-// never sent and may be reported as not run.
+/// Two calls hang in the only slots, and a third is queued until its deadline. Only the third was
+/// never sent and may be reported as not run.
 #[test]
 fn queued_call_expires_as_not_run() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -324,8 +324,8 @@
     assert_eq!(errors, [4005, 4005, 2005]);
 }
 
-// The caller cancels while some of its calls run and others are queued. The slots must be released,
-// or the replica would stay unusable for all callers.
+/// The caller cancels while some of its calls run and others are queued. The slots must be
+/// released, or the replica would stay unusable for all callers.
 #[test]
 fn cancelled_request_frees_its_slots() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -343,8 +343,8 @@
     assert_eq!(fixture.script("a").in_flight.get(), 0);
 }
 
-// An exclusive call is queued behind two that hang, and all three have the same deadline. It is
-// reported as expired and not run, so it must not be sent when the slots are released.
+/// An exclusive call is queued behind two that hang, and all three have the same deadline. It is
+/// reported as expired and not run, so it must not be sent when the slots are released.
 #[test]
 fn expired_exclusive_call_is_never_sent() {
     let fixture = Fixture::new(&[("a", "s0")]);
--- a/crates/kumquatnotch-holder/tests/load.rs
+++ b/crates/kumquatnotch-holder/tests/load.rs
@@ -27,8 +27,8 @@
     }
 }
 
-// Calls to a healthy replica hang, as on a connection that stopped responding. The call is hedged
-// on the other replica, and the hanging call is cancelled.
+/// Calls to a healthy replica hang, as on a connection that stopped responding. The call is hedged
+/// on the other replica, and the hanging call is cancelled.
 #[test]
 fn late_call_is_hedged_and_the_loser_cancelled() {
     let late = |decisions| {
@@ -69,8 +69,8 @@
     assert_eq!(max_in_flight(naive(), 20), 20);
 }
 
-// Demand far exceeds capacity. Requests that cannot be answered in time are refused immediately
-// with a retry-after time, and all others are answered.
+/// Demand far exceeds capacity. Requests that cannot be answered in time are refused immediately
+/// with a retry-after time, and all others are answered.
 #[test]
 fn overload_is_refused_at_once() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -100,8 +100,8 @@
     assert_eq!(served + refused.len(), 600);
 }
 
-// A caller repeats a request that crashes every target that runs it, concurrently with requests of
-// other callers. Only two targets may crash, and the other callers must be answered.
+/// A caller repeats a request that crashes every target that runs it, concurrently with requests of
+/// other callers. Only two targets may crash, and the other callers must be answered.
 #[test]
 fn request_that_crashes_targets_is_contained() {
     let targets = [("a", "s0"), ("b", "s0"), ("c", "s0"), ("d", "s0"), ("e", "s0")];
@@ -157,8 +157,8 @@
     assert_eq!(fixture.script("a").calls.borrow().last().map(String::as_str), Some("audit"));
 }
 
-// Forty targets restart at once. While they are down, the holder sends them no calls and only a
-// limited number of concurrent probes. Queries are answered within 1 s of their return.
+/// Forty targets restart at once. While they are down, the holder sends them no calls and only a
+/// limited number of concurrent probes. Queries are answered within 1 s of their return.
 #[test]
 fn mass_restart_causes_no_call_or_probe_storm() {
     let names: Vec<(String, String)> =
--- a/crates/kumquatnotch-holder/tests/probes.rs
+++ b/crates/kumquatnotch-holder/tests/probes.rs
@@ -24,9 +24,9 @@
     }
 }
 
-// The shards of both targets are requested, but only the first target answers calls throughout.
-// Its answers already show that it is alive, and probes of 1,600 targets take a whole core, so it
-// is probed less often. The idle target is still probed every second.
+/// The shards of both targets are requested, but only the first target answers calls throughout.
+/// Its answers already show that it is alive, and probes of 1,600 targets take a whole core, so it
+/// is probed less often. The idle target is still probed every second.
 #[test]
 fn target_that_answers_calls_is_probed_less() {
     let fixture = Fixture::new(&PAIR);
@@ -41,8 +41,8 @@
     assert!((24..=40).contains(&idle), "{idle} probes of the idle target");
 }
 
-// A target publishes a version while it answers calls of the previous one. Roots learn of the new
-// version only through probes, so these must not be deferred for too long.
+/// A target publishes a version while it answers calls of the previous one. Roots learn of the new
+/// version only through probes, so these must not be deferred for too long.
 #[test]
 fn new_version_is_discovered_while_calls_are_answered() {
     let fixture = Fixture::new(&PAIR);
@@ -66,8 +66,8 @@
     assert!(seen < Duration::from_millis(3_500), "{seen:?}");
 }
 
-// A shard gets no requests for minutes and then one again. Its targets must not be probed once the
-// idle timeout has passed, and must be probed again after the new request.
+/// A shard gets no requests for minutes and then one again. Its targets must not be probed once the
+/// idle timeout has passed, and must be probed again after the new request.
 #[test]
 fn targets_of_idle_shards_are_not_probed() {
     let fixture = Fixture::new(&PAIR);
@@ -89,9 +89,9 @@
     assert!((6..=18).contains(&after), "{after} probes");
 }
 
-// A root cancels its request while the holder probes a target for its versions, so the probe is
-// dropped midway. The target must not stay marked as being probed, or no later change of it would
-// be noticed.
+/// A root cancels its request while the holder probes a target for its versions, so the probe is
+/// dropped midway. The target must not stay marked as being probed, or no later change of it would
+/// be noticed.
 #[test]
 fn dropped_probe_is_rescheduled() {
     let fixture = Fixture::new(&PAIR);
@@ -110,8 +110,8 @@
     assert!(probes >= 3, "{probes} probes");
 }
 
-// Another node marks a target as draining, the document changes, and the mark expires. The target
-// must get no work until the mark expires, and must be used again afterwards.
+/// Another node marks a target as draining, the document changes, and the mark expires. The target
+/// must get no work until the mark expires, and must be used again afterwards.
 #[test]
 fn draining_mark_survives_a_document_change_and_expires() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -137,10 +137,10 @@
     assert_eq!((marked, renewed, ended), (0, 0, 1));
 }
 
-// The holder is busy: each iteration of its loop takes 150 ms, and a probe takes five of them. The
-// target answers immediately, but the holder reads the answer late. If it counted its own delay,
-// two probes in a row would time out, and callers would get "no target can take the request now"
-// for a healthy target.
+/// The holder is busy: each iteration of its loop takes 150 ms, and a probe takes five of them. The
+/// target answers immediately, but the holder reads the answer late. If it counted its own delay,
+/// two probes in a row would time out, and callers would get "no target can take the request now"
+/// for a healthy target.
 #[test]
 fn holder_delay_does_not_fail_probes() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -159,8 +159,8 @@
     assert!(fixture.script("a").probes.get() >= 4);
 }
 
-// The status endpoint of a target hangs, but the target answers calls. It must not be marked down,
-// as it is the only replica of its shard.
+/// The status endpoint of a target hangs, but the target answers calls. It must not be marked down,
+/// as it is the only replica of its shard.
 #[test]
 fn target_that_answers_calls_stays_up_without_probes() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -180,8 +180,8 @@
     assert_eq!(missing, 0);
 }
 
-// All calls to the target and all probes of it hang while the holder is late at times. The holder
-// must still detect within a few seconds that the target is down.
+/// All calls to the target and all probes of it hang while the holder is late at times. The holder
+/// must still detect within a few seconds that the target is down.
 #[test]
 fn unresponsive_target_is_detected_despite_holder_delays() {
     let fixture = Fixture::new(&[("a", "s0")]);
@@ -200,9 +200,9 @@
     assert_eq!(error, Error::NoTarget);
 }
 
-// Connections to healthy targets are lost while the holder is busy, so the crash checks exceed the
-// probe timeout. They must not count as crashes, or the request would be contained and its caller
-// refused for minutes.
+/// Connections to healthy targets are lost while the holder is busy, so the crash checks exceed the
+/// probe timeout. They must not count as crashes, or the request would be contained and its caller
+/// refused for minutes.
 #[test]
 fn holder_delay_is_not_mistaken_for_a_crash() {
     let fixture = Fixture::new(&[("a", "s0"), ("b", "s0")]);
