--- a/crates/kumquatnotch-query/examples/root.rs
+++ b/crates/kumquatnotch-query/examples/root.rs
@@ -51,10 +51,10 @@
             let first = rendezvous(&group.0.to_be_bytes(), &names)[0];
             *held.get_mut(first).unwrap() += 1;
         }
-        let (least, most) = (held.values().min().unwrap(), held.values().max().unwrap());
+        let (min, max) = (held.values().min().unwrap(), held.values().max().unwrap());
         let mean = groups.len() as f64 / nodes as f64;
         println!(
-            "  {shards:5} {selectors} {size:3} {:4} {nodes:5}: {least} {mean:.2} {most}; \
+            "  {shards:5} {selectors} {size:3} {:4} {nodes:5}: {min} {mean:.2} {max}; \
              a query of {} shards uses {} groups",
             groups.len(),
             shards / selectors,
--- a/crates/kumquatnotch-query/src/answers.rs
+++ b/crates/kumquatnotch-query/src/answers.rs
@@ -123,7 +123,7 @@
 
     fn fail(&mut self, shard: ShardName, error: Error) {
         if self.waiting.remove(&shard) {
-            self.faults.push((shard, error));
+            self.failed_shards.push((shard, error));
         }
     }
 }
--- a/crates/kumquatnotch-query/src/canary.rs
+++ b/crates/kumquatnotch-query/src/canary.rs
@@ -31,12 +31,12 @@
 }
 
 impl ProvenRequests {
-    /// Creates a set that keeps an entry for at least half of `memory` and holds at
+    /// Creates a set that keeps an entry for at least half of `ttl` and holds at
     /// most `entries`.
-    pub fn new(memory: Duration, entries: usize) -> ProvenRequests {
+    pub fn new(ttl: Duration, entries: usize) -> ProvenRequests {
         ProvenRequests {
             state: RefCell::default(),
-            rotation: memory / 2,
+            rotation: ttl / 2,
             entries: (entries / 2).max(1),
         }
     }
--- a/crates/kumquatnotch-query/src/front.rs
+++ b/crates/kumquatnotch-query/src/front.rs
@@ -94,7 +94,7 @@
                 let age = front.options.version_age;
                 sleep(&*front.clock, front.random.jitter(age)).await;
                 if let Some(document) = front.documents.current() {
-                    front.planner.keep_fresh(&document, age).await;
+                    front.planner.refresh_used_selectors(&document, age).await;
                 }
             }
         });
@@ -212,14 +212,14 @@
             return Err(Error::BodyTooLarge { limit: self.options.body_limit as u64 });
         }
         if request.limit == 0 || request.limit > self.options.max_hits {
-            let most = self.options.max_hits;
-            return Err(Error::bad_request(format!("limit must be from 1 to {most}")));
+            let max_hits = self.options.max_hits;
+            return Err(Error::bad_request(format!("limit must be from 1 to {max_hits}")));
         }
-        let asked = request.deadline_ms.map(Duration::from_millis);
-        let deadline = asked.unwrap_or(spec.deadline()).min(spec.deadline());
+        let requested = request.deadline_ms.map(Duration::from_millis);
+        let deadline = requested.unwrap_or(spec.deadline()).min(spec.deadline());
         if deadline < self.options.min_deadline {
-            let least = self.options.min_deadline.as_millis();
-            return Err(Error::bad_request(format!("deadline_ms must be at least {least}")));
+            let min_ms = self.options.min_deadline.as_millis();
+            return Err(Error::bad_request(format!("deadline_ms must be at least {min_ms}")));
         }
         Ok((body, deadline))
     }
--- a/crates/kumquatnotch-query/src/gather.rs
+++ b/crates/kumquatnotch-query/src/gather.rs
@@ -64,7 +64,7 @@
     /// Shards that holders gave up at the deadline for partial answers.
     pub(crate) late: Vec<(ShardName, Error)>,
     pub(crate) covered: u32,
-    pub(crate) faults: Vec<(ShardName, Error)>,
+    pub(crate) failed_shards: Vec<(ShardName, Error)>,
     pub(crate) hits: Vec<Hit>,
     pub(crate) followed_up: bool,
     pub(crate) refreshing: bool,
@@ -82,7 +82,7 @@
             waiting: plan.shards.iter().map(|planned| planned.shard.clone()).collect(),
             late: Vec::new(),
             covered: 0,
-            faults: Vec::new(),
+            failed_shards: Vec::new(),
             hits: Vec::new(),
             followed_up: false,
             refreshing: false,
@@ -288,22 +288,25 @@
 
     /// Lists the unanswered shards as missing; fails if no shard was covered.
     fn finish(mut self, is_over: bool) -> Result<Round> {
-        let is_cut = !self.waiting.is_empty() || !self.late.is_empty();
-        self.faults.extend(self.waiting.drain().map(|shard| (shard, Error::TimedOut)));
-        self.faults.append(&mut self.late);
-        self.faults.sort_by(|a, b| a.0.cmp(&b.0));
+        let is_incomplete = !self.waiting.is_empty() || !self.late.is_empty();
+        self.failed_shards.extend(self.waiting.drain().map(|shard| (shard, Error::TimedOut)));
+        self.failed_shards.append(&mut self.late);
+        self.failed_shards.sort_by(|a, b| a.0.cmp(&b.0));
         if self.covered == 0 {
-            return Err(nothing_covered(&self.faults));
+            return Err(nothing_covered(&self.failed_shards));
         }
-        let mut missing: Vec<Missing> =
-            self.faults.iter().map(|(shard, error)| Missing::new(shard.clone(), error)).collect();
+        let mut missing: Vec<Missing> = self
+            .failed_shards
+            .iter()
+            .map(|(shard, error)| Missing::new(shard.clone(), error))
+            .collect();
         missing.extend(self.plan.absent.iter().cloned());
         let coverage = Coverage {
             version: self.plan.version,
             asked: self.covered + missing.len() as u32,
             covered: self.covered,
             missing,
-            stopped_early: is_cut && !is_over,
+            stopped_early: is_incomplete && !is_over,
         };
         Ok(Round::Done(self.hits, coverage))
     }
--- a/crates/kumquatnotch-query/src/health.rs
+++ b/crates/kumquatnotch-query/src/health.rs
@@ -16,7 +16,7 @@
 const WAIT_WEIGHT: f64 = 0.2;
 
 /// Idle time after which earlier evidence about a peer is discarded.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Observed health of each peer.
 #[derive(Default)]
@@ -26,7 +26,7 @@
 
 #[derive(Default)]
 struct Peer {
-    open: usize,
+    in_flight: usize,
     sent: Option<Instant>,
     silent_since: Option<Instant>,
     probed_at: Option<Instant>,
@@ -41,10 +41,10 @@
         // An unanswered request of long ago is no evidence about the current state of
         // the peer.
         let last = peer.sent.replace(now);
-        if peer.open == 0 && last.is_none_or(|last| now - last > IDLE) {
+        if peer.in_flight == 0 && last.is_none_or(|last| now - last > IDLE_TIMEOUT) {
             peer.silent_since = None;
         }
-        peer.open += 1;
+        peer.in_flight += 1;
         peer.silent_since.get_or_insert(now);
     }
 
@@ -65,8 +65,8 @@
         let Some(peer) = peers.get_mut(name) else {
             return;
         };
-        peer.open = peer.open.saturating_sub(1);
-        if peer.open > 0 {
+        peer.in_flight = peer.in_flight.saturating_sub(1);
+        if peer.in_flight > 0 {
             peer.silent_since.get_or_insert(now);
         }
     }
@@ -127,6 +127,6 @@
 
     /// Removes idle peers for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&NodeName) -> bool) {
-        self.peers.borrow_mut().retain(|name, peer| peer.open > 0 || keep(name));
+        self.peers.borrow_mut().retain(|name, peer| peer.in_flight > 0 || keep(name));
     }
 }
--- a/crates/kumquatnotch-query/src/meters.rs
+++ b/crates/kumquatnotch-query/src/meters.rs
@@ -58,7 +58,7 @@
 }
 
 /// Sets the numbers of running exclusive requests and of stored outcomes.
-pub(crate) fn tickets(running: usize, kept: usize) {
+pub(crate) fn tickets(running: usize, stored: usize) {
     gauge!("kumquatnotch_exclusive_running").set(running as f64);
-    gauge!("kumquatnotch_outcomes_kept").set(kept as f64);
+    gauge!("kumquatnotch_outcomes_kept").set(stored as f64);
 }
--- a/crates/kumquatnotch-query/src/planner.rs
+++ b/crates/kumquatnotch-query/src/planner.rs
@@ -29,9 +29,9 @@
 };
 
 /// Interval between requests for versions while none is known.
-const VERSION_RETRY: Duration = Duration::from_millis(50);
+const VERSION_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Time after its last query during which the versions of a selector are refreshed.
-const SELECTOR_IDLE: Duration = Duration::from_secs(60);
+const SELECTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Plans queries from the known versions.
 pub(crate) struct Planner {
@@ -80,10 +80,10 @@
             if !self.view.has_no_versions(&shards) {
                 break;
             }
-            if self.clock.now() + VERSION_RETRY >= deadline {
+            if self.clock.now() + VERSION_RETRY_INTERVAL >= deadline {
                 return Err(Error::NoSnapshot);
             }
-            sleep(&*self.clock, VERSION_RETRY).await;
+            sleep(&*self.clock, VERSION_RETRY_INTERVAL).await;
         }
         self.cached_plan(name, &shards)
     }
@@ -96,11 +96,11 @@
         {
             return Ok(plan.clone());
         }
-        let made = Rc::new(plan(&self.view, shards)?);
+        let new_plan = Rc::new(plan(&self.view, shards)?);
         if let Some(cached) = all.get_mut(name) {
-            cached.plan = Some((changes, made.clone()));
+            cached.plan = Some((changes, new_plan.clone()));
         }
-        Ok(made)
+        Ok(new_plan)
     }
 
     /// Plans again without the shards in `gone`; `None` if the new plan is not better.
@@ -167,9 +167,9 @@
             let group = self.router.group(document, shard);
             groups.entry(group).or_default().push(shard.clone());
         }
-        let asked =
+        let fetches =
             groups.into_iter().map(|(group, shards)| self.fetch_versions(group, shards, until));
-        for held in join_all(asked).await.into_iter().flatten() {
+        for held in join_all(fetches).await.into_iter().flatten() {
             self.view.update(self.clock.now(), &held);
         }
     }
@@ -195,12 +195,13 @@
 
     /// Requests the versions that have no report newer than `age`, for all selectors in
     /// use.
-    pub async fn keep_fresh(&self, document: &Document, age: Duration) {
+    pub async fn refresh_used_selectors(&self, document: &Document, age: Duration) {
         let now = self.clock.now();
         let stale: Vec<ShardName> = {
             let all = self.cached.borrow();
-            let used =
-                |cached: &&CachedPlan| now.saturating_duration_since(cached.used) < SELECTOR_IDLE;
+            let used = |cached: &&CachedPlan| {
+                now.saturating_duration_since(cached.used) < SELECTOR_IDLE_TIMEOUT
+            };
             let shards: BTreeSet<ShardName> = all
                 .values()
                 .filter(used)
--- a/crates/kumquatnotch-query/src/router.rs
+++ b/crates/kumquatnotch-query/src/router.rs
@@ -107,10 +107,10 @@
         self.prune();
         let length = self.options.holders + SPARE_HOLDERS;
         let mut holders = self.ranks.rank(group, length, &*self.members).to_vec();
-        let spread = self.options.holders.clamp(1, holders.len().max(1));
-        if spread > 1 {
-            let first = self.random.below(spread);
-            holders[..spread].rotate_left(first);
+        let holder_count = self.options.holders.clamp(1, holders.len().max(1));
+        if holder_count > 1 {
+            let first = self.random.below(holder_count);
+            holders[..holder_count].rotate_left(first);
         }
         // Silent holders come last. Otherwise each query would wait for a hedge delay
         // until the membership has detected the failure.
@@ -174,7 +174,7 @@
         message: &PeerMessage,
         deadline: Instant,
     ) -> Result<PeerReply> {
-        let _open = InFlight::new(self, &node.name);
+        let _in_flight = InFlight::new(self, &node.name);
         let sent = self.clock.now();
         let sending = self.peers.send(node.peer, message, deadline);
         // The transport should enforce the deadline. If it does not, the query must
@@ -218,26 +218,26 @@
         hedged: bool,
     ) -> Result<GroupAnswer> {
         let holders = self.holders(group);
-        let mut waiting = holders.iter().take(self.options.max_attempts);
-        let Some(first) = waiting.next() else {
+        let mut remaining = holders.iter().take(self.options.max_attempts);
+        let Some(first) = remaining.next() else {
             return Err(Error::NoTarget);
         };
         self.earn_token();
-        let mut open = FuturesUnordered::new();
-        open.push(self.attempt(first, request, deadlines, false));
+        let mut attempts = FuturesUnordered::new();
+        attempts.push(self.attempt(first, request, deadlines, false));
         let silent_at = self.clock.now() + self.options.silence;
         let mut hedge_at = self.clock.now() + self.hedge_delay(request.class);
         loop {
             let timer = self.clock.sleep_until(hedge_at.min(deadlines.root));
-            match select(open.next(), timer).await {
+            match select(attempts.next(), timer).await {
                 Either::Left((Some(Ok(answer)), _)) => return Ok(answer),
                 Either::Left((Some(Err(error)), _)) => {
                     // The holder is dead or cannot serve the request: try the next one
                     // at once.
-                    let next = if may_try_next_holder(&error) { waiting.next() } else { None };
+                    let next = if may_try_next_holder(&error) { remaining.next() } else { None };
                     match next {
-                        Some(next) => open.push(self.attempt(next, request, deadlines, false)),
-                        None if open.is_empty() => return Err(error),
+                        Some(next) => attempts.push(self.attempt(next, request, deadlines, false)),
+                        None if attempts.is_empty() => return Err(error),
                         None => {}
                     }
                 }
@@ -248,8 +248,9 @@
                 Either::Right(_) => {
                     let is_silent = self.has_gone_silent(&first.name);
                     if is_silent || (hedged && self.spend_token()) {
-                        let next = waiting.next();
-                        open.extend(next.map(|next| self.attempt(next, request, deadlines, true)));
+                        let next = remaining.next();
+                        attempts
+                            .extend(next.map(|next| self.attempt(next, request, deadlines, true)));
                         hedge_at = deadlines.root;
                     } else {
                         hedge_at = silent_at.max(self.clock.now() + self.options.hedge_min);
--- a/crates/kumquatnotch-query/src/runner.rs
+++ b/crates/kumquatnotch-query/src/runner.rs
@@ -20,7 +20,7 @@
 use crate::{TicketOptions, router::Router};
 
 /// Delay before a refused request is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(5);
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Runs exclusive requests through the holders of their shards.
 pub(crate) struct Runner {
@@ -85,7 +85,7 @@
 
     /// Waits until the request may be sent again; false if not enough time is left.
     async fn pause(&self, error: &Error, deadline: Instant) -> bool {
-        let pause = error.retry_after().unwrap_or(RETRY_PAUSE);
+        let pause = error.retry_after().unwrap_or(RETRY_DELAY);
         if self.clock.now() + pause + MIN_CALL_TIME > deadline {
             return false;
         }
--- a/crates/kumquatnotch-query/src/search.rs
+++ b/crates/kumquatnotch-query/src/search.rs
@@ -24,9 +24,9 @@
 };
 
 /// Divisor of the deadline that gives the time by which versions must be known.
-const PLAN_SHARE: u32 = 2;
+const PLAN_DIVISOR: u32 = 2;
 /// Timeout for requests for versions while a search is running.
-const REFRESH_WAIT: Duration = Duration::from_millis(50);
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(50);
 /// Age up to which a report of versions is not refreshed.
 const REFRESH_AGE: Duration = Duration::from_millis(50);
 
@@ -57,8 +57,8 @@
 impl Search<'_> {
     /// Runs the search; with `canary` it goes to one shard first.
     pub async fn run(&self, mut canary: bool) -> Result<Answer> {
-        let planned_by = self.start + self.deadline / PLAN_SHARE;
-        let mut plan = self.planner.plan(self.document, self.selector, planned_by).await?;
+        let plan_deadline = self.start + self.deadline / PLAN_DIVISOR;
+        let mut plan = self.planner.plan(self.document, self.selector, plan_deadline).await?;
         let mut gone = GoneShards::new();
         for round in 0..self.max_plans.max(1) {
             let gather = Gather::new(self, &plan, round + 1 >= self.max_plans);
@@ -94,7 +94,7 @@
 
     /// Requests the versions that have no recent report from the holders.
     pub async fn refresh(&self) {
-        let until = self.deadlines.partial.min(self.clock.now() + REFRESH_WAIT);
+        let until = self.deadlines.partial.min(self.clock.now() + REFRESH_TIMEOUT);
         self.planner.refresh_stale(self.document, self.selector, REFRESH_AGE, until).await;
     }
 
@@ -127,8 +127,8 @@
 
     /// Returns how long to wait for the first canary.
     pub fn canary_delay(&self) -> Duration {
-        let most = self.canary_end().saturating_duration_since(self.start);
-        self.router.canary_delay(self.class(), self.canary_initial).min(most)
+        let max_delay = self.canary_end().saturating_duration_since(self.start);
+        self.router.canary_delay(self.class(), self.canary_initial).min(max_delay)
     }
 
     /// Returns when to stop waiting for canaries, which leaves time for the other
--- a/crates/kumquatnotch-query/src/tickets.rs
+++ b/crates/kumquatnotch-query/src/tickets.rs
@@ -107,8 +107,8 @@
     pub fn issue(&self, tenant: &TenantName) -> Result<TicketGrant> {
         // Nothing can have run without a ticket, so this is the only place where a
         // request can be refused for lack of capacity without any risk.
-        let (running, kept) = self.outcomes.counts();
-        if running >= self.options.max_runs || kept >= self.options.max_outcomes {
+        let (running, stored) = self.outcomes.counts();
+        if running >= self.options.max_runs || stored >= self.options.max_outcomes {
             return Err(Error::overloaded(self.options.grace));
         }
         let serial = self.serial.get() + 1;
@@ -157,9 +157,9 @@
         let start = self.clock.now();
         let ticket: Ticket = body.ticket.parse()?;
         let bound = document.rules.selectors.get(&body.selector).map(|spec| spec.deadline());
-        let asked = body.deadline_ms.map(Duration::from_millis);
-        let most = bound.unwrap_or(DEFAULT_DEADLINE);
-        let deadline = asked.unwrap_or(most).min(most);
+        let requested = body.deadline_ms.map(Duration::from_millis);
+        let max_deadline = bound.unwrap_or(DEFAULT_DEADLINE);
+        let deadline = requested.unwrap_or(max_deadline).min(max_deadline);
         let margin = self.options.margin.min(deadline / 10);
         let request = ExclusiveRequest {
             ticket: body.ticket,
@@ -311,8 +311,8 @@
     }
 
     fn update_gauges(&self) {
-        let (running, kept) = self.outcomes.counts();
-        meters::tickets(running, kept);
+        let (running, stored) = self.outcomes.counts();
+        meters::tickets(running, stored);
     }
 
     /// Returns the number of requests running under tickets of this node.
@@ -322,9 +322,9 @@
 
     /// Returns the state of the tickets as text for the status page.
     pub fn status_text(&self) -> String {
-        let (running, kept) = self.outcomes.counts();
+        let (running, stored) = self.outcomes.counts();
         let issued = self.serial.get();
-        format!("tickets: {issued} issued, {running} running, {kept} outcomes kept\n")
+        format!("tickets: {issued} issued, {running} running, {stored} outcomes kept\n")
     }
 }
 
--- a/crates/kumquatnotch-query/src/view.rs
+++ b/crates/kumquatnotch-query/src/view.rs
@@ -46,8 +46,8 @@
     /// report counted, the next plan would lack these shards. If the replicas really
     /// are lost, requests to the shard fail, and it is listed with the reason.
     fn ignores_empty(&self, now: Instant, shard: &ShardVersions) -> bool {
-        let young = |at: Instant| now.saturating_duration_since(at) < EMPTY_GRACE;
-        shard.versions.is_empty() && self.last_nonempty.is_some_and(young)
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < EMPTY_GRACE;
+        shard.versions.is_empty() && self.last_nonempty.is_some_and(is_recent)
     }
 }
 
--- a/crates/kumquatnotch-query/tests/common/holder.rs
+++ b/crates/kumquatnotch-query/tests/common/holder.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ShardState {
     pub delay: Duration,
-    pub fault: Option<Error>,
+    pub error: Option<Error>,
     pub versions: Vec<HeldVersion>,
 }
 
@@ -31,7 +31,7 @@
     clock: PausedClock,
     states: RefCell<BTreeMap<ShardName, ShardState>>,
     /// Requests to shards: the node that made it, the shard and the version.
-    pub asked: RefCell<Vec<(NodeName, ShardName, IndexVersion)>>,
+    pub requests: RefCell<Vec<(NodeName, ShardName, IndexVersion)>>,
     /// Exclusive requests that ran: the shard and the body.
     pub runs: RefCell<Vec<(ShardName, String)>>,
     /// Errors returned in order by exclusive calls instead of running them.
@@ -51,7 +51,7 @@
         Shards {
             clock,
             states: RefCell::default(),
-            asked: RefCell::default(),
+            requests: RefCell::default(),
             runs: RefCell::default(),
             refusals: RefCell::default(),
             run_delay: RefCell::new(Duration::from_millis(2)),
@@ -103,7 +103,7 @@
         let patience = Duration::from_millis(request.patience_ms.min(request.deadline_ms));
         let work = sleep(&self.clock, state.delay);
         timeout_at(&self.clock, start + patience, work).await?;
-        if let Some(error) = state.fault {
+        if let Some(error) = state.error {
             return Err(error);
         }
         Ok(vec![hit(shard, request.version)])
@@ -111,7 +111,7 @@
 
     async fn group(&self, name: &NodeName, request: &GroupRequest) -> GroupAnswer {
         for shard in &request.shards {
-            self.asked.borrow_mut().push((name.clone(), shard.clone(), request.version));
+            self.requests.borrow_mut().push((name.clone(), shard.clone(), request.version));
         }
         let calls = request.shards.iter().map(|shard| self.call(request, shard));
         let mut answer = GroupAnswer {
--- a/crates/kumquatnotch-query/tests/common/mod.rs
+++ b/crates/kumquatnotch-query/tests/common/mod.rs
@@ -98,7 +98,7 @@
     /// Starts a node, which replaces the previous incarnation of the same number, if
     /// any.
     pub fn start(&mut self, number: usize, record: NodeRecord, options: QueryOptions) {
-        let node = self.make(record, options);
+        let node = self.create_node(record, options);
         let peer = node.record.peer;
         self.net.attach(peer, node.registry.clone());
         self.members.borrow_mut().insert(node.record.name.clone(), node.record.clone());
@@ -110,7 +110,7 @@
         }
     }
 
-    fn make(&self, record: NodeRecord, options: QueryOptions) -> Node {
+    fn create_node(&self, record: NodeRecord, options: QueryOptions) -> Node {
         let registry = Registry::default();
         let lifecycle = Lifecycle::default();
         lifecycle.advance(Stage::Serving);
@@ -164,8 +164,8 @@
     /// node 0.
     pub async fn other_holder(&self) -> usize {
         self.search(0).await.unwrap();
-        let asked = self.shards.asked.borrow();
-        let holds = |node: &Node| asked.iter().any(|(name, _, _)| *name == node.record.name);
+        let requests = self.shards.requests.borrow();
+        let holds = |node: &Node| requests.iter().any(|(name, _, _)| *name == node.record.name);
         let place = self.nodes.iter().skip(1).position(holds);
         1 + place.expect("node 0 should not hold every group")
     }
@@ -175,9 +175,13 @@
     }
 
     /// Returns the nodes through which `shard` was requested, in order.
-    pub fn asked_nodes(&self, shard: &ShardName) -> Vec<NodeName> {
-        let asked = self.shards.asked.borrow();
-        asked.iter().filter(|(_, name, _)| name == shard).map(|(node, _, _)| node.clone()).collect()
+    pub fn requested_nodes(&self, shard: &ShardName) -> Vec<NodeName> {
+        let requests = self.shards.requests.borrow();
+        requests
+            .iter()
+            .filter(|(_, name, _)| name == shard)
+            .map(|(node, _, _)| node.clone())
+            .collect()
     }
 
     pub fn change_document(&self, change: impl FnOnce(&mut Document)) {
--- a/crates/kumquatnotch-query/tests/holders.rs
+++ b/crates/kumquatnotch-query/tests/holders.rs
@@ -82,12 +82,12 @@
 
     let (before, after) = run(&cluster, async {
         cluster.search(0).await.unwrap();
-        let before = cluster.shards.asked.borrow().clone();
-        cluster.shards.asked.borrow_mut().clear();
+        let before = cluster.shards.requests.borrow().clone();
+        cluster.shards.requests.borrow_mut().clear();
         *cluster.shards.refusing.borrow_mut() = Some(before[0].0.clone());
         let answer = cluster.search(0).await.unwrap();
         assert!(answer.coverage.missing.iter().all(|missing| missing.code == 2001));
-        (before, cluster.shards.asked.borrow().clone())
+        (before, cluster.shards.requests.borrow().clone())
     });
 
     let refusing = &before[0].0;
@@ -105,7 +105,7 @@
 
     let (result, span) = run(&cluster, async {
         cluster.search(0).await.unwrap();
-        let refusing = cluster.shards.asked.borrow()[0].0.clone();
+        let refusing = cluster.shards.requests.borrow()[0].0.clone();
         *cluster.shards.refusing.borrow_mut() = Some(refusing);
         for number in 0..40 {
             cluster.shards.change(&shard(number), |state| state.delay = ms(300));
@@ -136,8 +136,8 @@
 
     assert!(first.coverage.is_full() && second.coverage.is_full());
     let two = (0..40).filter(|number| {
-        let asked_nodes = cluster.asked_nodes(&shard(*number));
-        asked_nodes.len() == 2 && asked_nodes[0] != asked_nodes[1]
+        let requested_nodes = cluster.requested_nodes(&shard(*number));
+        requested_nodes.len() == 2 && requested_nodes[0] != requested_nodes[1]
     });
     assert!(two.count() > 0);
 }
@@ -203,7 +203,7 @@
 fn crashing_request_is_sent_to_one_shard() {
     let cluster = cluster(3, 40);
     for number in 0..40 {
-        cluster.shards.change(&shard(number), |state| state.fault = Some(Error::ConnectionLost));
+        cluster.shards.change(&shard(number), |state| state.error = Some(Error::ConnectionLost));
     }
 
     let codes = run(&cluster, async {
@@ -215,9 +215,9 @@
     });
 
     assert_eq!(codes, [4002, 4002, 4002]);
-    let asked = cluster.shards.asked.borrow();
-    assert_eq!(asked.len(), 3);
-    assert!(asked.iter().all(|entry| *entry == asked[0]), "{asked:?}");
+    let requests = cluster.shards.requests.borrow();
+    assert_eq!(requests.len(), 3);
+    assert!(requests.iter().all(|entry| *entry == requests[0]), "{requests:?}");
 }
 
 /// A holder needs 120 ms to detect that a request crashes targets, far longer than a
@@ -232,18 +232,18 @@
         for _ in 0..40 {
             cluster.search(0).await.unwrap();
         }
-        cluster.shards.asked.borrow_mut().clear();
+        cluster.shards.requests.borrow_mut().clear();
         for number in 0..40 {
             cluster.shards.change(&shard(number), |state| {
                 state.delay = ms(120);
-                state.fault = Some(Error::ConnectionLost);
+                state.error = Some(Error::ConnectionLost);
             });
         }
         cluster.search_for(0, KEY, "poison").await
     });
 
     assert_eq!(code(result), 4002);
-    assert_eq!(cluster.shards.asked.borrow().len(), 2);
+    assert_eq!(cluster.shards.requests.borrow().len(), 2);
 }
 
 /// The canary shard of a crashing request has no target, refuses it or has changed its
@@ -251,8 +251,8 @@
 /// request would crash a target of each. The caller gets an error, and only one target
 /// runs the request.
 #[parameterized(
-    no_target = { |_, state| state.fault = Some(Error::NoTarget) },
-    refused = { |_, state| state.fault = Some(Error::Overloaded { retry_ms: 20 }) },
+    no_target = { |_, state| state.error = Some(Error::NoTarget) },
+    refused = { |_, state| state.error = Some(Error::Overloaded { retry_ms: 20 }) },
     other_version = { |cluster, _| {
         for number in 0..20 {
             let versions = vec![held(&shard(number), 2, 20)];
@@ -268,14 +268,14 @@
         cluster.search_for(1, KEY, "other").await.unwrap();
         for number in 0..20 {
             let lost = Some(Error::ConnectionLost);
-            cluster.shards.change(&shard(number), |state| state.fault = lost);
+            cluster.shards.change(&shard(number), |state| state.error = lost);
         }
         let mut state = cluster.shards.state(&first);
         change(&cluster, &mut state);
-        if state.fault != Some(Error::ConnectionLost) {
+        if state.error != Some(Error::ConnectionLost) {
             cluster.shards.change(&first, |known| *known = state);
         }
-        cluster.shards.asked.borrow_mut().clear();
+        cluster.shards.requests.borrow_mut().clear();
         // A recent report is not requested again.
         sleep(&cluster.clock, ms(100)).await;
         // This node has not seen the request succeed.
@@ -283,7 +283,7 @@
     });
 
     assert_eq!(code(result), 4002);
-    assert_eq!(cluster.shards.asked.borrow().len(), 2);
+    assert_eq!(cluster.shards.requests.borrow().len(), 2);
 }
 
 /// Another node has marked the request, and the mark arrived with a membership update.
@@ -331,9 +331,9 @@
     request: SearchRequest,
 ) -> kumquatnotch_core::ids::ShardName {
     use kumquatnotch_core::front::Front;
-    cluster.shards.asked.borrow_mut().clear();
+    cluster.shards.requests.borrow_mut().clear();
     cluster.nodes[0].front.search(KEY, request).await.unwrap();
-    cluster.shards.asked.borrow()[0].1.clone()
+    cluster.shards.requests.borrow()[0].1.clone()
 }
 
 /// A request that succeeded is remembered, and the next copy fans out at once. Only
--- a/crates/kumquatnotch-query/tests/search.rs
+++ b/crates/kumquatnotch-query/tests/search.rs
@@ -41,7 +41,7 @@
     let result = run(&cluster, cluster.nodes[0].front.search(KEY, request));
 
     assert_eq!(code(result), expected);
-    assert!(cluster.shards.asked.borrow().is_empty());
+    assert!(cluster.shards.requests.borrow().is_empty());
 }
 
 #[test]
@@ -101,7 +101,7 @@
 fn search_without_coverage_fails() {
     let cluster = cluster_with(2, 4, without_canary());
     for number in 0..4 {
-        cluster.shards.change(&shard(number), |state| state.fault = Some(Error::ConnectionLost));
+        cluster.shards.change(&shard(number), |state| state.error = Some(Error::ConnectionLost));
     }
 
     let result = run(&cluster, cluster.search(0));
@@ -117,7 +117,7 @@
     let cluster = cluster_with(2, 4, without_canary());
     for number in 0..4 {
         let error = Error::Overloaded { retry_ms: 100 + number as u64 };
-        cluster.shards.change(&shard(number), |state| state.fault = Some(error));
+        cluster.shards.change(&shard(number), |state| state.error = Some(error));
     }
 
     let result = run(&cluster, cluster.search(0));
@@ -183,8 +183,8 @@
 fn shards_expired_in_the_queue_are_reported_as_such() {
     let cluster = cluster_with(3, 20, without_canary());
     for number in 0..2 {
-        let fault = Some(Error::ExpiredInQueue);
-        cluster.shards.change(&shard(number), |state| state.fault = fault);
+        let error = Some(Error::ExpiredInQueue);
+        cluster.shards.change(&shard(number), |state| state.error = error);
     }
 
     let answer = run(&cluster, cluster.search(0)).unwrap();
@@ -285,7 +285,7 @@
     assert_eq!(advised.len(), 2);
     assert!(!advised.contains(&cluster.nodes[2].record.entry));
     let name = &cluster.nodes[2].record.name;
-    assert!(cluster.shards.asked.borrow().iter().all(|(asked, _, _)| asked != name));
+    assert!(cluster.shards.requests.borrow().iter().all(|(node, _, _)| node != name));
 }
 
 /// While a node withholds its document after a freeze, it advises the other nodes and
--- a/crates/kumquatnotch-query/tests/tickets.rs
+++ b/crates/kumquatnotch-query/tests/tickets.rs
@@ -153,11 +153,11 @@
         cluster.nodes[1].lifecycle.advance(Stage::Closing);
         let closing = outcome_value(cluster.hold(1, &ticket).await);
         cluster.set_link(0, LinkState::Closed);
-        let cut = outcome_value(cluster.hold(2, &ticket).await);
+        let unreachable = outcome_value(cluster.hold(2, &ticket).await);
         let document = cluster.documents.0.borrow_mut().take();
-        let blank = outcome_value(cluster.hold(2, &ticket).await);
+        let unconfigured = outcome_value(cluster.hold(2, &ticket).await);
         *cluster.documents.0.borrow_mut() = document;
-        vec![closing, cut, blank]
+        vec![closing, unreachable, unconfigured]
     });
 
     assert_eq!(results[0].as_ref().unwrap()["held"], 1);
--- a/crates/kumquatnotch-query/tests/versions.rs
+++ b/crates/kumquatnotch-query/tests/versions.rs
@@ -238,18 +238,18 @@
 fn versions_are_refreshed_between_searches() {
     let cluster = cluster_with(2, 4, without_canary());
 
-    let asked = run(&cluster, async {
+    let requests = run(&cluster, async {
         cluster.search(0).await.unwrap();
         cluster.nodes[0].front.start();
         for number in 0..4 {
             cluster.shards.set_versions(&shard(number), vec![held(&shard(number), 2, 4)]);
         }
         sleep(&cluster.clock, ms(4_000)).await;
-        cluster.shards.asked.borrow_mut().clear();
+        cluster.shards.requests.borrow_mut().clear();
         cluster.search(0).await.unwrap();
         cluster.nodes[0].lifecycle.advance(kumquatnotch_core::lifecycle::Stage::Closing);
-        cluster.shards.asked.borrow().clone()
+        cluster.shards.requests.borrow().clone()
     });
 
-    assert!(asked.iter().all(|(_, _, version)| *version == IndexVersion(2)), "{asked:?}");
+    assert!(requests.iter().all(|(_, _, version)| *version == IndexVersion(2)), "{requests:?}");
 }
