--- a/crates/kumquatnotch-query/src/answers.rs
+++ b/crates/kumquatnotch-query/src/answers.rs
@@ -39,9 +39,9 @@
         for fault in answer.missing {
             self.handle_fault(&part, fault.shard, fault.error, gone)?;
         }
-        // A shard in neither list must not be omitted from the answer.
+        // A shard in neither list must still be listed as missing.
         for shard in part.shards {
-            self.fail(shard, Error::protocol("left out of an answer"));
+            self.fail(shard, Error::protocol("the answer of the holder omits the shard"));
         }
         self.on_canary_result(part.canary, ran);
         Ok(())
@@ -69,7 +69,7 @@
         Err(Error::GivenUp { retry_ms })
     }
 
-    /// Records that the holder answered none of its shards.
+    /// Handles one shard of a part for which the holder returned an error.
     fn handle_refusal(
         &mut self,
         part: &Part,
@@ -85,6 +85,7 @@
         Ok(())
     }
 
+    /// Handles a shard that a holder could not answer for.
     fn handle_fault(
         &mut self,
         part: &Part,
--- a/crates/kumquatnotch-query/src/canary.rs
+++ b/crates/kumquatnotch-query/src/canary.rs
@@ -55,7 +55,7 @@
         state.current.insert(fingerprint);
     }
 
-    /// Records that the request failed in a way that it may have caused itself.
+    /// Records that the request failed and may itself be the cause.
     pub fn remove(&self, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
         state.current.remove(&fingerprint);
--- a/crates/kumquatnotch-query/src/entry.rs
+++ b/crates/kumquatnotch-query/src/entry.rs
@@ -32,9 +32,10 @@
             continue;
         }
         // After a freeze a node withholds its document for at most two seconds while it
-        // queries other nodes. During that time it advises other nodes, but does not
-        // announce this to them: the announcement would spread no faster than the node
-        // resumes serving, and callers that are still sent to it receive a retry time.
+        // queries other nodes. During that time it omits itself from its advice, but does
+        // not announce this to the other nodes: the announcement would spread no faster
+        // than the node resumes serving, and callers that are still sent to it receive a
+        // retry time.
         let serves = match is_local {
             true => stage == Stage::Serving && document.is_some(),
             false => record.serving,
--- a/crates/kumquatnotch-query/src/front.rs
+++ b/crates/kumquatnotch-query/src/front.rs
@@ -320,8 +320,7 @@
     starved as f64 > STARVED_SHARE * f64::from(coverage.asked)
 }
 
-/// Returns whether a target was lost while running the request, which may have caused
-/// it.
+/// Returns whether a target was lost while running the request, which may be the cause.
 fn may_have_crashed_target(result: &Result<Answer>) -> bool {
     let lost = Error::ConnectionLost.code();
     match result {
--- a/crates/kumquatnotch-query/src/gather.rs
+++ b/crates/kumquatnotch-query/src/gather.rs
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Handles the result of a part; a canary that failed without a crash may be
-    /// followed by another.
+    /// Releases the held back shards after the result of a part, or sends another canary
+    /// if this one failed without a crash.
     ///
     /// A shard that is lost, draining or at another version gives no evidence about the
     /// request. Fanning out then could crash a replica of each shard, so another canary
--- a/crates/kumquatnotch-query/src/groups.rs
+++ b/crates/kumquatnotch-query/src/groups.rs
@@ -133,7 +133,7 @@
 const SERVING_TIERS: u8 = 3;
 
 /// Returns the nodes that are not gone, each with its tier: up in the local region, up
-/// in another region, doubtful.
+/// in another region, suspect or leaving.
 ///
 /// Nodes that do not serve yet come after all serving ones: they would refuse a group
 /// and add a round trip, and each root would discover this independently.
--- a/crates/kumquatnotch-query/src/health.rs
+++ b/crates/kumquatnotch-query/src/health.rs
@@ -85,8 +85,9 @@
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// Returns whether `name` has been silent for `silence`; once per `probe_interval`
-    /// returns false, so that the peer is probed.
+    /// Returns whether `name` has been silent for `silence`.
+    ///
+    /// Returns false once per `probe_interval`, so that a request probes the peer.
     pub fn is_silent(
         &self,
         name: &NodeName,
--- a/crates/kumquatnotch-query/src/latency.rs
+++ b/crates/kumquatnotch-query/src/latency.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Two significant digits are enough for a delay.
+/// Creates a histogram with two significant digits, which suffice for a delay.
 fn histogram() -> Histogram<u32> {
     Histogram::new_with_bounds(1, MAX_US, 2).expect("histogram bounds are valid constants")
 }
--- a/crates/kumquatnotch-query/src/planner.rs
+++ b/crates/kumquatnotch-query/src/planner.rs
@@ -193,8 +193,8 @@
         None
     }
 
-    /// Requests the versions that have no report newer than `age`, for all selectors in
-    /// use.
+    /// Requests the versions that have no report newer than `age`, for all selectors that
+    /// were used recently.
     pub async fn refresh_used_selectors(&self, document: &Document, age: Duration) {
         let now = self.clock.now();
         let stale: Vec<ShardName> = {
--- a/crates/kumquatnotch-query/src/refusal.rs
+++ b/crates/kumquatnotch-query/src/refusal.rs
@@ -4,7 +4,7 @@
 
 use kumquatnotch_core::{Error, ids::ShardName};
 
-/// Retry time if holders refused without giving one.
+/// Retry time if no holder specified one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Returns the error of a search that no shard answered.
--- a/crates/kumquatnotch-query/src/router.rs
+++ b/crates/kumquatnotch-query/src/router.rs
@@ -138,10 +138,10 @@
         self.health.wait(name)
     }
 
-    /// Returns how long to wait for a canary; `start` until enough answers have been
+    /// Returns how long to wait for a canary; `initial` until enough answers have been
     /// observed.
-    pub(crate) fn canary_delay(&self, class: Class, start: Duration) -> Duration {
-        self.latencies[class as usize].quantile(CANARY_QUANTILE).unwrap_or(start)
+    pub(crate) fn canary_delay(&self, class: Class, initial: Duration) -> Duration {
+        self.latencies[class as usize].quantile(CANARY_QUANTILE).unwrap_or(initial)
     }
 
     fn hedge_delay(&self, class: Class) -> Duration {
@@ -301,12 +301,12 @@
         let message = PeerMessage::Group(Box::new(request));
         let reply = self.send(node, &message, deadlines.root).await?;
         let PeerReply::Group(answer) = reply else {
-            return Err(Error::protocol("not an answer for a group"));
+            return Err(Error::protocol("unexpected peer reply to a group request"));
         };
         // An answer for shards that were not requested belongs to another request. It
         // must not reach this caller, so the attempt counts as failed.
         if !answer.covered.iter().all(|shard| shards.contains(shard)) {
-            return Err(Error::protocol("an answer for other shards"));
+            return Err(Error::protocol("peer reply is for other shards"));
         }
         let now = self.clock.now();
         self.latencies[class as usize].record(now, now.saturating_duration_since(sent));
--- a/crates/kumquatnotch-query/src/search.rs
+++ b/crates/kumquatnotch-query/src/search.rs
@@ -23,7 +23,7 @@
     router::{Deadlines, Router},
 };
 
-/// Divisor of the deadline that gives the time by which versions must be known.
+/// Divisor of the deadline for the time within which versions must be known.
 const PLAN_DIVISOR: u32 = 2;
 /// Timeout for requests for versions while a search is running.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(50);
--- a/crates/kumquatnotch-query/src/tickets.rs
+++ b/crates/kumquatnotch-query/src/tickets.rs
@@ -105,8 +105,8 @@
 
     /// Issues a ticket to `tenant`.
     pub fn issue(&self, tenant: &TenantName) -> Result<TicketGrant> {
-        // Nothing can have run without a ticket, so this is the only place where a
-        // request can be refused for lack of capacity without any risk.
+        // Without a ticket nothing can have run, so refusing a request for lack of
+        // capacity is safe only here.
         let (running, stored) = self.outcomes.counts();
         if running >= self.options.max_runs || stored >= self.options.max_outcomes {
             return Err(Error::overloaded(self.options.grace));
--- a/crates/kumquatnotch-query/tests/common/holder.rs
+++ b/crates/kumquatnotch-query/tests/common/holder.rs
@@ -30,7 +30,7 @@
 pub struct Shards {
     clock: PausedClock,
     states: RefCell<BTreeMap<ShardName, ShardState>>,
-    /// Requests to shards: the node that made it, the shard and the version.
+    /// Requests to shards: the node of the holder, the shard and the version.
     pub requests: RefCell<Vec<(NodeName, ShardName, IndexVersion)>>,
     /// Exclusive requests that ran: the shard and the body.
     pub runs: RefCell<Vec<(ShardName, String)>>,
@@ -100,9 +100,9 @@
         let Some(state) = self.find(shard, request.version) else {
             return Err(Error::VersionGone { version: request.version.0 });
         };
-        let patience = Duration::from_millis(request.patience_ms.min(request.deadline_ms));
+        let partial_deadline = Duration::from_millis(request.patience_ms.min(request.deadline_ms));
         let work = sleep(&self.clock, state.delay);
-        timeout_at(&self.clock, start + patience, work).await?;
+        timeout_at(&self.clock, start + partial_deadline, work).await?;
         if let Some(error) = state.error {
             return Err(error);
         }
@@ -188,7 +188,7 @@
                     Ok(PeerReply::Versions(self.shards.versions(&shards)))
                 }
                 PeerMessage::Relay(relay) => self.shards.relay(*relay).await,
-                _ => Err(Error::protocol("unexpected message for a holder")),
+                _ => Err(Error::protocol("unexpected message for the holder service")),
             }
         })
     }
--- a/crates/kumquatnotch-query/tests/exclusive.rs
+++ b/crates/kumquatnotch-query/tests/exclusive.rs
@@ -39,7 +39,7 @@
 
 /// Copies of one request sent to three nodes at once run once: two nodes forward it to
 /// the issuer, where later copies find the entry of the first and wait for it. Every
-/// caller gets the same hold. A second hold would block a guesthouse's last room.
+/// caller gets the same hold. Running two copies would hold two rooms.
 #[test]
 fn copies_sent_to_several_nodes_at_once_run_once() {
     let cluster = cluster(3, 10);
@@ -161,9 +161,8 @@
     unreachable!("every node holds the shard itself");
 }
 
-/// If nothing listens at the holder, the request was certainly not delivered, and the
-/// next holder in rank gets it. Only in this case can a second attempt not run it
-/// twice. The caller gets its hold.
+/// If nothing listens at the holder, the request was certainly not delivered, so it is
+/// safe to send it to the next holder in rank. The caller gets its hold.
 #[test]
 fn undelivered_request_is_sent_to_the_next_holder() {
     let cluster = cluster(4, 10);
--- a/crates/kumquatnotch-query/tests/search.rs
+++ b/crates/kumquatnotch-query/tests/search.rs
@@ -125,10 +125,11 @@
     assert_eq!(result.unwrap_err(), Error::Overloaded { retry_ms: 103 });
 }
 
-/// One shard of twenty takes 700 of 1,000 ms, and holders return partial answers at the
-/// tenant's patience. Siam gets its answer at half of the deadline with the missing
-/// shard listed, so that the slowest shard does not determine its latency. Barid waits
-/// and gets every shard, since an incomplete answer would strand its load.
+/// One shard of twenty takes 700 of 1,000 ms, and holders return partial answers when
+/// the tenant's patience ends. Siam gets its answer at half of the deadline with the
+/// missing shard listed, so that the slowest shard does not determine its latency.
+/// Barid requires full coverage, since an incomplete answer could leave its load without
+/// transport, so it waits and gets every shard.
 #[parameterized(
     siam = { KEY, 19, true, 500..=520 },
     barid = { RIVAL_KEY, 20, false, 700..=720 },
