--- a/crates/kumquatnotch-member/examples/members.rs
+++ b/crates/kumquatnotch-member/examples/members.rs
@@ -5,13 +5,13 @@
 //! including the simulated network and clock, and is therefore an upper bound. Bytes are
 //! those of the bodies, without HTTP.
 
-#[path = "../tests/fixture/mod.rs"]
-mod fixture;
+#[path = "../tests/common/mod.rs"]
+mod common;
 
 use std::{rc::Rc, time::Duration};
 
 use argh::FromArgs;
-use fixture::{World, run};
+use common::{Cluster, run};
 use kumquatnotch_core::member::Members;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -57,7 +57,7 @@
     changes: Vec<Duration>,
     change: Usage,
     gone: Option<Duration>,
-    death: Usage,
+    failure: Usage,
 }
 
 fn main() {
@@ -74,56 +74,56 @@
     for count in args.nodes.split(',') {
         let count: usize = count.trim().parse().expect("a number of nodes");
         let targets = args.targets;
-        let row = run(args.seed, async move |world| measure(world, count, targets).await);
+        let row = run(args.seed, async move |cluster| measure(cluster, count, targets).await);
         print(&row);
     }
 }
 
-async fn measure(world: Rc<World>, count: usize, targets: usize) -> Row {
-    world.platform.publish(1, targets);
-    (0..count).for_each(|number| drop(world.add_configured(number)));
-    let ready = || world.has_converged() && world.all_have(1);
-    let start = world.wait_until(60 * SECOND, ready).await;
+async fn measure(cluster: Rc<Cluster>, count: usize, targets: usize) -> Row {
+    cluster.platform.publish(1, targets);
+    (0..count).for_each(|number| drop(cluster.add_configured(number)));
+    let ready = || cluster.has_converged() && cluster.all_have(1);
+    let start = cluster.wait_until(60 * SECOND, ready).await;
     // The changes of the start reach their transmit limit in this time.
-    world.sleep(60 * SECOND + SECOND * count as u32).await;
+    cluster.sleep(60 * SECOND + SECOND * count as u32).await;
 
-    let calls = world.platform.calls.get();
-    let steady = watch(&world, STEADY_SPAN).await;
-    let calls = (world.platform.calls.get() - calls) as f64 / STEADY_SPAN.as_secs_f64();
-    let ages = world.nodes.borrow().iter().map(|node| node.members.confirmed().age_ms).max();
+    let calls = cluster.platform.calls.get();
+    let steady = watch(&cluster, STEADY_SPAN).await;
+    let calls = (cluster.platform.calls.get() - calls) as f64 / STEADY_SPAN.as_secs_f64();
+    let ages = cluster.nodes.borrow().iter().map(|node| node.members.confirmed().age_ms).max();
     let ages = ages.flatten();
 
-    let before = usage(&world);
+    let before = usage(&cluster);
     let mut changes = Vec::new();
     for version in 2..2 + CHANGES {
-        world.platform.publish(version, targets);
-        changes.extend(world.wait_until(60 * SECOND, || world.all_have(version)).await);
-        world.sleep(SETTLE_TIME).await;
+        cluster.platform.publish(version, targets);
+        changes.extend(cluster.wait_until(60 * SECOND, || cluster.all_have(version)).await);
+        cluster.sleep(SETTLE_TIME).await;
     }
-    let change = usage(&world).since(&before);
+    let change = usage(&cluster).since(&before);
     let span = SETTLE_TIME * CHANGES as u32 + changes.iter().sum::<Duration>();
     let change = change.excess(&steady, span);
 
-    let victim = world.nodes.borrow()[count / 2].clone();
-    let before = usage(&world);
-    world.kill(&victim);
-    let gone = world.wait_until(60 * SECOND, || world.is_gone_everywhere(&victim.name)).await;
-    world.sleep(SETTLE_TIME).await;
-    let death = usage(&world).since(&before);
-    let death = death.excess(&steady, SETTLE_TIME + gone.unwrap_or_default());
+    let victim = cluster.nodes.borrow()[count / 2].clone();
+    let before = usage(&cluster);
+    cluster.kill(&victim);
+    let gone = cluster.wait_until(60 * SECOND, || cluster.is_gone_everywhere(&victim.name)).await;
+    cluster.sleep(SETTLE_TIME).await;
+    let failure = usage(&cluster).since(&before);
+    let failure = failure.excess(&steady, SETTLE_TIME + gone.unwrap_or_default());
 
     let age = ages.unwrap_or_default();
-    Row { count, start, steady, age, calls, changes, change, gone, death }
+    Row { count, start, steady, age, calls, changes, change, gone, failure }
 }
 
-async fn watch(world: &World, span: Duration) -> Usage {
-    let before = usage(world);
-    world.sleep(span).await;
-    usage(world).since(&before)
+async fn watch(cluster: &Cluster, span: Duration) -> Usage {
+    let before = usage(cluster);
+    cluster.sleep(span).await;
+    usage(cluster).since(&before)
 }
 
-fn usage(world: &World) -> Usage {
-    let (messages, bytes) = world.network.total();
+fn usage(cluster: &Cluster) -> Usage {
+    let (messages, bytes) = cluster.network.total();
     Usage { messages, bytes, cpu: cpu_time() }
 }
 
@@ -177,7 +177,7 @@
         row.change.messages as f64 / changes,
         row.change.bytes as f64 / changes,
         seconds(row.gone),
-        row.death.messages as f64 / nodes,
-        row.death.bytes as f64 / nodes,
+        row.failure.messages as f64 / nodes,
+        row.failure.bytes as f64 / nodes,
     );
 }
--- a/crates/kumquatnotch-member/src/config_service.rs
+++ b/crates/kumquatnotch-member/src/config_service.rs
@@ -53,7 +53,7 @@
     pub(crate) reader_cache: Cell<(u64, bool)>,
     /// Whether the first document was decided on; until then versions are only collected.
     pub(crate) bootstrapped: Cell<bool>,
-    pub(crate) me: Weak<ConfigService>,
+    pub(crate) this: Weak<ConfigService>,
     document: RefCell<Option<Rc<Document>>>,
     /// Digests of the values of the document in force and of the previous one.
     retained: RefCell<[HashSet<Digest>; 2]>,
@@ -75,7 +75,7 @@
         let store: Rc<dyn Store> = registry.find(services::STORE)?;
         let random: Random = registry.find(services::RANDOM)?;
         let now = clock.now();
-        let service = Rc::new_cyclic(|me: &Weak<ConfigService>| ConfigService {
+        let service = Rc::new_cyclic(|this: &Weak<ConfigService>| ConfigService {
             random,
             store,
             members: members.clone(),
@@ -86,14 +86,14 @@
             gate: Gate::default(),
             reader_cache: Cell::default(),
             bootstrapped: Cell::new(false),
-            me: me.clone(),
+            this: this.clone(),
             document: RefCell::default(),
             retained: RefCell::default(),
             lifecycle: registry.find(services::LIFECYCLE).ok(),
             clock,
             options,
         });
-        members.head_state.set_listener(service.me.clone());
+        members.head_state.set_listener(service.this.clone());
         registry.register::<Rc<dyn Documents>>(services::DOCUMENTS, service.clone());
         registry.register::<Rc<dyn PeerHandler>>(CONFIG_SERVICE, service.clone());
         Ok(service)
@@ -101,12 +101,12 @@
 
     /// Spawns the tasks of the service.
     pub fn start(&self) {
-        let Some(me) = self.me.upgrade() else {
+        let Some(this) = self.this.upgrade() else {
             return;
         };
         self.freeze_detector.tick(self.clock.now());
-        monoio::spawn(me.clone().run_ticks());
-        monoio::spawn(me.run_config());
+        monoio::spawn(this.clone().run_ticks());
+        monoio::spawn(this.run_config());
     }
 
     /// Returns the version in force, or zero if there is none.
@@ -139,7 +139,7 @@
         if let Some(lifecycle) = &self.lifecycle {
             lifecycle.advance(Stage::Serving);
             if lifecycle.stage() == Stage::Serving {
-                self.members.note_serving();
+                self.members.announce_serving();
             }
         }
         let members = self.members.clone();
--- a/crates/kumquatnotch-member/src/deltas.rs
+++ b/crates/kumquatnotch-member/src/deltas.rs
@@ -25,7 +25,7 @@
 /// The queued changes, with the number of times that each was sent.
 #[derive(Debug, Default)]
 pub(crate) struct DeltaQueue {
-    waiting: HashMap<DeltaKey, Delta>,
+    queued: HashMap<DeltaKey, Delta>,
     serial: u64,
 }
 
@@ -53,26 +53,26 @@
     }
 
     /// Returns true if a change was sent fewer than `limit` times.
-    pub(crate) fn has_fresh(&self, limit: u32) -> bool {
-        self.waiting.values().any(|delta| delta.sent < limit)
+    pub(crate) fn has_recent(&self, limit: u32) -> bool {
+        self.queued.values().any(|delta| delta.sent < limit)
     }
 
     /// Counts a change received from a peer as a transmission of the queued one.
-    pub(crate) fn note_received(&mut self, name: &NodeName, transmit_limit: u32) {
-        self.note_sent(&DeltaKey::Node(name.clone()), transmit_limit);
+    pub(crate) fn record_received(&mut self, name: &NodeName, transmit_limit: u32) {
+        self.record_sent(&DeltaKey::Node(name.clone()), transmit_limit);
     }
 
     /// Picks changes of at most `limit` bytes in total that were sent fewer than `below` times.
     ///
     /// Each change is dropped after `transmit_limit` transmissions.
     pub(crate) fn pick(&mut self, limit: usize, below: u32, transmit_limit: u32) -> Picked {
-        if self.waiting.is_empty() || limit == 0 {
+        if self.queued.is_empty() || limit == 0 {
             return Picked::default();
         }
         // Of changes sent equally often, the newest goes first, as older ones have reached more
         // nodes.
         let mut order: Vec<(u32, u64, &DeltaKey)> = self
-            .waiting
+            .queued
             .iter()
             .filter(|(_, delta)| delta.sent < below)
             .map(|(key, delta)| (delta.sent, u64::MAX - delta.serial, key))
@@ -80,7 +80,7 @@
         order.sort_unstable_by_key(|(sent, serial, _)| (*sent, *serial));
         let mut picked = Picked::default();
         for (_, _, key) in order {
-            let bytes = self.waiting[key].bytes;
+            let bytes = self.queued[key].bytes;
             if picked.bytes + bytes > limit {
                 break;
             }
@@ -88,7 +88,7 @@
             picked.keys.push(key.clone());
         }
         for key in &picked.keys {
-            self.note_sent(key, transmit_limit);
+            self.record_sent(key, transmit_limit);
         }
         picked
     }
@@ -96,16 +96,16 @@
     fn add(&mut self, key: DeltaKey, bytes: usize) {
         self.serial += 1;
         let delta = Delta { sent: 0, serial: self.serial, bytes };
-        self.waiting.insert(key, delta);
+        self.queued.insert(key, delta);
     }
 
-    fn note_sent(&mut self, key: &DeltaKey, transmit_limit: u32) {
-        let Some(delta) = self.waiting.get_mut(key) else {
+    fn record_sent(&mut self, key: &DeltaKey, transmit_limit: u32) {
+        let Some(delta) = self.queued.get_mut(key) else {
             return;
         };
         delta.sent += 1;
         if delta.sent >= transmit_limit {
-            self.waiting.remove(key);
+            self.queued.remove(key);
         }
     }
 }
--- a/crates/kumquatnotch-member/src/exchange.rs
+++ b/crates/kumquatnotch-member/src/exchange.rs
@@ -211,14 +211,14 @@
     /// Adds the records of other nodes in the buckets that differ, including gone nodes.
     ///
     /// The record of a gone node lets the peer verify it, and lets the node itself refute it.
-    fn add_differing(&self, gossip: &mut Gossip, ours: &[u32], theirs: &[u32]) {
+    fn add_differing(&self, gossip: &mut Gossip, local_buckets: &[u32], remote_buckets: &[u32]) {
         let table = self.table.borrow();
         let mut records: Vec<NodeRecord> = table
             .others()
             .map(|entry| &entry.record)
             .filter(|record| {
                 let bucket = bucket_of(&record.name);
-                ours.get(bucket) != theirs.get(bucket)
+                local_buckets.get(bucket) != remote_buckets.get(bucket)
             })
             .cloned()
             .collect();
--- a/crates/kumquatnotch-member/src/fetch.rs
+++ b/crates/kumquatnotch-member/src/fetch.rs
@@ -99,7 +99,7 @@
 impl ConfigService {
     /// Starts to fetch the wanted version in its own task, unless a fetch is running.
     pub(crate) fn start_fetch(&self) {
-        let Some(me) = self.me.upgrade() else {
+        let Some(this) = self.this.upgrade() else {
             return;
         };
         let mut wanted = self.wanted.borrow_mut();
@@ -107,7 +107,7 @@
             return;
         }
         wanted.fetching = true;
-        monoio::spawn(me.run_fetch());
+        monoio::spawn(this.run_fetch());
     }
 
     async fn run_fetch(self: Rc<Self>) {
@@ -130,7 +130,7 @@
     /// Fetches every value of a version and puts it in force.
     async fn fetch_version(&self, head: InForce) -> Result<()> {
         // The reply of the source also carries the age of its confirmation.
-        let (fetched, ()) = join(self.fetch_missing(&[head.manifest]), self.ask_source()).await;
+        let (fetched, ()) = join(self.fetch_missing(&[head.manifest]), self.query_source()).await;
         fetched?;
         let manifest: Manifest = codec::decode(&self.value(head.manifest)?.value)?;
         let digests: Vec<Digest> = manifest.digests().collect();
@@ -147,7 +147,7 @@
     }
 
     /// Queries the version of the most recent source.
-    async fn ask_source(&self) {
+    async fn query_source(&self) {
         let source = self.wanted.borrow().sources.front().copied();
         if let Some(source) = source {
             self.members.query_head(source, None).await;
@@ -235,16 +235,16 @@
 
     /// Stores the values that match their digests; returns true if one of them is new.
     fn store_values(&self, values: Vec<StoredValue>) -> bool {
-        let mut useful = false;
+        let mut has_new = false;
         for value in values {
             if let Err(error) = stored::check_value(&value) {
                 warn!("config: rejected part {}: {error}", value.digest);
                 continue;
             }
             let earlier = self.values.borrow_mut().insert(value.digest, Rc::new(value));
-            useful |= earlier.is_none();
+            has_new |= earlier.is_none();
         }
-        useful
+        has_new
     }
 
     fn missing(&self, digests: &[Digest]) -> Vec<Digest> {
--- a/crates/kumquatnotch-member/src/gossip.rs
+++ b/crates/kumquatnotch-member/src/gossip.rs
@@ -21,7 +21,7 @@
 
 /// Number of times that a change is sent before it is no longer pushed but only
 /// piggybacked.
-const PUSH_TRANSMITS: u32 = 4;
+const PUSH_TRANSMIT_LIMIT: u32 = 4;
 
 /// Maximum size of the changes on a probe while the byte budget is empty.
 const MIN_DELTA_BYTES: usize = 200;
@@ -72,7 +72,7 @@
         };
         let effect = self.table.borrow_mut().apply(record, until);
         if effect == Effect::Stale {
-            self.note_duplicate(record);
+            self.count_duplicate(record);
         }
         self.apply_effect(effect, record);
     }
@@ -81,14 +81,14 @@
     ///
     /// With enough budget every transmission is made: with fewer, about one node in a hundred
     /// missed a suspicion and detected the failure late, by its own probes.
-    fn note_duplicate(&self, record: &NodeRecord) {
+    fn count_duplicate(&self, record: &NodeRecord) {
         if self.byte_budget.borrow().is_half_full() {
             return;
         }
         let table = self.table.borrow();
         let same = table.get(&record.name).is_some_and(|entry| entry.record == *record);
         if same {
-            self.deltas.borrow_mut().note_received(&record.name, self.transmit_limit());
+            self.deltas.borrow_mut().record_received(&record.name, self.transmit_limit());
         }
     }
 
@@ -144,30 +144,32 @@
         filter: impl Fn(&NodeRecord) -> bool,
     ) -> Vec<NodeRecord> {
         let table = self.table.borrow();
-        let mut fit: Vec<&NodeRecord> = table
+        let mut candidates: Vec<&NodeRecord> = table
             .live()
             .filter(|record| record.state != NodeState::Suspect && filter(record))
             .collect();
-        let count = count.min(fit.len());
+        let count = count.min(candidates.len());
         // A partial shuffle: shuffling 1,900 nodes to draw two would be wasteful.
         for i in 0..count {
-            let j = i + self.random.below(fit.len() - i);
-            fit.swap(i, j);
+            let j = i + self.random.below(candidates.len() - i);
+            candidates.swap(i, j);
         }
-        fit.into_iter().take(count).cloned().collect()
+        candidates.into_iter().take(count).cloned().collect()
     }
 
     /// Pushes fresh changes while there are any.
     pub(crate) async fn run_pushes(self: Rc<Self>) {
         loop {
             clock::sleep(&*self.clock, self.random.jitter(self.options.push_period)).await;
-            let fresh = self.deltas.borrow().has_fresh(PUSH_TRANSMITS.min(self.transmit_limit()));
-            if !fresh || self.byte_budget.borrow_mut().available(self.clock.now()) == 0 {
+            let has_recent_changes =
+                self.deltas.borrow().has_recent(PUSH_TRANSMIT_LIMIT.min(self.transmit_limit()));
+            if !has_recent_changes || self.byte_budget.borrow_mut().available(self.clock.now()) == 0
+            {
                 continue;
             }
             for peer in self.push_peers() {
-                let me = self.clone();
-                monoio::spawn(async move { me.push_one(&peer).await });
+                let this = self.clone();
+                monoio::spawn(async move { this.push_one(&peer).await });
             }
         }
     }
@@ -206,7 +208,7 @@
         // Half of the budget is reserved for fresh changes. Otherwise hundreds of old ones that
         // are still piggybacked would delay a suspicion and its refutation.
         let half_full = self.byte_budget.borrow().is_half_full();
-        let below = if half_full { u32::MAX } else { PUSH_TRANSMITS };
+        let below = if half_full { u32::MAX } else { PUSH_TRANSMIT_LIMIT };
         let picked = self.deltas.borrow_mut().pick(limit, below, self.transmit_limit());
         self.byte_budget.borrow_mut().take(picked.bytes);
         for key in picked.keys {
--- a/crates/kumquatnotch-member/src/mark_store.rs
+++ b/crates/kumquatnotch-member/src/mark_store.rs
@@ -51,8 +51,8 @@
     /// while at least half of the requested time is left.
     pub(crate) fn set(&mut self, mark: &Mark, stamp: u64, now: Instant) -> Option<MarkUpdate> {
         let held = self.left(&mark.kind, now).unwrap_or_default();
-        let asked = self.capped(mark.left_ms);
-        if held >= asked.mul_f64(RENEWAL_SHARE) {
+        let requested = self.capped(mark.left_ms);
+        if held >= requested.mul_f64(RENEWAL_SHARE) {
             return None;
         }
         let update = MarkUpdate { mark: mark.clone(), stamp };
--- a/crates/kumquatnotch-member/src/membership_service.rs
+++ b/crates/kumquatnotch-member/src/membership_service.rs
@@ -69,7 +69,7 @@
     pub(crate) announced: Cell<bool>,
     superseded: Cell<bool>,
     lifecycle: Option<Lifecycle>,
-    me: Weak<MembershipService>,
+    this: Weak<MembershipService>,
 }
 
 impl MembershipService {
@@ -88,7 +88,7 @@
         let now = clock.now();
         let lifecycle: Option<Lifecycle> = registry.find(services::LIFECYCLE).ok();
         let local = local_record(&options, &random, lifecycle.is_none());
-        let service = Rc::new_cyclic(|me| MembershipService {
+        let service = Rc::new_cyclic(|this| MembershipService {
             head_state: HeadState::new(clock.clone()),
             table: RefCell::new(Table::new(local, options.check_gone)),
             deltas: RefCell::default(),
@@ -109,7 +109,7 @@
             random,
             peers,
             options,
-            me: me.clone(),
+            this: this.clone(),
         });
         registry.register(MEMBERSHIP, service.clone());
         registry.register::<Rc<dyn Members>>(services::MEMBERS, service.clone());
@@ -120,24 +120,24 @@
 
     /// Spawns the tasks of the service.
     pub fn start(&self) {
-        let Some(me) = self.me.upgrade() else {
+        let Some(this) = self.this.upgrade() else {
             return;
         };
         self.freeze_detector.tick(self.clock.now());
-        monoio::spawn(me.clone().run_ticks());
-        monoio::spawn(me.clone().run_join());
-        monoio::spawn(me.clone().run_probes());
-        monoio::spawn(me.clone().run_checks());
-        monoio::spawn(me.clone().run_pushes());
-        monoio::spawn(me.clone().run_exchanges());
-        monoio::spawn(me.run_reconnects());
+        monoio::spawn(this.clone().run_ticks());
+        monoio::spawn(this.clone().run_join());
+        monoio::spawn(this.clone().run_probes());
+        monoio::spawn(this.clone().run_checks());
+        monoio::spawn(this.clone().run_pushes());
+        monoio::spawn(this.clone().run_exchanges());
+        monoio::spawn(this.run_reconnects());
     }
 
     /// Announces, once, that this node has started to serve.
     ///
     /// Before that it is up, as it answers peers and takes its turn in reading the platform, but
     /// it would refuse callers and groups that are sent to it.
-    pub(crate) fn note_serving(&self) {
+    pub(crate) fn announce_serving(&self) {
         if !self.table.borrow_mut().begin_serving() {
             return;
         }
@@ -197,7 +197,7 @@
     pub(crate) fn apply_effect(&self, effect: Effect, report: &NodeRecord) {
         match effect {
             Effect::Stale => {}
-            Effect::Fresh => self.deltas.borrow_mut().add_node(report),
+            Effect::New => self.deltas.borrow_mut().add_node(report),
             Effect::NeedsCheck => self.queue_check(Check::of_report(report.clone())),
             Effect::Refuted { gone } => {
                 metrics::counter!("kumquatnotch_refutations_total").increment(1);
@@ -261,7 +261,7 @@
             let stage = self.lifecycle.as_ref().map(Lifecycle::stage);
             match stage {
                 None | Some(Stage::Starting) => {}
-                Some(Stage::Serving) => self.note_serving(),
+                Some(Stage::Serving) => self.announce_serving(),
                 Some(Stage::Leaving | Stage::Closing) => self.leave(),
             }
         }
@@ -303,8 +303,8 @@
     }
 
     fn lost(&self) -> Vec<NodeRecord> {
-        let rest = self.options.forget_after.saturating_sub(LOST_RETENTION);
-        self.table.borrow().lost(self.clock.now() + rest).cloned().collect()
+        let remaining = self.options.forget_after.saturating_sub(LOST_RETENTION);
+        self.table.borrow().lost(self.clock.now() + remaining).cloned().collect()
     }
 
     fn generation(&self) -> u64 {
--- a/crates/kumquatnotch-member/src/options.rs
+++ b/crates/kumquatnotch-member/src/options.rs
@@ -148,7 +148,7 @@
     /// Number of peers queried at startup and after a freeze.
     pub queried_peers: usize,
     /// Maximum age of a confirmation that is accepted from peers without asking the platform.
-    pub fresh_age: Duration,
+    pub max_confirmation_age: Duration,
     /// Maximum time after a freeze that a node queries peers and the platform before it serves
     /// again.
     pub recheck_timeout: Duration,
@@ -167,7 +167,7 @@
             backoff_limit: Duration::from_secs(8),
             push_fanout: 4,
             queried_peers: 3,
-            fresh_age: Duration::from_secs(10),
+            max_confirmation_age: Duration::from_secs(10),
             recheck_timeout: Duration::from_secs(2),
             freeze_limit: Duration::from_secs(2),
             reply_limit: 256 * 1024,
--- a/crates/kumquatnotch-member/src/probe.rs
+++ b/crates/kumquatnotch-member/src/probe.rs
@@ -65,8 +65,8 @@
             let Some(subject) = self.next_subject(&mut local_names, &mut remote_names) else {
                 continue;
             };
-            let me = self.clone();
-            monoio::spawn(async move { me.probe(subject, None).await });
+            let this = self.clone();
+            monoio::spawn(async move { this.probe(subject, None).await });
         }
     }
 
@@ -78,11 +78,11 @@
             let Some((subject, check)) = self.next_check() else {
                 continue;
             };
-            let me = self.clone();
+            let this = self.clone();
             monoio::spawn(async move {
                 match check.final_ping {
-                    true => drop(me.ping(&subject, None).await),
-                    false => me.probe(subject, check.report).await,
+                    true => drop(this.ping(&subject, None).await),
+                    false => this.probe(subject, check.report).await,
                 }
             });
         }
@@ -111,7 +111,7 @@
         let result = match self.ping(&subject, report.as_ref()).await {
             PingResult::Ack => ProbeResult::Alive,
             PingResult::Refused => ProbeResult::Unreachable,
-            PingResult::NoAck => self.ask_helpers(&subject).await,
+            PingResult::NoAck => self.probe_via_helpers(&subject).await,
         };
         self.detect_freeze();
         // A freeze of this process looks like silence of its peers.
@@ -147,7 +147,7 @@
         }
     }
 
-    async fn ask_helpers(&self, subject: &NodeRecord) -> ProbeResult {
+    async fn probe_via_helpers(&self, subject: &NodeRecord) -> ProbeResult {
         let helpers = self.pick_helpers(subject);
         if helpers.is_empty() {
             // With two nodes there are no helpers.
@@ -157,12 +157,12 @@
         // The helper waits for the subject, and its own reply takes time too.
         let wait = self.options.probe_timeout * (1 + self.health_score.get()) * 2;
         let deadline = self.clock.now() + wait;
-        let asks = helpers.iter().map(|helper| self.ask_helper(helper, subject, deadline));
-        let answers = futures_util::future::join_all(asks).await;
+        let probes = helpers.iter().map(|helper| self.probe_via_helper(helper, subject, deadline));
+        let answers = futures_util::future::join_all(probes).await;
         answers.into_iter().max().unwrap_or(ProbeResult::Inconclusive)
     }
 
-    async fn ask_helper(
+    async fn probe_via_helper(
         &self,
         helper: &NodeRecord,
         subject: &NodeRecord,
@@ -190,9 +190,9 @@
         helpers.extend(self.pick_peers(self.options.helpers, other));
         let mut seen = Vec::new();
         helpers.retain(|helper| {
-            let fresh = !seen.contains(&helper.name);
+            let is_first = !seen.contains(&helper.name);
             seen.push(helper.name.clone());
-            fresh
+            is_first
         });
         helpers.truncate(self.options.helpers);
         helpers
@@ -224,7 +224,7 @@
         table = self.table.borrow_mut();
         table.put(record.clone(), until);
         drop(table);
-        self.apply_effect(Effect::Fresh, &record);
+        self.apply_effect(Effect::New, &record);
     }
 
     /// Returns the next node to probe; a list that is used up is refilled and shuffled.
@@ -243,8 +243,8 @@
         let table = self.table.borrow();
         if names.is_empty() {
             let centre = &self.options.centre;
-            let fit = table.live().filter(|record| (record.centre == *centre) == local);
-            names.extend(fit.map(|record| record.name.clone()));
+            let candidates = table.live().filter(|record| (record.centre == *centre) == local);
+            names.extend(candidates.map(|record| record.name.clone()));
             self.random.shuffle(names);
         }
         while let Some(name) = names.pop() {
--- a/crates/kumquatnotch-member/src/recheck.rs
+++ b/crates/kumquatnotch-member/src/recheck.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerPoll {
     answers: usize,
-    asked: usize,
+    queried: usize,
     version: ConfigVersion,
     /// Age of the most recent confirmation of that version.
     age: Duration,
@@ -145,9 +145,9 @@
     /// Queries the versions of several peers; their gossip is merged.
     async fn poll_peers(&self) -> PeerPoll {
         let peers = self.members.pick_peers(self.options.queried_peers, |_| true);
-        let asks = peers.iter().map(|peer| self.members.query_head(peer.peer, Some(&peer.name)));
-        let mut poll = PeerPoll { asked: peers.len(), ..PeerPoll::default() };
-        for head in join_all(asks).await.into_iter().flatten() {
+        let queries = peers.iter().map(|peer| self.members.query_head(peer.peer, Some(&peer.name)));
+        let mut poll = PeerPoll { queried: peers.len(), ..PeerPoll::default() };
+        for head in join_all(queries).await.into_iter().flatten() {
             poll.answers += 1;
             let age = Duration::from_millis(head.age_ms);
             if head.version > poll.version {
@@ -162,11 +162,11 @@
 
     /// Returns true if more than half of the peers answered and one has a document.
     ///
-    /// With `require_fresh`, its confirmation also has to be recent.
-    fn is_conclusive(&self, poll: &PeerPoll, require_fresh: bool) -> bool {
-        let majority = poll.answers * 2 > poll.asked;
-        let fresh = !require_fresh || poll.age <= self.options.fresh_age;
-        majority && poll.version > ConfigVersion(0) && fresh
+    /// With `require_recent`, its confirmation also has to be recent.
+    fn is_conclusive(&self, poll: &PeerPoll, require_recent: bool) -> bool {
+        let majority = poll.answers * 2 > poll.queried;
+        let is_recent = !require_recent || poll.age <= self.options.max_confirmation_age;
+        majority && poll.version > ConfigVersion(0) && is_recent
     }
 }
 
--- a/crates/kumquatnotch-member/src/table.rs
+++ b/crates/kumquatnotch-member/src/table.rs
@@ -35,7 +35,7 @@
     /// The report contains nothing new.
     Stale,
     /// The report is new and is sent on.
-    Fresh,
+    New,
     /// The report has to be verified by a probe.
     NeedsCheck,
     /// The report suspected this node or declared it `gone`, and has been refuted.
@@ -177,20 +177,20 @@
         }
         if report.state != NodeState::Gone || !self.check_gone {
             self.put(report.clone(), until);
-            return Effect::Fresh;
+            return Effect::New;
         }
         if report.incarnation != entry.record.incarnation {
             // The incarnation known here has ended, as another one followed it. That the later
             // one is gone is only reported by others.
             self.put(NodeRecord { state: NodeState::Suspect, ..report.clone() }, until);
-            return Effect::Fresh;
+            return Effect::New;
         }
         match entry.record.state {
             NodeState::Up | NodeState::Suspect => Effect::NeedsCheck,
             // The node announced its departure itself.
             NodeState::Leaving | NodeState::Gone => {
                 self.put(report.clone(), until);
-                Effect::Fresh
+                Effect::New
             }
         }
     }
@@ -295,7 +295,7 @@
             return Effect::Stale;
         }
         self.put(report.clone(), until);
-        Effect::Fresh
+        Effect::New
     }
 
     /// Returns true if a later incarnation of another name has the address of `report`.
--- a/crates/kumquatnotch-member/tests/config.rs
+++ b/crates/kumquatnotch-member/tests/config.rs
@@ -1,10 +1,10 @@
 //! Tests of the configuration service under failures.
 
-mod fixture;
+mod common;
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-use fixture::{Node, State, World, address, run};
+use common::{Cluster, Node, State, address, run};
 use kumquatnotch_core::{
     ids::Digest,
     lifecycle::{Lifecycle, Stage},
@@ -20,24 +20,25 @@
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(19);
 
 /// Starts `count` nodes with version 1 and waits until all have it.
-async fn start_converged(world: &World, count: usize) -> Vec<Rc<Node>> {
-    world.platform.publish(1, 200);
-    let nodes = (0..count).map(|number| world.add_configured(number)).collect();
-    let ready = world.wait_until(30 * SECOND, || world.has_converged() && world.all_have(1)).await;
+async fn start_converged(cluster: &Cluster, count: usize) -> Vec<Rc<Node>> {
+    cluster.platform.publish(1, 200);
+    let nodes = (0..count).map(|number| cluster.add_configured(number)).collect();
+    let ready =
+        cluster.wait_until(30 * SECOND, || cluster.has_converged() && cluster.all_have(1)).await;
     assert!(ready.is_some());
-    world.sleep(10 * SECOND).await;
+    cluster.sleep(10 * SECOND).await;
     nodes
 }
 
 #[test]
 fn a_change_reaches_a_hundred_nodes() {
-    let (took, part_calls) = run(1, async |world| {
-        let nodes = start_converged(&world, 100).await;
-        let before = world.platform.calls.get();
-        world.platform.publish(2, 200);
-        let took = world.wait_until(30 * SECOND, || world.all_have(2)).await;
+    let (took, part_calls) = run(1, async |cluster| {
+        let nodes = start_converged(&cluster, 100).await;
+        let before = cluster.platform.calls.get();
+        cluster.platform.publish(2, 200);
+        let took = cluster.wait_until(30 * SECOND, || cluster.all_have(2)).await;
         assert_eq!(nodes[50].served(), Some(2));
-        (took, world.platform.calls.get() - before)
+        (took, cluster.platform.calls.get() - before)
     });
 
     assert!(took.unwrap() < 4 * SECOND, "took {took:?}");
@@ -54,11 +55,11 @@
     three = { 4 },
 )]
 fn version_never_decreases(seed: u64) {
-    let (decreases, last) = run(seed, async |world| {
-        let nodes = start_converged(&world, 20).await;
-        world.network.loss.set(0.1);
-        world.network.duplicates.set(0.2);
-        world.network.extra_delay.set(Duration::from_millis(400));
+    let (decreases, last) = run(seed, async |cluster| {
+        let nodes = start_converged(&cluster, 20).await;
+        cluster.network.loss.set(0.1);
+        cluster.network.duplicates.set(0.2);
+        cluster.network.extra_delay.set(Duration::from_millis(400));
         let seen = RefCell::new(vec![0; nodes.len()]);
         let decreases = RefCell::new(0);
         let watch = || {
@@ -70,14 +71,14 @@
             false
         };
         for version in 2..=11 {
-            world.platform.publish(version, 200);
-            let frozen = world.random.pick(&nodes).unwrap();
+            cluster.platform.publish(version, 200);
+            let frozen = cluster.random.pick(&nodes).unwrap();
             frozen.process.set(State::Frozen);
-            let span = SECOND.mul_f64(20.0 * world.random.fraction());
-            world.wait_until(span, watch).await;
+            let span = SECOND.mul_f64(20.0 * cluster.random.fraction());
+            cluster.wait_until(span, watch).await;
             frozen.process.set(State::Running);
         }
-        let last = world.wait_until(30 * SECOND, || watch() || world.all_have(11)).await;
+        let last = cluster.wait_until(30 * SECOND, || watch() || cluster.all_have(11)).await;
         (decreases.into_inner(), last)
     });
 
@@ -91,22 +92,22 @@
 /// When the platform returns, it must not receive a burst of queued calls.
 #[test]
 fn platform_outage_is_survived() {
-    let (age, born, calls, peak, after) = run(5, async |world| {
-        let nodes = start_converged(&world, 50).await;
-        world.platform.down.set(true);
-        let before = world.platform.calls.get();
-        world.sleep(90 * SECOND).await;
-        let joiner = world.add_configured(50);
-        let born = world.wait_until(30 * SECOND, || joiner.served() == Some(1)).await;
-        world.sleep(30 * SECOND).await;
+    let (age, born, calls, peak, after) = run(5, async |cluster| {
+        let nodes = start_converged(&cluster, 50).await;
+        cluster.platform.down.set(true);
+        let before = cluster.platform.calls.get();
+        cluster.sleep(90 * SECOND).await;
+        let joiner = cluster.add_configured(50);
+        let born = cluster.wait_until(30 * SECOND, || joiner.served() == Some(1)).await;
+        cluster.sleep(30 * SECOND).await;
         let age = nodes[30].members.confirmed().age_ms.unwrap();
-        let calls = world.platform.calls.get() - before;
+        let calls = cluster.platform.calls.get() - before;
         assert_eq!(nodes[30].served(), Some(1));
-        world.platform.peak.set(0);
-        world.platform.publish(2, 200);
-        world.platform.down.set(false);
-        let after = world.wait_until(30 * SECOND, || world.all_have(2)).await;
-        (age, born, calls, world.platform.peak.get(), after)
+        cluster.platform.peak.set(0);
+        cluster.platform.publish(2, 200);
+        cluster.platform.down.set(false);
+        let after = cluster.wait_until(30 * SECOND, || cluster.all_have(2)).await;
+        (age, born, calls, cluster.platform.peak.get(), after)
     });
 
     assert!(age >= 120_000, "age {age} ms");
@@ -121,11 +122,11 @@
     many = { 200 },
 )]
 fn about_five_nodes_read_the_head(count: usize) {
-    let (rate, age) = run(6, async move |world| {
-        let nodes = start_converged(&world, count).await;
-        let before = world.platform.calls.get();
-        world.sleep(30 * SECOND).await;
-        let calls = world.platform.calls.get() - before;
+    let (rate, age) = run(6, async move |cluster| {
+        let nodes = start_converged(&cluster, count).await;
+        let before = cluster.platform.calls.get();
+        cluster.sleep(30 * SECOND).await;
+        let calls = cluster.platform.calls.get() - before;
         let ages = nodes.iter().map(|node| node.members.confirmed().age_ms.unwrap());
         (calls as f64 / 30.0, ages.max().unwrap())
     });
@@ -139,16 +140,16 @@
 /// first, and then serve the new version.
 #[test]
 fn unfrozen_node_rechecks_before_serving() {
-    let (at_once, first, took) = run(7, async |world| {
-        let nodes = start_converged(&world, 20).await;
+    let (at_once, first, took) = run(7, async |cluster| {
+        let nodes = start_converged(&cluster, 20).await;
         nodes[4].process.set(State::Frozen);
-        world.sleep(20 * SECOND).await;
-        world.platform.publish(2, 200);
-        world.sleep(10 * SECOND).await;
+        cluster.sleep(20 * SECOND).await;
+        cluster.platform.publish(2, 200);
+        cluster.sleep(10 * SECOND).await;
         nodes[4].process.set(State::Running);
         // A caller's request may be handled before any task of the node runs.
         let at_once = nodes[4].served();
-        let took = world.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
+        let took = cluster.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
         (at_once, nodes[4].served(), took)
     });
 
@@ -162,14 +163,14 @@
 /// timeout, and report the age of its confirmation.
 #[test]
 fn isolated_unfrozen_node_serves_after_timeout() {
-    let (took, served, age) = run(8, async |world| {
-        let nodes = start_converged(&world, 9).await;
+    let (took, served, age) = run(8, async |cluster| {
+        let nodes = start_converged(&cluster, 9).await;
         nodes[4].process.set(State::Frozen);
-        world.sleep(20 * SECOND).await;
-        world.platform.down.set(true);
-        world.network.cut(|from, to| from == address(4) || to == address(4));
+        cluster.sleep(20 * SECOND).await;
+        cluster.platform.down.set(true);
+        cluster.network.cut(|from, to| from == address(4) || to == address(4));
         nodes[4].process.set(State::Running);
-        let took = world.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
+        let took = cluster.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
         (took, nodes[4].served(), nodes[4].members.confirmed().age_ms.unwrap())
     });
 
@@ -183,11 +184,11 @@
 /// of five seconds.
 #[test]
 fn change_arrives_in_time_with_most_peers_unreachable() {
-    let took = run(15, async |world| {
-        let nodes = start_converged(&world, 12).await;
-        world.network.cut(|from, to| from == address(4) && to != address(11));
-        world.platform.publish(2, 200);
-        world.wait_until(60 * SECOND, || nodes[4].version() == 2).await
+    let took = run(15, async |cluster| {
+        let nodes = start_converged(&cluster, 12).await;
+        cluster.network.cut(|from, to| from == address(4) && to != address(11));
+        cluster.platform.publish(2, 200);
+        cluster.wait_until(60 * SECOND, || nodes[4].version() == 2).await
     });
 
     assert!(took.is_some_and(|took| took <= IN_FORCE_LIMIT), "took {took:?}");
@@ -197,11 +198,11 @@
 /// anybody confirmed, so it must never serve.
 #[test]
 fn new_node_without_confirmed_document_does_not_serve() {
-    let (stage, served) = run(9, async |world| {
-        world.platform.publish(1, 200);
-        world.platform.down.set(true);
-        let node = world.add_configured(7);
-        world.sleep(60 * SECOND).await;
+    let (stage, served) = run(9, async |cluster| {
+        cluster.platform.publish(1, 200);
+        cluster.platform.down.set(true);
+        let node = cluster.add_configured(7);
+        cluster.sleep(60 * SECOND).await;
         let lifecycle: Lifecycle = node.registry.find(services::LIFECYCLE).unwrap();
         (lifecycle.stage(), node.served())
     });
@@ -214,12 +215,12 @@
 /// must not undo an accepted change.
 #[test]
 fn reverted_platform_changes_nothing() {
-    let versions = run(10, async |world| {
-        let nodes = start_converged(&world, 9).await;
-        world.platform.publish(2, 200);
-        world.wait_until(10 * SECOND, || world.all_have(2)).await;
-        world.platform.publish(1, 200);
-        world.sleep(30 * SECOND).await;
+    let versions = run(10, async |cluster| {
+        let nodes = start_converged(&cluster, 9).await;
+        cluster.platform.publish(2, 200);
+        cluster.wait_until(10 * SECOND, || cluster.all_have(2)).await;
+        cluster.platform.publish(1, 200);
+        cluster.sleep(30 * SECOND).await;
         nodes.iter().map(|node| node.version()).collect::<Vec<_>>()
     });
 
@@ -230,14 +231,14 @@
 /// all would grow with 1,100 changes a day, so it keeps those of two versions.
 #[test]
 fn parts_of_old_versions_are_dropped() {
-    let kept = run(11, async |world| {
-        let nodes = start_converged(&world, 9).await;
-        let old = world.platform.digests();
+    let kept = run(11, async |cluster| {
+        let nodes = start_converged(&cluster, 9).await;
+        let old = cluster.platform.digests();
         for version in 2..=4 {
-            world.platform.publish(version, 200);
-            assert!(world.wait_until(10 * SECOND, || world.all_have(version)).await.is_some());
+            cluster.platform.publish(version, 200);
+            assert!(cluster.wait_until(10 * SECOND, || cluster.all_have(version)).await.is_some());
         }
-        let newest = world.platform.head_digests();
+        let newest = cluster.platform.head_digests();
         (held(&nodes[3], &old).await, held(&nodes[3], &newest).await, newest.len())
     });
 
@@ -264,14 +265,14 @@
 /// age of 584 million years.
 #[test]
 fn age_is_none_before_first_confirmation() {
-    let (before, after) = run(14, async |world| {
-        world.platform.down.set(true);
-        world.platform.publish(1, 10);
-        let node = world.add_configured(0);
-        world.sleep(5 * SECOND).await;
+    let (before, after) = run(14, async |cluster| {
+        cluster.platform.down.set(true);
+        cluster.platform.publish(1, 10);
+        let node = cluster.add_configured(0);
+        cluster.sleep(5 * SECOND).await;
         let before = node.members.confirmed();
-        world.platform.down.set(false);
-        assert!(world.wait_until(30 * SECOND, || node.served() == Some(1)).await.is_some());
+        cluster.platform.down.set(false);
+        assert!(cluster.wait_until(30 * SECOND, || node.served() == Some(1)).await.is_some());
         (before, node.members.confirmed())
     });
 
--- a/crates/kumquatnotch-member/tests/membership.rs
+++ b/crates/kumquatnotch-member/tests/membership.rs
@@ -1,10 +1,10 @@
 //! Tests of membership under failures.
 
-mod fixture;
+mod common;
 
 use std::{rc::Rc, time::Duration};
 
-use fixture::{Node, State, World, address, run};
+use common::{Cluster, Node, State, address, run};
 use kumquatnotch_core::{
     ids::Incarnation,
     lifecycle::{Lifecycle, Stage},
@@ -18,11 +18,11 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Starts `count` nodes and waits until they know each other.
-async fn start_converged(world: &World, count: usize) -> Vec<Rc<Node>> {
-    let nodes = (0..count).map(|number| world.add(number)).collect();
-    assert!(world.wait_until(30 * SECOND, || world.has_converged()).await.is_some());
+async fn start_converged(cluster: &Cluster, count: usize) -> Vec<Rc<Node>> {
+    let nodes = (0..count).map(|number| cluster.add(number)).collect();
+    assert!(cluster.wait_until(30 * SECOND, || cluster.has_converged()).await.is_some());
     // The changes of the start reach their transmit limit in this time.
-    world.sleep(10 * SECOND).await;
+    cluster.sleep(10 * SECOND).await;
     nodes
 }
 
@@ -41,12 +41,12 @@
     many = { 100 },
 )]
 fn simultaneous_start_converges(count: usize) {
-    let took = run(1, async move |world| {
-        (0..count).for_each(|number| drop(world.add(number)));
-        world.wait_until(30 * SECOND, || world.has_converged()).await
+    let elapsed = run(1, async move |cluster| {
+        (0..count).for_each(|number| drop(cluster.add(number)));
+        cluster.wait_until(30 * SECOND, || cluster.has_converged()).await
     });
 
-    assert!(took.unwrap() < 10 * SECOND, "took {took:?}");
+    assert!(elapsed.unwrap() < 10 * SECOND, "took {elapsed:?}");
 }
 
 /// A VM stops answering without refusing connections, so requests to it time out. Direct
@@ -57,13 +57,13 @@
     many = { 100, 15 },
 )]
 fn killed_node_is_declared_gone_everywhere(count: usize, limit: u32) {
-    let took = run(2, async move |world| {
-        let nodes = start_converged(&world, count).await;
-        world.kill(&nodes[4]);
-        world.wait_until(30 * SECOND, || world.is_gone_everywhere(&nodes[4].name)).await
+    let elapsed = run(2, async move |cluster| {
+        let nodes = start_converged(&cluster, count).await;
+        cluster.kill(&nodes[4]);
+        cluster.wait_until(30 * SECOND, || cluster.is_gone_everywhere(&nodes[4].name)).await
     });
 
-    assert!(took.unwrap() < limit * SECOND, "took {took:?}");
+    assert!(elapsed.unwrap() < limit * SECOND, "took {elapsed:?}");
 }
 
 /// A host pauses a node for a minute, and the others declare it gone. When it resumes, all
@@ -71,19 +71,19 @@
 /// nobody, and all nodes must know it again.
 #[test]
 fn unfrozen_node_suspects_nobody_and_rejoins() {
-    let (gone, least, known) = run(3, async |world| {
-        let nodes = start_converged(&world, 30).await;
+    let (gone, min_count, known) = run(3, async |cluster| {
+        let nodes = start_converged(&cluster, 30).await;
         nodes[4].process.set(State::Frozen);
-        world.sleep(60 * SECOND).await;
+        cluster.sleep(60 * SECOND).await;
         let gone = nodes.iter().filter(|node| node.members.find(&nodes[4].name).is_none()).count();
         nodes[4].process.set(State::Running);
-        let known = world.wait_until(30 * SECOND, || world.has_converged()).await;
-        (gone, world.min_during(20 * SECOND, || min_up(&nodes)).await, known)
+        let known = cluster.wait_until(30 * SECOND, || cluster.has_converged()).await;
+        (gone, cluster.min_during(20 * SECOND, || min_up(&nodes)).await, known)
     });
 
     assert_eq!(gone, 29);
     assert!(known.unwrap() < 5 * SECOND, "took {known:?}");
-    assert_eq!(least, 30);
+    assert_eq!(min_count, 30);
 }
 
 /// A node is suspected just before another one is paused for a minute, so the paused node
@@ -94,32 +94,32 @@
     without_freeze_detection = { 3_600 * SECOND, 19 },
 )]
 fn unfrozen_node_expires_no_suspicion(freeze_limit: Duration, expected: usize) {
-    let least = run(12, async move |world| {
+    let min_count = run(12, async move |cluster| {
         let change = move |options: &mut MembershipOptions| {
             options.freeze_limit = freeze_limit;
         };
         let nodes: Vec<_> = (0..20)
-            .map(|number| world.add_with(&format!("n{number}"), number, None, change))
+            .map(|number| cluster.add_with(&format!("n{number}"), number, None, change))
             .collect();
-        world.sleep(20 * SECOND).await;
-        world.network.cut(|from, to| from == address(9) || to == address(9));
+        cluster.sleep(20 * SECOND).await;
+        cluster.network.cut(|from, to| from == address(9) || to == address(9));
         let suspects = || {
             let record = nodes[4].members.find(&nodes[9].name);
             record.is_some_and(|record| record.state == NodeState::Suspect)
         };
-        assert!(world.wait_until(30 * SECOND, suspects).await.is_some());
+        assert!(cluster.wait_until(30 * SECOND, suspects).await.is_some());
         nodes[4].process.set(State::Frozen);
         // Requests to a machine that is paused for long time out.
-        world.network.cut(|_, to| to == address(4));
-        world.sleep(60 * SECOND).await;
+        cluster.network.cut(|_, to| to == address(4));
+        cluster.sleep(60 * SECOND).await;
         nodes[4].process.set(State::Running);
         // Its connections are broken, so for a moment it can only act on its own timers.
-        let alone = world.min_during(SECOND, || nodes[4].members.known().len()).await;
-        world.network.cut(|_, _| false);
-        alone.min(world.min_during(10 * SECOND, || nodes[4].members.known().len()).await)
+        let alone = cluster.min_during(SECOND, || nodes[4].members.known().len()).await;
+        cluster.network.cut(|_, _| false);
+        alone.min(cluster.min_during(10 * SECOND, || nodes[4].members.known().len()).await)
     });
 
-    assert_eq!(least, expected);
+    assert_eq!(min_count, expected);
 }
 
 /// Two regions are partitioned for three minutes, and each declares the other gone. After
@@ -128,23 +128,23 @@
 /// the sides must rejoin without intervention.
 #[test]
 fn partitioned_regions_rejoin() {
-    let (partitioned, least, healed) = run(4, async |world| {
-        let nodes = start_converged(&world, 60).await;
+    let (partitioned, min_count, healed) = run(4, async |cluster| {
+        let nodes = start_converged(&cluster, 60).await;
         let in_south = |address| centre_of(address) == 2;
-        world.network.cut(move |from, to| in_south(from) != in_south(to));
-        world.sleep(180 * SECOND).await;
+        cluster.network.cut(move |from, to| in_south(from) != in_south(to));
+        cluster.sleep(180 * SECOND).await;
         let partitioned: Vec<usize> = nodes.iter().map(|node| node.up_count()).collect();
-        world.network.cut(|_, _| false);
-        let south: Vec<_> = world.in_centre("aqaba");
-        let least = world.min_during(10 * SECOND, || min_up(&south)).await;
-        let healed = world.wait_until(60 * SECOND, || world.has_converged()).await;
-        (partitioned, least, healed)
+        cluster.network.cut(|_, _| false);
+        let south: Vec<_> = cluster.in_centre("aqaba");
+        let min_count = cluster.min_during(10 * SECOND, || min_up(&south)).await;
+        let healed = cluster.wait_until(60 * SECOND, || cluster.has_converged()).await;
+        (partitioned, min_count, healed)
     });
 
     let expected: Vec<usize> =
         (0..60).map(|number| if number % 3 == 2 { 20 } else { 40 }).collect();
     assert_eq!(partitioned, expected);
-    assert_eq!(least, 20);
+    assert_eq!(min_count, 20);
     // Ten seconds have already passed before this wait.
     assert!(healed.unwrap() < 50 * SECOND, "took {healed:?}");
 }
@@ -154,13 +154,13 @@
 /// lost. Helpers in the third data centre still reach all nodes.
 #[test]
 fn one_way_partition_removes_nobody() {
-    let least = run(5, async |world| {
-        let nodes = start_converged(&world, 30).await;
-        world.network.cut(|from, to| centre_of(from) == 0 && centre_of(to) == 2);
-        world.min_during(120 * SECOND, || min_known(&nodes)).await
+    let min_count = run(5, async |cluster| {
+        let nodes = start_converged(&cluster, 30).await;
+        cluster.network.cut(|from, to| centre_of(from) == 0 && centre_of(to) == 2);
+        cluster.min_during(120 * SECOND, || min_known(&nodes)).await
     });
 
-    assert_eq!(least, 30);
+    assert_eq!(min_count, 30);
 }
 
 /// All messages to one node are lost for two minutes, while its own messages arrive. All
@@ -171,22 +171,22 @@
     without_required_helper = { false, false },
 )]
 fn node_without_inbound_traffic_suspects_nobody(require_helper: bool, expected: bool) {
-    let least = run(6, async move |world| {
+    let min_count = run(6, async move |cluster| {
         let change = move |options: &mut MembershipOptions| {
             options.require_helper = require_helper;
         };
         let nodes: Vec<_> = (0..20)
-            .map(|number| world.add_with(&format!("n{number}"), number, None, change))
+            .map(|number| cluster.add_with(&format!("n{number}"), number, None, change))
             .collect();
-        world.wait_until(30 * SECOND, || world.has_converged()).await;
-        world.sleep(10 * SECOND).await;
-        world.network.cut(|_, to| to == address(7));
+        cluster.wait_until(30 * SECOND, || cluster.has_converged()).await;
+        cluster.sleep(10 * SECOND).await;
+        cluster.network.cut(|_, to| to == address(7));
         let others: Vec<_> = nodes.iter().filter(|node| &*node.name != "n7").cloned().collect();
         let up = || others.iter().map(|node| up_excluding(node, "n7")).min().unwrap();
-        world.min_during(120 * SECOND, up).await
+        cluster.min_during(120 * SECOND, up).await
     });
 
-    assert_eq!(least == 19, expected, "least {least}");
+    assert_eq!(min_count == 19, expected, "minimum {min_count}");
 }
 
 /// A data centre fails, and with it a third of all nodes. The others must detect this soon
@@ -194,18 +194,18 @@
 /// gone meanwhile.
 #[test]
 fn loss_of_a_data_centre_is_detected() {
-    let (took, least) = run(7, async |world| {
-        let nodes = start_converged(&world, 90).await;
-        for node in world.in_centre("aqaba") {
-            world.kill(&node);
+    let (elapsed, min_count) = run(7, async |cluster| {
+        let nodes = start_converged(&cluster, 90).await;
+        for node in cluster.in_centre("aqaba") {
+            cluster.kill(&node);
         }
         let rest: Vec<_> = nodes.iter().filter(|node| node.process.is_running()).cloned().collect();
-        let took = world.wait_until(60 * SECOND, || world.has_converged()).await;
-        (took, world.min_during(20 * SECOND, || min_up(&rest)).await)
+        let elapsed = cluster.wait_until(60 * SECOND, || cluster.has_converged()).await;
+        (elapsed, cluster.min_during(20 * SECOND, || min_up(&rest)).await)
     });
 
-    assert!(took.unwrap() < 30 * SECOND, "took {took:?}");
-    assert_eq!(least, 60);
+    assert!(elapsed.unwrap() < 30 * SECOND, "took {elapsed:?}");
+    assert_eq!(min_count, 60);
 }
 
 /// A VM is replaced within seconds by one with the same address, and in some cases the same
@@ -218,29 +218,29 @@
     same_name_with_earlier_clock = { "n4", 0 },
 )]
 fn reused_address_belongs_to_new_incarnation(name: &'static str, stamp: u64) {
-    let (known, took) = run(8, async move |world| {
-        let nodes = start_converged(&world, 20).await;
-        world.kill(&nodes[4]);
-        world.sleep(SECOND).await;
+    let (known, elapsed) = run(8, async move |cluster| {
+        let nodes = start_converged(&cluster, 20).await;
+        cluster.kill(&nodes[4]);
+        cluster.sleep(SECOND).await;
         let change = |options: &mut MembershipOptions| {
             options.incarnation = Some(Incarnation(stamp << 22 | 1));
         };
-        let new = world.add_with(name, 4, None, change);
-        let took = world.wait_until(30 * SECOND, || {
+        let new = cluster.add_with(name, 4, None, change);
+        let elapsed = cluster.wait_until(30 * SECOND, || {
             let incarnation = new.members.local().incarnation;
             let known = |node: &Rc<Node>| {
                 let record = node.members.find(&new.name);
                 record.is_some_and(|record| record.incarnation == incarnation)
             };
-            world.has_converged() && world.nodes.borrow().iter().all(known)
+            cluster.has_converged() && cluster.nodes.borrow().iter().all(known)
         });
-        let took = took.await;
+        let elapsed = elapsed.await;
         let known: Vec<usize> =
-            world.nodes.borrow().iter().map(|node| node.members.known().len()).collect();
-        (known, took)
+            cluster.nodes.borrow().iter().map(|node| node.members.known().len()).collect();
+        (known, elapsed)
     });
 
-    assert!(took.unwrap() < 10 * SECOND, "took {took:?}");
+    assert!(elapsed.unwrap() < 10 * SECOND, "took {elapsed:?}");
     assert_eq!(known, vec![20; 20]);
 }
 
@@ -250,16 +250,16 @@
 /// a limited time; the node that announced its departure must not be listed.
 #[test]
 fn partitioned_node_is_listed_as_lost_for_ten_minutes() {
-    let (early, late, back) = run(15, async |world| {
-        let nodes = start_converged(&world, 20).await;
-        world.network.cut(|from, to| from == address(4) || to == address(4));
-        world.sleep(60 * SECOND).await;
+    let (early, late, rejoined) = run(15, async |cluster| {
+        let nodes = start_converged(&cluster, 20).await;
+        cluster.network.cut(|from, to| from == address(4) || to == address(4));
+        cluster.sleep(60 * SECOND).await;
         let leaver = nodes[7].clone();
         leaver.members.leave();
-        world.sleep(12 * SECOND).await;
+        cluster.sleep(12 * SECOND).await;
         leaver.members.announce_shutdown().await;
-        world.kill(&leaver);
-        world.sleep(60 * SECOND).await;
+        cluster.kill(&leaver);
+        cluster.sleep(60 * SECOND).await;
         let lost = || {
             let others = nodes.iter().filter(|node| !["n4", "n7"].contains(&&*node.name));
             let lost = others.map(|node| node.members.lost());
@@ -267,31 +267,34 @@
                 .collect::<Vec<Vec<String>>>()
         };
         let early = lost();
-        world.sleep(500 * SECOND).await;
+        cluster.sleep(500 * SECOND).await;
         let late = lost();
-        world.network.cut(|_, _| false);
-        let back = world.wait_until(60 * SECOND, || world.has_converged()).await;
-        (early, late, back)
+        cluster.network.cut(|_, _| false);
+        let rejoined = cluster.wait_until(60 * SECOND, || cluster.has_converged()).await;
+        (early, late, rejoined)
     });
 
     assert_eq!(early, vec![vec!["n4"]; 18]);
     assert_eq!(late, vec![Vec::<String>::new(); 18]);
-    assert!(back.is_some());
+    assert!(rejoined.is_some());
 }
 
 #[test]
 fn leaving_node_is_known_and_removed_everywhere() {
-    let (announced, removed) = run(9, async |world| {
-        let nodes = start_converged(&world, 50).await;
+    let (announced, removed) = run(9, async |cluster| {
+        let nodes = start_converged(&cluster, 50).await;
         let leaver = nodes[7].clone();
         leaver.members.leave();
         let is_leaving = |node: &Rc<Node>| {
             node.members.find(&leaver.name).map(|record| record.state) == Some(NodeState::Leaving)
         };
-        let announced = world.wait_until(20 * SECOND, || nodes.iter().all(is_leaving)).await;
+        let announced = cluster.wait_until(20 * SECOND, || nodes.iter().all(is_leaving)).await;
         leaver.members.announce_shutdown().await;
-        world.kill(&leaver);
-        (announced, world.wait_until(20 * SECOND, || world.is_gone_everywhere(&leaver.name)).await)
+        cluster.kill(&leaver);
+        (
+            announced,
+            cluster.wait_until(20 * SECOND, || cluster.is_gone_everywhere(&leaver.name)).await,
+        )
     });
 
     assert!(announced.unwrap() < 3 * SECOND, "took {announced:?}");
@@ -306,53 +309,53 @@
     by_exchange = { 0.0, 30 },
 )]
 fn serving_state_reaches_all_nodes(retransmit_factor: f64, limit: u32) {
-    let (before, took) = run(13, async move |world| {
+    let (before, elapsed) = run(13, async move |cluster| {
         let change =
             |options: &mut MembershipOptions| options.retransmit_factor = retransmit_factor;
         let nodes: Vec<_> = (0..50)
-            .map(|number| world.add_with(&format!("n{number}"), number, None, change))
+            .map(|number| cluster.add_with(&format!("n{number}"), number, None, change))
             .collect();
-        assert!(world.wait_until(60 * SECOND, || world.has_converged()).await.is_some());
+        assert!(cluster.wait_until(60 * SECOND, || cluster.has_converged()).await.is_some());
         let serves = |node: &Rc<Node>| node.members.find(&nodes[7].name).unwrap().serving;
         let before = nodes.iter().filter(|node| serves(node)).count();
         let lifecycle: Lifecycle = nodes[7].registry.find(services::LIFECYCLE).unwrap();
         lifecycle.advance(Stage::Serving);
-        (before, world.wait_until(60 * SECOND, || nodes.iter().all(serves)).await)
+        (before, cluster.wait_until(60 * SECOND, || nodes.iter().all(serves)).await)
     });
 
     assert_eq!(before, 0);
-    assert!(took.unwrap() < limit * SECOND, "took {took:?}");
+    assert!(elapsed.unwrap() < limit * SECOND, "took {elapsed:?}");
 }
 
 /// One message in ten is lost, and each round trip takes two. Probes fail often, but
 /// indirect probes and refutations compensate, so no node may be declared gone.
 #[test]
 fn message_loss_removes_nobody() {
-    let least = run(10, async |world| {
-        let nodes = start_converged(&world, 30).await;
-        world.network.loss.set(0.1);
-        world.network.duplicates.set(0.05);
-        world.min_during(180 * SECOND, || min_known(&nodes)).await
+    let min_count = run(10, async |cluster| {
+        let nodes = start_converged(&cluster, 30).await;
+        cluster.network.loss.set(0.1);
+        cluster.network.duplicates.set(0.05);
+        cluster.min_during(180 * SECOND, || min_known(&nodes)).await
     });
 
-    assert_eq!(least, 30);
+    assert_eq!(min_count, 30);
 }
 
 /// A mark is set once, and nodes gossip it repeatedly, some duplicates arriving seconds
 /// late. If a duplicate counted as a renewal, the mark would never expire.
 #[test]
 fn mark_expires_everywhere() {
-    let (spread, early, late) = run(11, async |world| {
-        let nodes = start_converged(&world, 40).await;
-        world.network.duplicates.set(0.3);
-        world.network.extra_delay.set(Duration::from_millis(200));
+    let (spread, early, late) = run(11, async |cluster| {
+        let nodes = start_converged(&cluster, 40).await;
+        cluster.network.duplicates.set(0.3);
+        cluster.network.extra_delay.set(Duration::from_millis(200));
         let kind = MarkKind::Draining("target-1".into());
         nodes[0].members.set(Mark { kind: kind.clone(), left_ms: 30_000 });
         let held = || nodes.iter().filter(|node| node.members.left_ms(&kind).is_some()).count();
-        let spread = world.wait_until(20 * SECOND, || held() == 40).await;
-        world.sleep(24 * SECOND).await;
+        let spread = cluster.wait_until(20 * SECOND, || held() == 40).await;
+        cluster.sleep(24 * SECOND).await;
         let early = held();
-        world.sleep(12 * SECOND).await;
+        cluster.sleep(12 * SECOND).await;
         (spread, early, held())
     });
 
@@ -361,7 +364,7 @@
 }
 
 fn centre_of(address: std::net::SocketAddr) -> usize {
-    (0..200).find(|number| fixture::address(*number) == address).unwrap() % 3
+    (0..200).find(|number| common::address(*number) == address).unwrap() % 3
 }
 
 /// Returns the number of nodes besides `name` that a node knows as up.
@@ -376,18 +379,19 @@
 /// without a helper that the processes have ended.
 #[test]
 fn last_node_detects_that_all_others_ended() {
-    let (suspect, gone, left) = run(21, async |world| {
-        let nodes = start_converged(&world, 3).await;
+    let (suspect, gone, left) = run(21, async |cluster| {
+        let nodes = start_converged(&cluster, 3).await;
         nodes[2].members.leave();
-        world.sleep(SECOND).await;
+        cluster.sleep(SECOND).await;
         for node in &nodes[1..] {
-            world.kill(node);
-            world.network.refuse(node.address);
+            cluster.kill(node);
+            cluster.network.refuse(node.address);
         }
         let state =
             |index: usize| nodes[0].members.find(&nodes[index].name).map(|record| record.state);
-        let suspect = world.wait_until(10 * SECOND, || state(1) == Some(NodeState::Suspect)).await;
-        let gone = world.wait_until(10 * SECOND, || state(1).is_none()).await;
+        let suspect =
+            cluster.wait_until(10 * SECOND, || state(1) == Some(NodeState::Suspect)).await;
+        let gone = cluster.wait_until(10 * SECOND, || state(1).is_none()).await;
         (suspect, gone, state(2))
     });
 
