--- a/crates/kumquatnotch-config/src/document_store.rs
+++ b/crates/kumquatnotch-config/src/document_store.rs
@@ -306,7 +306,7 @@
     Ok(stored.values.iter().filter(|value| !is_used(value.digest)).collect())
 }
 
-/// Returns true if the write of `ours` took effect: `now` or its history contains it.
+/// Returns whether the write of `ours` took effect: `now` or its history contains it.
 fn contains_write(now: &Head, ours: &Head) -> bool {
     now.write == ours.write || now.history.iter().any(|past| past.write == ours.write)
 }
--- a/crates/kumquatnotch-config/src/reader.rs
+++ b/crates/kumquatnotch-config/src/reader.rs
@@ -67,7 +67,7 @@
         (None, faults)
     }
 
-    /// Returns true if `reason` is a missing field whose faulty value was removed before.
+    /// Returns whether `reason` is a missing field whose faulty value was removed before.
     fn is_reported(&self, faults: &[Fault], path: &[&str], reason: &str) -> bool {
         let Some(field) = quoted_after("missing field `", reason) else {
             return false;
--- a/crates/kumquatnotch-core/src/answer.rs
+++ b/crates/kumquatnotch-core/src/answer.rs
@@ -42,7 +42,7 @@
 }
 
 impl Coverage {
-    /// Returns true if every shard answered.
+    /// Returns whether every shard answered.
     pub fn is_full(&self) -> bool {
         self.covered == self.asked
     }
--- a/crates/kumquatnotch-core/src/errors.rs
+++ b/crates/kumquatnotch-core/src/errors.rs
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Returns true if it is certain that no target ran the request.
+    /// Returns whether it is certain that no target ran the request.
     pub fn is_not_run(&self) -> bool {
         match self {
             // Nothing was sent, or the refusing side reports that it ran nothing.
--- a/crates/kumquatnotch-core/src/labels.rs
+++ b/crates/kumquatnotch-core/src/labels.rs
@@ -55,7 +55,7 @@
         Ok(Expression { source: source.to_owned(), terms })
     }
 
-    /// Returns true if every term holds for `labels`.
+    /// Returns whether every term holds for `labels`.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.terms.iter().all(|term| term.matches(labels))
     }
--- a/crates/kumquatnotch-core/src/report.rs
+++ b/crates/kumquatnotch-core/src/report.rs
@@ -33,7 +33,7 @@
 }
 
 impl NodeReport {
-    /// Returns true if the node reported that `version` or a later one is in force.
+    /// Returns whether the node reported that `version` or a later one is in force.
     pub fn has_version(&self, version: ConfigVersion) -> bool {
         self.confirmation.is_some_and(|confirmation| confirmation.version >= version)
     }
--- a/crates/kumquatnotch-core/src/stored.rs
+++ b/crates/kumquatnotch-core/src/stored.rs
@@ -152,6 +152,6 @@
 ) -> Result<T> {
     match value(digest) {
         Some(bytes) => codec::decode(bytes),
-        None => Err(Error::internal(format!("part {digest} is missing"))),
+        None => Err(Error::internal(format!("value {digest} is missing"))),
     }
 }
--- a/crates/kumquatnotch-ctl/src/context.rs
+++ b/crates/kumquatnotch-ctl/src/context.rs
@@ -46,7 +46,7 @@
         Ok(DocumentStore::new(client, self.clock.clone(), self.random.clone()))
     }
 
-    /// Returns true if `--node` was given.
+    /// Returns whether `--node` was given.
     pub fn has_node(&self) -> bool {
         self.node.is_some()
     }
--- a/crates/kumquatnotch-ctl/src/explain_command.rs
+++ b/crates/kumquatnotch-ctl/src/explain_command.rs
@@ -233,7 +233,7 @@
     }
 }
 
-/// Returns true if an answer was late; false if its log line has no due time.
+/// Returns whether an answer was late; false if its log line has no due time.
 fn is_late(line: &Line) -> bool {
     line.fields.contains_key("due_ms")
         && line.number("ms") > line.number("due_ms") + LATE_TOLERANCE_MS
--- a/crates/kumquatnotch-holder/src/slots.rs
+++ b/crates/kumquatnotch-holder/src/slots.rs
@@ -356,8 +356,7 @@
 /// Removes the waiters with less than [`MIN_CALL_TIME`] left until their deadline.
 ///
 /// A slot released just before the deadline of a waiter would start a call whose result is
-/// useless. An exclusive request would then run after its caller was
-/// notified that it expired.
+/// useless. An exclusive request would then run after its caller was notified that it expired.
 pub fn expire_waiters(shard: &mut Shard, now: Instant) {
     for waiter in shard.queue.expire(now + MIN_CALL_TIME) {
         if let Some(entry) = shard.pending.remove(&waiter.id) {
--- a/crates/kumquatnotch-member/src/config_service.rs
+++ b/crates/kumquatnotch-member/src/config_service.rs
@@ -114,7 +114,7 @@
         self.members.head_state.in_force().map(|state| state.version).unwrap_or_default()
     }
 
-    /// Returns true if the document in force may be served.
+    /// Returns whether the document in force may be served.
     ///
     /// Returns false after a freeze of this process until peers or the platform have been
     /// queried, at most for [`ConfigOptions::recheck_timeout`].
@@ -229,7 +229,11 @@
                 PeerMessage::ConfigState => {
                     PeerReply::ConfigState(self.members.head_state.confirmation())
                 }
-                _ => return Err(Error::protocol("not a configuration message")),
+                _ => {
+                    return Err(Error::protocol(
+                        "unexpected message for the configuration service",
+                    ));
+                }
             };
             traffic::count_reply(&reply);
             Ok(reply)
--- a/crates/kumquatnotch-member/src/deltas.rs
+++ b/crates/kumquatnotch-member/src/deltas.rs
@@ -4,7 +4,7 @@
 //! least-sent changes first. With a factor of m a node misses a change with a probability
 //! of about n^-m, and the cost is bounded: 23 times 75 bytes at 1,900 nodes. The exchange
 //! of hashes repairs what was missed. While the byte budget is low, receiving a change
-//! again counts as a transmission, since it shows that others know it.
+//! again counts as a transmission, since other nodes evidently have it.
 
 use kumquatnotch_core::{
     collections::HashMap,
@@ -52,7 +52,7 @@
         self.add(DeltaKey::Mark(update.mark.kind.clone()), encoded_len(update));
     }
 
-    /// Returns true if a change was sent fewer than `limit` times.
+    /// Returns whether a change was sent fewer than `limit` times.
     pub(crate) fn has_recent(&self, limit: u32) -> bool {
         self.queued.values().any(|delta| delta.sent < limit)
     }
@@ -132,7 +132,7 @@
         self.available.max(0.0) as usize
     }
 
-    /// Returns true if more than half of the burst is left, so that less urgent changes may be
+    /// Returns whether more than half of the burst is left, so that less urgent changes may be
     /// sent.
     pub(crate) fn is_half_full(&self) -> bool {
         self.available > self.burst / 2.0
--- a/crates/kumquatnotch-member/src/exchange.rs
+++ b/crates/kumquatnotch-member/src/exchange.rs
@@ -62,7 +62,7 @@
         self.join_round(&addresses).await;
     }
 
-    /// Returns true if peers have a document that this node can wait for.
+    /// Returns whether peers have a document that this node can wait for.
     ///
     /// If no peer has one, as when all nodes start at once, this node must announce itself: the
     /// nodes divide the reads of the platform by the number of known nodes.
@@ -89,7 +89,7 @@
             };
             interval = match self.exchange_with(peer.peer).await {
                 Ok(Difference::Found) => self.options.exchange_min,
-                // The next exchange makes up for a failed one.
+                // The next exchange compensates for a failed one.
                 Ok(Difference::None) | Err(_) => (interval * 2).min(self.options.exchange_period),
             };
         }
@@ -160,11 +160,11 @@
         let deadline = self.clock.now() + self.options.probe_timeout;
         match self.send(address, &PeerMessage::Exchange(exchange), deadline).await? {
             PeerReply::Exchange(exchange) => Ok(exchange),
-            _ => Err(kumquatnotch_core::Error::protocol("unexpected reply to an exchange")),
+            _ => Err(kumquatnotch_core::Error::protocol("unexpected peer reply to an exchange")),
         }
     }
 
-    /// Returns true if a peer answered.
+    /// Returns whether a peer answered.
     async fn join_round(&self, addresses: &[SocketAddr]) -> bool {
         let mut others: Vec<SocketAddr> =
             addresses.iter().copied().filter(|address| *address != self.options.peer).collect();
--- a/crates/kumquatnotch-member/src/fetch.rs
+++ b/crates/kumquatnotch-member/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches the parts of a version: from the peers that announced it, from others, or from
+//! Fetches the values of a version: from the peers that announced it, from others, or from
 //! the platform.
 //!
 //! Only the digests that this node lacks are requested, and every value is verified against
@@ -29,7 +29,7 @@
 /// Maximum number of sources remembered per version.
 const SOURCE_LIMIT: usize = 8;
 
-/// Number of random peers asked if no source has a value.
+/// Number of random peers queried if no source has a value.
 const RANDOM_PEERS: usize = 3;
 
 /// Number of attempts before the version has to be announced again.
@@ -38,7 +38,7 @@
 /// Timeout of a fetch from a peer; its reply is larger than other control messages.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Delay after which the next peer is asked as well if the earlier ones have not finished.
+/// Delay after which the next peer is queried as well if the earlier ones have not finished.
 const HEDGE_DELAY: Duration = Duration::from_millis(500);
 
 /// Time between two attempts.
@@ -118,7 +118,7 @@
             };
             match self.fetch_version(head).await {
                 Ok(()) => continue,
-                Err(error) => warn!("config: version {} not fetched: {error}", head.version),
+                Err(error) => warn!("config: failed to fetch version {}: {error}", head.version),
             }
             if attempt + 1 < MAX_ATTEMPTS {
                 clock::sleep(&*self.clock, self.random.jitter(RETRY_DELAY)).await;
@@ -178,7 +178,7 @@
             self.fetch_from_platform(digests).await?;
         }
         match self.missing(digests).first() {
-            Some(digest) => Err(Error::internal(format!("part {digest} is missing"))),
+            Some(digest) => Err(Error::internal(format!("value {digest} is missing"))),
             None => Ok(()),
         }
     }
@@ -187,7 +187,7 @@
     ///
     /// A request to a peer that hangs or is partitioned fails only after the full timeout.
     /// Several of these in sequence would delay a change beyond the time within which it must be
-    /// in force, so the next peer is asked as well after [`HEDGE_DELAY`].
+    /// in force, so the next peer is queried as well after [`HEDGE_DELAY`].
     async fn fetch_from_peers(&self, sources: Vec<SocketAddr>, digests: &[Digest]) {
         let mut sources = sources.into_iter();
         let mut running = FuturesUnordered::new();
@@ -238,7 +238,7 @@
         let mut has_new = false;
         for value in values {
             if let Err(error) = stored::check_value(&value) {
-                warn!("config: rejected part {}: {error}", value.digest);
+                warn!("config: rejected value {}: {error}", value.digest);
                 continue;
             }
             let earlier = self.values.borrow_mut().insert(value.digest, Rc::new(value));
@@ -258,7 +258,7 @@
 
     fn value(&self, digest: Digest) -> Result<Rc<StoredValue>> {
         let value = self.values.borrow().get(&digest).cloned();
-        value.ok_or_else(|| Error::internal(format!("part {digest} is missing")))
+        value.ok_or_else(|| Error::internal(format!("value {digest} is missing")))
     }
 
     fn random_peers(&self) -> Vec<SocketAddr> {
--- a/crates/kumquatnotch-member/src/freeze_detector.rs
+++ b/crates/kumquatnotch-member/src/freeze_detector.rs
@@ -37,7 +37,7 @@
         Some(lost)
     }
 
-    /// Returns true if the process was frozen since the last tick; does not record a tick.
+    /// Returns whether the process was frozen since the last tick; does not record a tick.
     pub(crate) fn is_overdue(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.last.get()).saturating_sub(TICK_PERIOD) > self.limit
     }
--- a/crates/kumquatnotch-member/src/gossip.rs
+++ b/crates/kumquatnotch-member/src/gossip.rs
@@ -1,6 +1,6 @@
 //! Dissemination of changes: piggybacked on messages, pushed, and merged on receipt.
 //!
-//! A fresh change is pushed to a few peers at once, and again by each node that learns it,
+//! A recent change is pushed to a few peers at once, and again by each node that learns it,
 //! so that it reaches most nodes within one or two seconds. After that it is piggybacked on
 //! probes until its transmit limit is reached. Pushes stop while the byte budget is empty,
 //! as when a data centre is lost and hundreds of changes arrive together; those are then
@@ -19,8 +19,7 @@
 
 use crate::{deltas::DeltaKey, membership_service::MembershipService, table::Effect, traffic};
 
-/// Number of times that a change is sent before it is no longer pushed but only
-/// piggybacked.
+/// Number of transmissions after which a change is no longer pushed but only piggybacked.
 const PUSH_TRANSMIT_LIMIT: u32 = 4;
 
 /// Maximum size of the changes on a probe while the byte budget is empty.
@@ -157,7 +156,7 @@
         candidates.into_iter().take(count).cloned().collect()
     }
 
-    /// Pushes fresh changes while there are any.
+    /// Pushes recent changes while there are any.
     pub(crate) async fn run_pushes(self: Rc<Self>) {
         loop {
             clock::sleep(&*self.clock, self.random.jitter(self.options.push_period)).await;
@@ -187,7 +186,7 @@
     async fn push_one(&self, peer: &NodeRecord) {
         let gossip = self.gossip(Some(&peer.name), true);
         let deadline = self.clock.now() + self.options.probe_timeout;
-        // Pushes by other nodes and probes make up for a lost one.
+        // Pushes by other nodes and probes compensate for a lost push.
         let _ = self.send(peer.peer, &PeerMessage::News(gossip), deadline).await;
     }
 
@@ -205,7 +204,7 @@
         let now = self.clock.now();
         let available = self.byte_budget.borrow_mut().available(now);
         let limit = available.clamp(MIN_DELTA_BYTES, self.options.delta_limit);
-        // Half of the budget is reserved for fresh changes. Otherwise hundreds of old ones that
+        // Half of the budget is reserved for recent changes. Otherwise hundreds of old ones that
         // are still piggybacked would delay a suspicion and its refutation.
         let half_full = self.byte_budget.borrow().is_half_full();
         let below = if half_full { u32::MAX } else { PUSH_TRANSMIT_LIMIT };
--- a/crates/kumquatnotch-member/src/head_state.rs
+++ b/crates/kumquatnotch-member/src/head_state.rs
@@ -27,7 +27,7 @@
     /// `confirmed`.
     fn on_head(&self, head: HeadInfo, sender: SocketAddr, confirmed: Instant);
 
-    /// Returns true if a version is known that is above the one in force.
+    /// Returns whether a version is known that is above the one in force.
     fn has_newer(&self) -> bool;
 
     /// Handles that others declared this node gone, so that it may have missed changes.
@@ -59,7 +59,7 @@
         *self.listener.borrow_mut() = Some(listener);
     }
 
-    /// Returns true if no version is in force here, but a peer has one.
+    /// Returns whether no version is in force here, but a peer has one.
     pub(crate) fn awaits_first_version(&self) -> bool {
         self.state.get().is_none() && self.listener().is_some_and(|listener| listener.has_newer())
     }
--- a/crates/kumquatnotch-member/src/incarnation.rs
+++ b/crates/kumquatnotch-member/src/incarnation.rs
@@ -4,10 +4,10 @@
 //! and the low 22 bits are random. The greater number is the later incarnation.
 //!
 //! Clock skew can break this order: a process may be replaced by one with the same name or
-//! address whose clock is behind by more than the earlier process lived. The later
+//! address whose clock is behind by more than the run time of the earlier process. The later
 //! incarnation then looks like the earlier one. It detects this in the first exchange,
 //! before it is announced to any peer, and takes a number above the one that it found. If
-//! none of the peers that it asked knew the earlier incarnation, it finds out later. It is
+//! none of the queried peers knew the earlier incarnation, it detects this later. It is
 //! then reported as superseded and must be restarted, as its number must not change once
 //! tickets carry it.
 
--- a/crates/kumquatnotch-member/src/mark_store.rs
+++ b/crates/kumquatnotch-member/src/mark_store.rs
@@ -1,8 +1,8 @@
 //! The marks known to this node.
 //!
 //! A mark must expire even while it is gossiped. Each setting or renewal therefore draws a
-//! random stamp, and a node adopts a stamp only once, so a copy that returns later has no
-//! effect. The lifetime of a mark can grow only by the transit time of its messages, once
+//! random stamp, and a node adopts a stamp only once, so a duplicate that arrives later has
+//! no effect. The lifetime of a mark can grow only by the transit time of its messages, once
 //! per node that it passes, as each node counts the remaining time from the time left at
 //! the sender.
 //!
@@ -22,7 +22,7 @@
 /// A mark is renewed only if its remaining time is below this fraction of the requested
 /// time.
 ///
-/// Smaller renewals are not worth their messages.
+/// Smaller renewals would not justify the cost of their messages.
 const RENEWAL_SHARE: f64 = 0.5;
 
 /// The marks by kind.
@@ -59,7 +59,7 @@
         self.adopt(&update, now).then_some(update)
     }
 
-    /// Adopts a mark of a peer; returns true if it is new and has to be sent on.
+    /// Adopts a mark of a peer; returns true if it is new and has to be forwarded.
     pub(crate) fn adopt(&mut self, update: &MarkUpdate, now: Instant) -> bool {
         if update.mark.left_ms == 0 || self.seen.contains_key(&update.stamp) {
             return false;
--- a/crates/kumquatnotch-member/src/membership_service.rs
+++ b/crates/kumquatnotch-member/src/membership_service.rs
@@ -43,11 +43,11 @@
 
 /// Time for which a node that disappeared without notice is listed as lost.
 ///
-/// The node may only be partitioned and still serve an earlier document, and without the
-/// list an operator who waits for a change would be told that it is in force everywhere.
-/// Partitions between regions last for minutes. A node that is away for longer has most
-/// likely failed, and a longer list would hide the partitioned nodes among all failures of
-/// the day.
+/// The node may only be partitioned and still serve an earlier document. Without the list,
+/// the change that an operator waits for would be reported as in force everywhere.
+/// Partitions between regions last for minutes. A node that is unreachable for longer has
+/// most likely failed, and a longer list would hide the partitioned nodes among all
+/// failures of the day.
 const LOST_RETENTION: Duration = Duration::from_secs(600);
 
 /// Maintains the list of nodes and spreads the state that all nodes share.
@@ -135,8 +135,8 @@
 
     /// Announces, once, that this node has started to serve.
     ///
-    /// Before that it is up, as it answers peers and takes its turn in reading the platform, but
-    /// it would refuse callers and groups that are sent to it.
+    /// Before that it is up, as it answers peers and may read the platform, but it would refuse
+    /// callers and groups that are sent to it.
     pub(crate) fn announce_serving(&self) {
         if !self.table.borrow_mut().begin_serving() {
             return;
@@ -163,7 +163,7 @@
         self.push_to(self.options.push_fanout * 2).await;
     }
 
-    /// Returns true if a later process has this node's name or address.
+    /// Returns whether a later process has this node's name or address.
     ///
     /// The program should then finish its work and be restarted.
     pub fn is_superseded(&self) -> bool {
@@ -175,7 +175,7 @@
         self.freeze_detector.freezes()
     }
 
-    /// Detects a freeze of this process; called before any state is judged.
+    /// Detects a freeze of this process; called before any decision that depends on timeouts.
     ///
     /// Peers that did not answer during a freeze may be healthy. All suspicions are therefore
     /// extended by the time lost, and this node refutes in advance suspicions that others may
@@ -267,11 +267,12 @@
         }
     }
 
-    /// Declares suspects gone that did not refute in time, and forgets nodes gone for long.
+    /// Declares suspects gone that did not refute in time, and removes nodes that have been gone
+    /// for [`MembershipOptions::forget_after`].
     ///
-    /// The expiry of a suspicion is not announced: each node that received the suspicion lets it
-    /// expire itself. Shortly before, each node pings the suspect once. It may have missed the
-    /// refutation, which the reply then contains.
+    /// The expiry of a suspicion is not announced: each node that received the suspicion has its
+    /// own timer for it. Shortly before the expiry, each node pings the suspect once: it may have
+    /// missed the refutation, which the reply then contains.
     fn expire_suspicions(&self, now: Instant) {
         let mut table = self.table.borrow_mut();
         for name in table.take_expiring(now + self.options.suspicion_min / 4) {
@@ -360,7 +361,11 @@
                 PeerMessage::Exchange(exchange) => {
                     PeerReply::Exchange(self.answer_exchange(exchange))
                 }
-                _ => return Err(kumquatnotch_core::Error::protocol("not a membership message")),
+                _ => {
+                    return Err(kumquatnotch_core::Error::protocol(
+                        "unexpected message for the membership service",
+                    ));
+                }
             };
             traffic::count_reply(&reply);
             Ok(reply)
--- a/crates/kumquatnotch-member/src/options.rs
+++ b/crates/kumquatnotch-member/src/options.rs
@@ -35,7 +35,7 @@
     pub probe_timeout: Duration,
     /// Fraction of probes sent to nodes of the same data centre.
     pub local_share: f64,
-    /// Number of nodes asked to probe a node that did not answer.
+    /// Number of helpers that probe a node that did not answer this one.
     pub helpers: usize,
     /// Whether a node is suspected only if a helper answered in the same round.
     ///
@@ -57,9 +57,9 @@
     pub delta_rate: f64,
     /// Maximum size of a burst of changes, in bytes.
     pub delta_burst: f64,
-    /// Time between two pushes of fresh changes.
+    /// Time between two pushes of recent changes.
     pub push_period: Duration,
-    /// Number of nodes to which fresh changes are pushed at once.
+    /// Number of nodes to which recent changes are pushed at once.
     pub push_fanout: usize,
     /// Time between two anti-entropy exchanges while they find no difference.
     pub exchange_period: Duration,
@@ -147,7 +147,7 @@
     pub push_fanout: usize,
     /// Number of peers queried at startup and after a freeze.
     pub queried_peers: usize,
-    /// Maximum age of a confirmation that is accepted from peers without asking the platform.
+    /// Maximum age of a confirmation that is accepted from peers without reading the platform.
     pub max_confirmation_age: Duration,
     /// Maximum time after a freeze that a node queries peers and the platform before it serves
     /// again.
--- a/crates/kumquatnotch-member/src/probe.rs
+++ b/crates/kumquatnotch-member/src/probe.rs
@@ -27,13 +27,13 @@
 /// Number of checks per probe period.
 const CHECKS_PER_PROBE: u32 = 4;
 
-/// A node to probe out of turn.
+/// A node to probe ahead of the regular order.
 #[derive(Clone, Debug)]
 pub(crate) struct Check {
     name: NodeName,
     /// A report that it is gone, which the probe carries.
     report: Option<NodeRecord>,
-    /// Whether only a refutation is wanted, so that helpers are not asked.
+    /// Whether the probe only gives the suspect a chance to refute, so that no helpers are used.
     final_ping: bool,
 }
 
@@ -114,7 +114,7 @@
             PingResult::NoAck => self.probe_via_helpers(&subject).await,
         };
         self.detect_freeze();
-        // A freeze of this process looks like silence of its peers.
+        // During a freeze of this process, its peers appear to be silent.
         if self.freeze_detector.freezes() != freezes {
             return;
         }
@@ -227,7 +227,7 @@
         self.apply_effect(Effect::New, &record);
     }
 
-    /// Returns the next node to probe; a list that is used up is refilled and shuffled.
+    /// Returns the next node to probe; an empty list is refilled and shuffled.
     fn next_subject(
         &self,
         local_names: &mut Vec<NodeName>,
@@ -256,7 +256,7 @@
         None
     }
 
-    /// Returns the next node to check; skips checks that are settled by now.
+    /// Returns the next node to check; skips checks that are no longer needed.
     fn next_check(&self) -> Option<(NodeRecord, Check)> {
         let table = self.table.borrow();
         let mut checks = self.checks.borrow_mut();
--- a/crates/kumquatnotch-member/src/readers.rs
+++ b/crates/kumquatnotch-member/src/readers.rs
@@ -74,7 +74,7 @@
 
     /// Reads the head, which then is confirmed or becomes the wanted version.
     pub(crate) async fn read_head(&self) -> Result<Option<HeadInfo>> {
-        // The platform answered after this instant, however late the reply arrives.
+        // The platform answered after this instant, regardless of when the reply arrives.
         let sent_at = self.clock.now();
         let result = self.store.read(HEAD_KEY).await;
         metrics::counter!("kumquatnotch_head_readings_total").increment(1);
@@ -91,7 +91,7 @@
         Ok(Some(head_info))
     }
 
-    /// Returns true if this node is one of the readers.
+    /// Returns whether this node is one of the readers.
     ///
     /// Ranking 1,900 names each second would take most of the CPU time of the control plane, so
     /// the result is cached until the membership changes.
--- a/crates/kumquatnotch-member/src/recheck.rs
+++ b/crates/kumquatnotch-member/src/recheck.rs
@@ -5,7 +5,7 @@
 //! in an outage of the platform, it queries further peers and then takes the highest
 //! version: no change can be accepted during an outage, so the version that they have is
 //! still the newest. It reads the platform only if no peer has a document, and then as any
-//! node does, by rank or by chance, so that 1,900 nodes that start at once do not all call
+//! node does, as a reader or at random, so that 1,900 nodes that start at once do not all call
 //! the platform.
 //!
 //! One case can't be detected: a version may have been accepted just before the outage and
@@ -109,9 +109,9 @@
         self.start_fetch();
     }
 
-    /// Returns true if no peer has a document, but the platform does.
+    /// Returns whether no peer has a document, but the platform does.
     async fn can_use_platform(&self, poll: &PeerPoll, start: Instant) -> bool {
-        // By then the peers are known, and therefore the readers too.
+        // After this delay the peers are known, and therefore the readers too.
         let has_waited = self.clock.now().saturating_duration_since(start) >= PLATFORM_READ_DELAY;
         if poll.version > ConfigVersion(0) || !has_waited || !self.may_read() {
             return false;
@@ -136,7 +136,7 @@
         self.gate.open();
     }
 
-    /// Returns true if enough peers, or the platform, answered.
+    /// Returns whether enough peers, or the platform, answered.
     async fn recheck_once(&self) -> bool {
         let poll = self.poll_peers().await;
         self.is_conclusive(&poll, true) || self.read_head().await.is_ok()
@@ -160,7 +160,7 @@
         poll
     }
 
-    /// Returns true if more than half of the peers answered and one has a document.
+    /// Returns whether more than half of the peers answered and one has a document.
     ///
     /// With `require_recent`, its confirmation also has to be recent.
     fn is_conclusive(&self, poll: &PeerPoll, require_recent: bool) -> bool {
--- a/crates/kumquatnotch-member/src/table.rs
+++ b/crates/kumquatnotch-member/src/table.rs
@@ -7,9 +7,9 @@
 //!
 //! A report that a node is gone which is up here is not applied directly. After a partition
 //! between regions, each side considers the other gone. If a node applied such a report,
-//! the first message across would make it drop its own side and spread that further. The
-//! report therefore only triggers a probe of the node, which carries the report and so
-//! allows the node to refute it.
+//! the first message across would make it drop the nodes of its own side and spread that
+//! further. The report therefore only triggers a probe of the node, which carries the report
+//! and so allows the node to refute it.
 
 use std::{
     collections::BTreeMap,
@@ -34,7 +34,7 @@
 pub(crate) enum Effect {
     /// The report contains nothing new.
     Stale,
-    /// The report is new and is sent on.
+    /// The report is new and is forwarded.
     New,
     /// The report has to be verified by a probe.
     NeedsCheck,
@@ -61,7 +61,7 @@
         self.record.state != NodeState::Gone
     }
 
-    /// Returns true if it announced its departure, which only the node itself can do.
+    /// Returns whether it announced its departure, which only the node itself can do.
     fn has_left(&self) -> bool {
         self.record.state == NodeState::Leaving || self.left
     }
@@ -286,7 +286,7 @@
         if report.incarnation > self.local.incarnation {
             return Effect::Superseded(report.incarnation);
         }
-        // An earlier process had this address and must be gone.
+        // An earlier process had this address and must have ended.
         Effect::Stale
     }
 
@@ -298,7 +298,7 @@
         Effect::New
     }
 
-    /// Returns true if a later incarnation of another name has the address of `report`.
+    /// Returns whether a later incarnation of another name has the address of `report`.
     fn is_address_taken(&self, report: &NodeRecord) -> bool {
         let Some(occupant) = self.by_address(report.peer) else {
             return false;
@@ -327,7 +327,7 @@
     (stable_hash(&[name.as_bytes()]) % BUCKET_COUNT as u64) as usize
 }
 
-/// Returns true if `report` takes precedence over `known`, a record of the same node.
+/// Returns whether `report` takes precedence over `known`, a record of the same node.
 pub(crate) fn supersedes(report: &NodeRecord, known: &NodeRecord) -> bool {
     let rank = |record: &NodeRecord| (record.incarnation, record.counter, record.state);
     rank(report) > rank(known)
--- a/crates/kumquatnotch-member/tests/config.rs
+++ b/crates/kumquatnotch-member/tests/config.rs
@@ -227,8 +227,8 @@
     assert_eq!(versions, vec![2; 9]);
 }
 
-/// Each version leaves parts behind that no later version contains. A node that kept them
-/// all would grow with 1,100 changes a day, so it keeps those of two versions.
+/// Each version leaves parts behind that no later version contains. If a node retained them
+/// all, its memory would grow with 1,100 changes a day, so it retains those of two versions.
 #[test]
 fn parts_of_old_versions_are_dropped() {
     let kept = run(11, async |cluster| {
--- a/crates/kumquatnotch-member/tests/membership.rs
+++ b/crates/kumquatnotch-member/tests/membership.rs
@@ -164,8 +164,8 @@
 }
 
 /// All messages to one node are lost for two minutes, while its own messages arrive. All
-/// other nodes look dead to it. As no helper answers it, it must not suspect them, so that
-/// they need not refute.
+/// other nodes look dead to it. As no helper answers it, it must not suspect them;
+/// otherwise all of them would have to refute.
 #[parameterized(
     with_required_helper = { true, true },
     without_required_helper = { false, false },
@@ -374,9 +374,9 @@
 }
 
 /// Of three nodes, one leaves and its shutdown announcement is lost, and another is killed.
-/// The last node then has no helper left, and without one it would consider the killed node
-/// up for good and report it so to operators. As the VMs refuse connections, it can detect
-/// without a helper that the processes have ended.
+/// The last node then has no helper left. If it needed one, it would consider the killed
+/// node up forever and report it so to operators. As the VMs refuse connections, it can
+/// detect without a helper that the processes have ended.
 #[test]
 fn last_node_detects_that_all_others_ended() {
     let (suspect, gone, left) = run(21, async |cluster| {
