--- a/crates/kumquatnotch-core/src/answer.rs
+++ b/crates/kumquatnotch-core/src/answer.rs
@@ -82,7 +82,7 @@
     /// The shards that answered.
     pub covered: Vec<ShardName>,
     /// The shards that did not answer, with their errors.
-    pub missing: Vec<ShardFault>,
+    pub missing: Vec<ShardError>,
     /// The versions of its shards that the holder knows of.
     pub held: Vec<ShardVersions>,
     /// Time that requests of this class wait for a slot at the holder, in microseconds.
@@ -91,7 +91,7 @@
 
 /// A shard that a holder could not answer for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShardFault {
+pub struct ShardError {
     /// The shard.
     pub shard: ShardName,
     /// The error.
--- a/crates/kumquatnotch-holder/src/group.rs
+++ b/crates/kumquatnotch-holder/src/group.rs
@@ -14,7 +14,7 @@
 };
 use kumquatnotch_core::{
     Error, Result,
-    answer::{GroupAnswer, ShardFault, ShardVersions},
+    answer::{GroupAnswer, ShardError, ShardVersions},
     document::Class,
     ids::{IndexVersion, ShardName, TenantName},
     query::GroupRequest,
@@ -149,11 +149,11 @@
                     hits.extend(reply.hits);
                     covered.push(shard);
                 }
-                Some(Err(error)) => missing.push(ShardFault { shard, error }),
+                Some(Err(error)) => missing.push(ShardError { shard, error }),
                 None if work.sent.get() => {
-                    missing.push(ShardFault { shard, error: Error::TimedOut });
+                    missing.push(ShardError { shard, error: Error::TimedOut });
                 }
-                None => missing.push(ShardFault { shard, error: Error::ExpiredInQueue }),
+                None => missing.push(ShardError { shard, error: Error::ExpiredInQueue }),
             }
         }
         let mut hits = merge_hits(hits, request.limit as usize);
--- a/crates/kumquatnotch-net/src/call_counts.rs
+++ b/crates/kumquatnotch-net/src/call_counts.rs
@@ -47,7 +47,7 @@
     }
 
     /// Records a call.
-    pub fn note(&self, kind: &'static str, outcome: Outcome) {
+    pub fn record(&self, kind: &'static str, outcome: Outcome) {
         let mut counts = self.counts.borrow_mut();
         let count = counts.entry(kind).or_default();
         let (count, label) = match outcome {
--- a/crates/kumquatnotch-net/src/client_connection.rs
+++ b/crates/kumquatnotch-net/src/client_connection.rs
@@ -30,8 +30,8 @@
     pub(crate) request: Request,
     /// The request id, unique within its pool.
     pub(crate) request_id: u64,
-    /// Receives the reply; after [`JobFault::NotSent`] another connection can be tried.
-    pub(crate) reply: oneshot::Sender<Result<Reply, JobFault>>,
+    /// Receives the reply; after [`JobError::NotSent`] another connection can be tried.
+    pub(crate) reply: oneshot::Sender<Result<Reply, JobError>>,
     /// Completes when the caller challenges the connection; see [`silence`].
     pub(crate) challenge: oneshot::Receiver<()>,
     /// Cancels the request at the other side, over another connection.
@@ -47,7 +47,7 @@
 
 /// Why a job failed.
 #[derive(Debug)]
-pub(crate) enum JobFault {
+pub(crate) enum JobError {
     /// No part of the request was sent.
     NotSent,
     /// The request may have been delivered.
@@ -91,7 +91,7 @@
             break;
         }
         served = true;
-        pool.note_success();
+        pool.record_success();
     }
     if let Some(pool) = pool.upgrade() {
         // A target that accepts connections but closes them before it serves a request is
@@ -134,7 +134,7 @@
     if let Some(check) = check
         && !answers(stream, check, pool, address).await
     {
-        let _ = reply.send(Err(JobFault::NotSent));
+        let _ = reply.send(Err(JobError::NotSent));
         return Disposition::Close;
     }
     // A caller that gave up during the check no longer waits, so the request must not run.
@@ -159,7 +159,7 @@
     let abandoned = reply.is_canceled();
     // Without a way to cancel, closing the connection tells the other side to stop.
     let Some(cancel) = cancel else {
-        let _ = reply.send(Err(JobFault::Failed(Error::TimedOut)));
+        let _ = reply.send(Err(JobError::Failed(Error::TimedOut)));
         return Disposition::Close;
     };
     let drain = pin!(async {
@@ -184,12 +184,12 @@
         }
         Drained::NoReply(CancelOutcome::Answered) => {
             silence::report(address, "no reply to a cancelled request");
-            let _ = reply.send(Err(JobFault::Failed(Error::ConnectionSilent)));
+            let _ = reply.send(Err(JobError::Failed(Error::ConnectionSilent)));
             Disposition::Close
         }
         // The target does not respond at all, so this connection alone is not at fault.
         Drained::NoReply(CancelOutcome::Unanswered) => {
-            let _ = reply.send(Err(JobFault::Failed(Error::TimedOut)));
+            let _ = reply.send(Err(JobError::Failed(Error::TimedOut)));
             Disposition::Close
         }
     }
@@ -219,7 +219,7 @@
 /// Passes a result to the caller.
 fn finish(
     result: Result<ExchangeResult>,
-    reply: oneshot::Sender<Result<Reply, JobFault>>,
+    reply: oneshot::Sender<Result<Reply, JobError>>,
     address: SocketAddr,
 ) -> Disposition {
     match result {
@@ -234,7 +234,7 @@
             }
             let disposition =
                 if error == Error::ConnectionLost { Disposition::Lost } else { Disposition::Close };
-            let _ = reply.send(Err(JobFault::Failed(error)));
+            let _ = reply.send(Err(JobError::Failed(error)));
             disposition
         }
     }
--- a/crates/kumquatnotch-net/src/exchange.rs
+++ b/crates/kumquatnotch-net/src/exchange.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     message::{REQUEST_ID_HEADER, Reply, Request},
-    reader::{Peek, ReadFault, ResponseReader},
+    reader::{Peek, ReadError, ResponseReader},
 };
 
 /// The read and write halves of a client connection.
@@ -109,11 +109,11 @@
     }
 }
 
-fn to_error(fault: ReadFault) -> Error {
-    match fault {
-        ReadFault::Closed => Error::ConnectionLost,
-        ReadFault::Malformed(detail) => Error::protocol(detail),
-        ReadFault::TooLong => Error::protocol("reply exceeds the size limit"),
+fn to_error(error: ReadError) -> Error {
+    match error {
+        ReadError::Closed => Error::ConnectionLost,
+        ReadError::Malformed(detail) => Error::protocol(detail),
+        ReadError::TooLong => Error::protocol("reply exceeds the size limit"),
     }
 }
 
--- a/crates/kumquatnotch-net/src/latency.rs
+++ b/crates/kumquatnotch-net/src/latency.rs
@@ -25,17 +25,17 @@
 
 impl LatencyEstimator {
     /// Records a reply to a request that was sent at `start`.
-    pub(crate) fn note(&self, start: Instant, now: Instant) {
-        let took = now.saturating_duration_since(start).as_secs_f64();
+    pub(crate) fn record(&self, start: Instant, now: Instant) {
+        let elapsed = now.saturating_duration_since(start).as_secs_f64();
         match self.mean.get() {
             None => {
-                self.mean.set(Some(took));
-                self.deviation.set(took / 2.0);
+                self.mean.set(Some(elapsed));
+                self.deviation.set(elapsed / 2.0);
             }
             // The weights are those of the TCP retransmission timer (RFC 6298).
             Some(mean) => {
-                self.deviation.set(0.75 * self.deviation.get() + 0.25 * (mean - took).abs());
-                self.mean.set(Some(0.875 * mean + 0.125 * took));
+                self.deviation.set(0.75 * self.deviation.get() + 0.25 * (mean - elapsed).abs());
+                self.mean.set(Some(0.875 * mean + 0.125 * elapsed));
             }
         }
         let mut starts = self.starts.borrow_mut();
--- a/crates/kumquatnotch-net/src/opaque_link.rs
+++ b/crates/kumquatnotch-net/src/opaque_link.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     message::{Reply, Request},
-    reader::{ReadFault, ResponseReader},
+    reader::{ReadError, ResponseReader},
     socket,
 };
 
@@ -188,10 +188,10 @@
     Some(idle.saturating_sub(IDLE_MARGIN))
 }
 
-fn to_error(fault: ReadFault) -> Error {
-    match fault {
-        ReadFault::Closed => Error::ConnectionLost,
-        ReadFault::Malformed(detail) => Error::protocol(detail),
-        ReadFault::TooLong => Error::protocol("reply exceeds the size limit"),
+fn to_error(error: ReadError) -> Error {
+    match error {
+        ReadError::Closed => Error::ConnectionLost,
+        ReadError::Malformed(detail) => Error::protocol(detail),
+        ReadError::TooLong => Error::protocol("reply exceeds the size limit"),
     }
 }
--- a/crates/kumquatnotch-net/src/outbound.rs
+++ b/crates/kumquatnotch-net/src/outbound.rs
@@ -10,7 +10,7 @@
 use kumquatnotch_core::{Clock, Error, Result, target::MIN_CALL_TIME};
 
 use crate::{
-    client_connection::{Cancel, Job, JobFault},
+    client_connection::{Cancel, Job, JobError},
     message::{DEADLINE_HEADER, Reply, Request},
     pool::{Lane, Pool},
 };
@@ -54,7 +54,7 @@
 /// Dropping it abandons the request. The request is then cancelled if
 /// [`OutboundRequest::cancel`] is set; otherwise its connection is closed.
 pub(crate) struct PendingRequest {
-    reply: oneshot::Receiver<Result<Reply, JobFault>>,
+    reply: oneshot::Receiver<Result<Reply, JobError>>,
     challenge: Option<oneshot::Sender<()>>,
     /// Time at which the request was passed to the connection.
     pub(crate) start: Instant,
@@ -66,10 +66,10 @@
         &mut self,
         clock: &dyn Clock,
         until: Instant,
-    ) -> Option<Result<Reply, JobFault>> {
+    ) -> Option<Result<Reply, JobError>> {
         match select(&mut self.reply, clock.sleep_until(until)).await {
             // A job that was dropped without a result was not sent.
-            Either::Left((result, _)) => Some(result.unwrap_or(Err(JobFault::NotSent))),
+            Either::Left((result, _)) => Some(result.unwrap_or(Err(JobError::NotSent))),
             Either::Right(_) => None,
         }
     }
@@ -104,12 +104,12 @@
             let idle = lease.idle_for();
             let check = outbound.check.as_ref().filter(|(age, _)| idle >= *age);
             let (reply, receiver) = oneshot::channel();
-            let (challenge, asked) = oneshot::channel();
+            let (challenge, challenged) = oneshot::channel();
             let job = Job {
                 request,
                 request_id: self.next_request_id(),
                 reply,
-                challenge: asked,
+                challenge: challenged,
                 cancel: outbound.cancel.clone(),
                 check: check.map(|(_, request)| request.clone()),
                 silence_timeout: outbound.silence_timeout,
@@ -132,8 +132,8 @@
             let mut pending = self.start(lane, outbound, deadline).await?;
             match pending.wait(&*self.clock, deadline).await {
                 Some(Ok(reply)) => return Ok(reply),
-                Some(Err(JobFault::Failed(error))) => return Err(error),
-                Some(Err(JobFault::NotSent)) => {}
+                Some(Err(JobError::Failed(error))) => return Err(error),
+                Some(Err(JobError::NotSent)) => {}
                 None => return Err(Error::TimedOut),
             }
         }
@@ -166,7 +166,7 @@
             other => other,
         };
         if result.is_ok() {
-            self.latency.note(now, self.clock.now());
+            self.latency.record(now, self.clock.now());
         }
         result
     }
--- a/crates/kumquatnotch-net/src/pool.rs
+++ b/crates/kumquatnotch-net/src/pool.rs
@@ -112,7 +112,7 @@
     fn drop(&mut self) {
         // The caller went away before it passed a job; the next waiter gets the connection.
         if let Some(slot) = self.slot.take() {
-            self.pool.hand_out(self.lane, slot, self.since);
+            self.pool.assign(self.lane, slot, self.since);
         }
     }
 }
@@ -184,10 +184,10 @@
 
     /// Accepts a connection that has become idle.
     pub(crate) fn offer(self: &Rc<Pool>, lane: Lane, slot: JobSender) {
-        self.hand_out(lane, slot, self.clock.now());
+        self.assign(lane, slot, self.clock.now());
     }
 
-    fn hand_out(self: &Rc<Pool>, lane: Lane, slot: JobSender, since: Instant) {
+    fn assign(self: &Rc<Pool>, lane: Lane, slot: JobSender, since: Instant) {
         // Dropping the slot closes the connection.
         if self.closed.get() {
             return;
@@ -199,7 +199,7 @@
             };
             match waiter.send(Ok(lease)) {
                 Ok(()) => return,
-                Err(Ok(back)) => lease = back,
+                Err(Ok(returned)) => lease = returned,
                 Err(Err(_)) => return,
             }
         }
@@ -209,7 +209,7 @@
     }
 
     /// Records that a request was served, which resets the backoff.
-    pub(crate) fn note_success(&self) {
+    pub(crate) fn record_success(&self) {
         self.failures.set(0);
     }
 
@@ -217,7 +217,7 @@
     /// before it served a request.
     pub(crate) fn closed(self: &Rc<Pool>, lane: Lane, dropped: bool) {
         if dropped {
-            self.note_failure(false);
+            self.record_failure(false);
         }
         {
             let mut state = self.lane(lane).borrow_mut();
@@ -300,12 +300,12 @@
         if self.refused.get() { Error::ConnectRefused } else { Error::ConnectFailed }
     }
 
-    fn note_failure(&self, refused: bool) {
+    fn record_failure(&self, refused: bool) {
         self.refused.set(refused);
         let failures = self.failures.get();
-        let pause = INITIAL_BACKOFF.saturating_mul(1 << failures.min(10)).min(MAX_BACKOFF);
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << failures.min(10)).min(MAX_BACKOFF);
         self.failures.set(failures.saturating_add(1));
-        self.backoff_end.set(self.clock.now() + self.random.jitter(pause));
+        self.backoff_end.set(self.clock.now() + self.random.jitter(backoff));
     }
 
     /// Fails the waiters of lanes without connections while the backoff is in effect.
@@ -350,7 +350,7 @@
                 let error = failed.ok().and_then(std::result::Result::err);
                 let refused =
                     error.is_some_and(|error| error.kind() == ErrorKind::ConnectionRefused);
-                pool.note_failure(refused);
+                pool.record_failure(refused);
                 break;
             }
         }
--- a/crates/kumquatnotch-net/src/reader.rs
+++ b/crates/kumquatnotch-net/src/reader.rs
@@ -42,7 +42,7 @@
 
 /// Why a message could not be read.
 #[derive(Debug)]
-pub(crate) enum ReadFault {
+pub(crate) enum ReadError {
     /// The connection was closed or lost.
     Closed,
     /// The message is not valid HTTP/1.1.
@@ -97,15 +97,15 @@
     }
 
     /// Reads a head, and returns it with the decoder for its body.
-    pub(crate) async fn head<H>(&mut self) -> Result<(H, BodyDecoder), ReadFault>
+    pub(crate) async fn head<H>(&mut self) -> Result<(H, BodyDecoder), ReadError>
     where
         FramedRead<Bounded, D>: Stream<Item = Result<(H, BodyDecoder), HttpError>>,
     {
         self.budget.set(HEAD_LIMIT);
         match self.framed.next().await {
             Some(Ok(head)) => Ok(head),
-            Some(Err(error)) => Err(self.fault(error)),
-            None => Err(ReadFault::Closed),
+            Some(Err(error)) => Err(self.read_error(error)),
+            None => Err(ReadError::Closed),
         }
     }
 
@@ -114,34 +114,34 @@
         &mut self,
         headers: &HeaderMap,
         decoder: BodyDecoder,
-    ) -> Result<Bytes, ReadFault> {
+    ) -> Result<Bytes, ReadError> {
         check_framing(headers)?;
         if content_length(headers).is_some_and(|length| length > self.limit as u64) {
-            return Err(ReadFault::TooLong);
+            return Err(ReadError::TooLong);
         }
         self.budget.set(self.limit + FRAMING_ALLOWANCE);
         match decoder {
             PayloadDecoder::None => Ok(Bytes::new()),
             PayloadDecoder::Fixed(mut decoder) => match self.framed.next_with(&mut decoder).await {
                 Some(Ok(body)) => Ok(body),
-                Some(Err(error)) => Err(self.fault(error.into())),
-                None => Err(ReadFault::Closed),
+                Some(Err(error)) => Err(self.read_error(error.into())),
+                None => Err(ReadError::Closed),
             },
             PayloadDecoder::Streamed(decoder) => self.chunks(decoder).await,
         }
     }
 
-    async fn chunks(&mut self, mut decoder: ChunkedBodyDecoder) -> Result<Bytes, ReadFault> {
+    async fn chunks(&mut self, mut decoder: ChunkedBodyDecoder) -> Result<Bytes, ReadError> {
         let mut body = BytesMut::new();
         loop {
             match self.framed.next_with(&mut decoder).await {
                 Some(Ok(Some(chunk))) => body.extend_from_slice(&chunk),
                 Some(Ok(None)) => return Ok(body.freeze()),
-                Some(Err(error)) => return Err(self.fault(error.into())),
-                None => return Err(ReadFault::Closed),
+                Some(Err(error)) => return Err(self.read_error(error.into())),
+                None => return Err(ReadError::Closed),
             }
             if body.len() > self.limit {
-                return Err(ReadFault::TooLong);
+                return Err(ReadError::TooLong);
             }
         }
     }
@@ -149,18 +149,18 @@
     /// Reads a body without a length, which ends where the connection is closed.
     ///
     /// Fails if the connection is reset: the bytes received until then are an incomplete body.
-    pub(crate) async fn body_to_end(&mut self) -> Result<Bytes, ReadFault> {
+    pub(crate) async fn body_to_end(&mut self) -> Result<Bytes, ReadError> {
         self.budget.set(self.limit + FRAMING_ALLOWANCE);
         let mut body = BytesMut::new();
         loop {
             match self.framed.peek_data().await {
                 Ok([]) => return Ok(body.freeze()),
                 Ok(_) => body.unsplit(self.framed.read_buffer_mut().split()),
-                Err(_) if self.budget.get() == 0 => return Err(ReadFault::TooLong),
-                Err(_) => return Err(ReadFault::Closed),
+                Err(_) if self.budget.get() == 0 => return Err(ReadError::TooLong),
+                Err(_) => return Err(ReadError::Closed),
             }
             if body.len() > self.limit {
-                return Err(ReadFault::TooLong);
+                return Err(ReadError::TooLong);
             }
         }
     }
@@ -181,16 +181,16 @@
         }
     }
 
-    fn fault(&self, error: HttpError) -> ReadFault {
+    fn read_error(&self, error: HttpError) -> ReadError {
         if self.budget.get() == 0 {
-            return ReadFault::TooLong;
+            return ReadError::TooLong;
         }
         match error {
             HttpError::IOError(_) | HttpError::H1DecodeError(DecodeError::Io(_)) => {
-                ReadFault::Closed
+                ReadError::Closed
             }
-            HttpError::H1DecodeError(DecodeError::UnexpectedEof) => ReadFault::Closed,
-            error => ReadFault::Malformed(error.to_string()),
+            HttpError::H1DecodeError(DecodeError::UnexpectedEof) => ReadError::Closed,
+            error => ReadError::Malformed(error.to_string()),
         }
     }
 }
@@ -205,11 +205,11 @@
 /// With two lengths, or a length and chunks, this process and an intermediary could disagree
 /// about where the message ends. The rest of one caller's message would then be taken for the
 /// request of another caller.
-fn check_framing(headers: &HeaderMap) -> Result<(), ReadFault> {
+fn check_framing(headers: &HeaderMap) -> Result<(), ReadError> {
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
     if lengths > 1 || (lengths == 1 && chunked) {
-        return Err(ReadFault::Malformed("ambiguous body length".to_owned()));
+        return Err(ReadError::Malformed("ambiguous body length".to_owned()));
     }
     Ok(())
 }
--- a/crates/kumquatnotch-net/src/server.rs
+++ b/crates/kumquatnotch-net/src/server.rs
@@ -36,7 +36,7 @@
 const CLOSE_POLL_PERIOD: Duration = Duration::from_millis(5);
 
 /// Pause of the accept loop when no more connections can be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Handles requests.
 pub trait Handler {
@@ -241,7 +241,7 @@
         if shared.open.get() >= shared.options.max_connections {
             // Further connections wait in the backlog of the kernel.
             shared.close_longest_idle();
-            let pause = clock::sleep(&*shared.clock, ACCEPT_PAUSE);
+            let pause = clock::sleep(&*shared.clock, ACCEPT_RETRY_DELAY);
             if let Either::Left(_) = select(end.as_mut(), pause).await {
                 return;
             }
@@ -258,7 +258,7 @@
                     "net: {} failed to accept a connection: {error}",
                     shared.options.name
                 );
-                clock::sleep(&*shared.clock, ACCEPT_PAUSE).await;
+                clock::sleep(&*shared.clock, ACCEPT_RETRY_DELAY).await;
             }
             Either::Right(_) => return,
         }
--- a/crates/kumquatnotch-net/src/server_connection.rs
+++ b/crates/kumquatnotch-net/src/server_connection.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     message::{REQUEST_ID_HEADER, Reply, Request},
-    reader::{Peek, ReadFault, RequestReader},
+    reader::{Peek, ReadError, RequestReader},
     server::{Context, Work},
 };
 
@@ -112,12 +112,12 @@
     let read = read_request(reader, encoder);
     let (mut request, keep_alive) = match clock::timeout_at(&*context.clock, deadline, read).await {
         Ok(Ok(request)) => request,
-        Ok(Err(ReadFault::Closed)) => return Next::End,
-        Ok(Err(ReadFault::Malformed(detail))) => {
+        Ok(Err(ReadError::Closed)) => return Next::End,
+        Ok(Err(ReadError::Malformed(detail))) => {
             refuse(reader, encoder, context, Error::bad_request(detail)).await;
             return Next::End;
         }
-        Ok(Err(ReadFault::TooLong)) => {
+        Ok(Err(ReadError::TooLong)) => {
             let limit = context.options.max_body as u64;
             refuse(reader, encoder, context, Error::BodyTooLarge { limit }).await;
             return Next::End;
@@ -162,13 +162,13 @@
 async fn read_request(
     reader: &mut RequestReader,
     encoder: &mut Encoder,
-) -> Result<(Request, bool), ReadFault> {
+) -> Result<(Request, bool), ReadError> {
     let (head, decoder): (Parts, _) = reader.head().await?;
     if expects_continue(&head) {
         let interim = Response::builder().status(StatusCode::CONTINUE).body(HttpBody::Ready(None));
         // The builder has only valid input, so it does not fail.
         if let Ok(interim) = interim {
-            encoder.send_and_flush(interim).await.map_err(|_| ReadFault::Closed)?;
+            encoder.send_and_flush(interim).await.map_err(|_| ReadError::Closed)?;
         }
     }
     let body = reader.body(&head.headers, decoder).await?;
@@ -206,7 +206,7 @@
 ) -> Option<Reply> {
     let Work { reply, detached } = work;
     let mut reply = reply.fuse();
-    let mut gone = pin!(client_gone(reader).fuse());
+    let mut disconnected = pin!(client_disconnected(reader).fuse());
     loop {
         let interim = context.options.interim_period.unwrap_or(Duration::MAX);
         let mut tick = pin!(
@@ -220,7 +220,7 @@
         );
         select_biased! {
             reply = reply => return Some(reply),
-            () = gone => {
+            () = disconnected => {
                 if !detached {
                     return None;
                 }
@@ -239,7 +239,7 @@
 /// Completes when the client has closed its end.
 ///
 /// Once a client has sent its next request early, its disconnection can't be detected any more.
-async fn client_gone(reader: &mut RequestReader) {
+async fn client_disconnected(reader: &mut RequestReader) {
     if reader.peek().await == Peek::Data {
         std::future::pending::<()>().await;
     }
--- a/crates/kumquatnotch-net/src/target_links.rs
+++ b/crates/kumquatnotch-net/src/target_links.rs
@@ -21,7 +21,7 @@
 };
 
 use crate::{
-    client_connection::{Cancel, JobFault},
+    client_connection::{Cancel, JobError},
     latency::LatencyEstimator,
     message::{JSON, Reply, Request},
     outbound::{OutboundRequest, PendingRequest},
@@ -40,7 +40,7 @@
 const LOAD_MAX_AGE: Duration = Duration::from_millis(40);
 
 /// Minimum and maximum pause between two load probes.
-const LOAD_PROBE_PAUSES: (Duration, Duration) =
+const LOAD_PROBE_INTERVALS: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(400));
 
 /// Time without challenges after a challenged connection of a target has answered.
@@ -182,8 +182,8 @@
             let pending = link.pool.start(Lane::Work, &request, deadline).await?;
             match self.await_reply(link, call, pending, deadline).await {
                 Ok(reply) => return target_reply::read_reply(call, &reply),
-                Err(JobFault::Failed(error)) => return Err(error),
-                Err(JobFault::NotSent) => {}
+                Err(JobError::Failed(error)) => return Err(error),
+                Err(JobError::NotSent) => {}
             }
         }
         Err(Error::ConnectFailed)
@@ -216,18 +216,18 @@
         call: &TargetCall,
         mut pending: PendingRequest,
         deadline: Instant,
-    ) -> Result<Reply, JobFault> {
+    ) -> Result<Reply, JobError> {
         let clock = &*self.clock;
         let latency = link.latency(call);
         let start = pending.start;
         let mut until = start + latency.late_threshold();
-        let mut pause = LOAD_PROBE_PAUSES.0;
+        let mut interval = LOAD_PROBE_INTERVALS.0;
         let mut idle_probes = 0;
         let mut challenged = false;
         loop {
             if let Some(result) = pending.wait(clock, until.min(deadline)).await {
                 if result.is_ok() {
-                    latency.note(start, clock.now());
+                    latency.record(start, clock.now());
                 }
                 if result.is_ok() && challenged {
                     link.start_cooldown(clock.now());
@@ -235,7 +235,7 @@
                 return result;
             }
             if clock.now() >= deadline {
-                return Err(JobFault::Failed(Error::TimedOut));
+                return Err(JobError::Failed(Error::TimedOut));
             }
             if call.exclusive || challenged || link.is_cooling_down(clock.now()) {
                 until = deadline;
@@ -248,10 +248,10 @@
                 let reply = pin!(pending.wait(clock, deadline));
                 match select(reply, probe).await {
                     Either::Left((Some(result), _)) => {
-                        latency.note(start, clock.now());
+                        latency.record(start, clock.now());
                         return result;
                     }
-                    Either::Left((None, _)) => return Err(JobFault::Failed(Error::TimedOut)),
+                    Either::Left((None, _)) => return Err(JobError::Failed(Error::TimedOut)),
                     Either::Right((Some(0), _)) => idle_probes += 1,
                     Either::Right((Some(_), _)) => idle_probes = 0,
                     Either::Right((None, _)) => {}
@@ -261,8 +261,8 @@
                 pending.challenge();
                 challenged = true;
             }
-            until = clock.now() + pause;
-            pause = (pause * 2).min(LOAD_PROBE_PAUSES.1);
+            until = clock.now() + interval;
+            interval = (interval * 2).min(LOAD_PROBE_INTERVALS.1);
         }
     }
 
@@ -332,7 +332,7 @@
             let link = self.link(name, spec.address);
             let start = self.clock.now();
             let result = self.run(&link, call, deadline).await;
-            let took = self.clock.now().saturating_duration_since(start);
+            let elapsed = self.clock.now().saturating_duration_since(start);
             let code = result.as_ref().err().map_or(0, Error::code);
             metrics::histogram!(
                 "kumquatnotch_target_seconds",
@@ -340,7 +340,7 @@
                 "class" => call.class.as_str(),
                 "code" => code.to_string(),
             )
-            .record(took.as_secs_f64());
+            .record(elapsed.as_secs_f64());
             result
         })
     }
--- a/crates/kumquatnotch-net/src/target_reply.rs
+++ b/crates/kumquatnotch-net/src/target_reply.rs
@@ -43,9 +43,9 @@
         }
         503 => Err(Error::Draining),
         410 => {
-            let asked = call.version.unwrap_or_default().0;
-            let gone: Option<Gone> = reply.read_json().ok();
-            let version = gone.and_then(|gone| gone.version).unwrap_or(asked);
+            let requested = call.version.unwrap_or_default().0;
+            let body: Option<Gone> = reply.read_json().ok();
+            let version = body.and_then(|body| body.version).unwrap_or(requested);
             Err(Error::VersionGone { version })
         }
         499 => Err(ended(reply, Error::Cancelled)),
@@ -68,8 +68,8 @@
     }
 }
 
-fn wrong_version(asked: IndexVersion, given: IndexVersion) -> Error {
-    Error::protocol(format!("asked for version {asked}, answered from {given}"))
+fn wrong_version(requested: IndexVersion, received: IndexVersion) -> Error {
+    Error::protocol(format!("requested version {requested}, reply is from version {received}"))
 }
 
 /// Returns the error for a request that ended early: `not_run` only if the target confirms that
--- a/crates/kumquatnotch-net/tests/common/mod.rs
+++ b/crates/kumquatnotch-net/tests/common/mod.rs
@@ -98,14 +98,14 @@
 /// A handler that calls a closure and records the paths of requests.
 pub struct Scripted {
     answer: Answer,
-    pub asked: RefCell<Vec<String>>,
+    pub paths: RefCell<Vec<String>>,
     /// Recorded round trips to clients.
     pub round_trips: RefCell<Vec<Duration>>,
 }
 
 impl Handler for Scripted {
     fn start(&self, request: Request) -> Work<'_> {
-        self.asked.borrow_mut().push(request.path.clone());
+        self.paths.borrow_mut().push(request.path.clone());
         (self.answer)(request)
     }
 
@@ -119,8 +119,8 @@
     options: ServerOptions,
     answer: impl Fn(Request) -> Work<'static> + 'static,
 ) -> (Server, Rc<Scripted>) {
-    let (asked, round_trips) = (RefCell::default(), RefCell::default());
-    let handler = Rc::new(Scripted { answer: Box::new(answer), asked, round_trips });
+    let (paths, round_trips) = (RefCell::default(), RefCell::default());
+    let handler = Rc::new(Scripted { answer: Box::new(answer), paths, round_trips });
     let server = Server::try_new(options, Rc::new(RuntimeClock), handler.clone());
     (server.expect("a free port is found"), handler)
 }
@@ -134,8 +134,8 @@
     })
 }
 
-/// Accepts connections and passes each to `talk`, numbered from zero.
-pub fn accept<F>(talk: impl Fn(usize, TcpStream) -> F + 'static) -> SocketAddr
+/// Accepts connections and passes each to `serve_stream`, numbered from zero.
+pub fn accept<F>(serve_stream: impl Fn(usize, TcpStream) -> F + 'static) -> SocketAddr
 where
     F: Future<Output = ()> + 'static,
 {
@@ -144,7 +144,7 @@
     monoio::spawn(async move {
         let mut number = 0;
         while let Ok((stream, _)) = listener.accept().await {
-            monoio::spawn(talk(number, stream));
+            monoio::spawn(serve_stream(number, stream));
             number += 1;
         }
     });
--- a/crates/kumquatnotch-net/tests/peer_links.rs
+++ b/crates/kumquatnotch-net/tests/peer_links.rs
@@ -243,11 +243,11 @@
         let start = Instant::now();
 
         let lost = links.send(address, &group(), after(5_000)).await;
-        let took = start.elapsed();
+        let elapsed = start.elapsed();
         let next = links.send(address, &group(), after(500)).await;
 
         assert_eq!(lost, Err(Error::ConnectionSilent));
-        assert!(took.as_millis() < 600, "{took:?}");
+        assert!(elapsed.as_millis() < 600, "{elapsed:?}");
         assert!(next.is_ok(), "{next:?}");
     });
 }
@@ -276,12 +276,12 @@
 fn an_exclusive_request_is_sent_once() {
     run(async {
         let seen = Rc::new(RefCell::new(0));
-        let counted = seen.clone();
+        let counter = seen.clone();
         let address = accept(move |_, mut stream| {
-            let counted = counted.clone();
+            let counter = counter.clone();
             async move {
                 read(&mut stream).await;
-                *counted.borrow_mut() += 1;
+                *counter.borrow_mut() += 1;
             }
         });
 
--- a/crates/kumquatnotch-net/tests/server.rs
+++ b/crates/kumquatnotch-net/tests/server.rs
@@ -58,7 +58,7 @@
         assert!(reply.starts_with(&format!("HTTP/1.1 {status} ")), "{reply}");
         assert!(reply.contains(&format!("\"code\":{code}")), "{reply}");
         assert!(reply.contains("\"not_run\":true"), "{reply}");
-        assert!(handler.asked.borrow().is_empty());
+        assert!(handler.paths.borrow().is_empty());
     });
 }
 
@@ -101,15 +101,15 @@
     run(async {
         let (server, handler) = serve(small(), echo);
         let leave = "GET /x HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let mut far = TcpStream::connect_addr(server.address()).await.unwrap();
-        let mut kept = TcpStream::connect_addr(server.address()).await.unwrap();
+        let mut closing = TcpStream::connect_addr(server.address()).await.unwrap();
+        let mut open = TcpStream::connect_addr(server.address()).await.unwrap();
 
-        write(&mut far, leave).await;
-        write(&mut kept, GET).await;
-        let replies = [read(&mut far).await, read(&mut kept).await];
+        write(&mut closing, leave).await;
+        write(&mut open, GET).await;
+        let replies = [read(&mut closing).await, read(&mut open).await];
         pause(40).await;
-        drop(far);
-        drop(kept);
+        drop(closing);
+        drop(open);
         pause(20).await;
 
         assert!(replies.iter().all(|reply| reply.starts_with("HTTP/1.1 200 ")), "{replies:?}");
--- a/crates/kumquatnotch-net/tests/silence.rs
+++ b/crates/kumquatnotch-net/tests/silence.rs
@@ -44,12 +44,12 @@
         let start = Instant::now();
 
         let lost = links.call(&name(), &spec, &search(100), after(5_000)).await;
-        let took = start.elapsed();
+        let elapsed = start.elapsed();
         let next = links.call(&name(), &spec, &search(101), after(500)).await;
 
         assert_eq!(lost, Err(Error::ConnectionSilent));
-        assert!(took.as_millis() < 1_000, "{took:?}");
-        println!("found after {took:?}");
+        assert!(elapsed.as_millis() < 1_000, "{elapsed:?}");
+        println!("found after {elapsed:?}");
         assert!(next.is_ok(), "{next:?}");
     });
 }
@@ -80,16 +80,16 @@
         let (lost, end) = lost.await;
 
         assert_eq!(lost, Err(Error::ConnectionSilent));
-        let took = end.duration_since(start);
-        println!("found after {took:?}");
-        assert!(took.as_millis() < 1_000, "{took:?}");
+        let elapsed = end.duration_since(start);
+        println!("found after {elapsed:?}");
+        assert!(elapsed.as_millis() < 1_000, "{elapsed:?}");
     });
 }
 
 /// A target suddenly becomes 100 times slower, but answers status requests with its load. Its
 /// replies are late, but no connection is treated as silent and no search is lost.
 #[test]
-fn a_straggler_is_not_taken_for_silent() {
+fn a_straggler_is_not_treated_as_silent() {
     run(async {
         let fleet = fleet(7.0);
         let (links, spec) = (links(), spec(fleet.address("t0").unwrap()));
@@ -184,16 +184,16 @@
 fn a_booking_abandoned_during_its_check_is_not_sent() {
     run(async {
         let bookings = Rc::new(Cell::new(0));
-        let counted = bookings.clone();
+        let counter = bookings.clone();
         let address = accept(move |_, mut stream| {
-            let counted = counted.clone();
+            let counter = counter.clone();
             async move {
                 loop {
                     let request = read(&mut stream).await;
                     if request.is_empty() {
                         return;
                     }
-                    counted.set(counted.get() + usize::from(request.starts_with("POST")));
+                    counter.set(counter.get() + usize::from(request.starts_with("POST")));
                     if request.starts_with("GET") {
                         pause(100).await;
                     }
--- a/crates/kumquatnotch-net/tests/target_links.rs
+++ b/crates/kumquatnotch-net/tests/target_links.rs
@@ -37,7 +37,7 @@
     failed = { 500, "{\"detail\":\"x\"}", Error::TargetFailed { detail: "x".to_owned() } },
     other = { 418, "", Error::protocol("status 418") },
     other_snapshot = {
-        200, "{\"version\":2}", Error::protocol("asked for version 1, answered from 2")
+        200, "{\"version\":2}", Error::protocol("requested version 1, reply is from version 2")
     },
 )]
 fn statuses_map_to_errors(status: u16, body: &'static str, error: Error) {
@@ -235,10 +235,10 @@
 #[test]
 fn failures_to_connect_back_off() {
     run(async {
-        let tries = Rc::new(Cell::new(0));
-        let counted = tries.clone();
+        let accepted = Rc::new(Cell::new(0));
+        let counter = accepted.clone();
         let address = accept(move |_, stream| {
-            counted.set(counted.get() + 1);
+            counter.set(counter.get() + 1);
             async move { drop(stream) }
         });
         let (links, spec) = (links(), spec(address));
@@ -252,7 +252,7 @@
         }
 
         assert!(calls > 50, "{calls} calls");
-        assert!(tries.get() < 20, "{} tries in {calls} calls", tries.get());
+        assert!(accepted.get() < 20, "{} connections in {calls} calls", accepted.get());
     });
 }
 
--- a/crates/kumquatnotch-query/src/router.rs
+++ b/crates/kumquatnotch-query/src/router.rs
@@ -182,14 +182,14 @@
         let reply = timeout_at(&*self.clock, deadline, sending).await.and_then(|reply| reply);
         match &reply {
             Ok(_) => self.health.reply_received(&node.name),
-            Err(error) => self.note_failure(&node.name, error, sent),
+            Err(error) => self.report_failure(&node.name, error, sent),
         }
         reply
     }
 
     /// Reports a peer that did not answer to the membership; other failures are not
     /// reported.
-    fn note_failure(&self, name: &NodeName, error: &Error, sent: Instant) {
+    fn report_failure(&self, name: &NodeName, error: &Error, sent: Instant) {
         let waited = self.clock.now().saturating_duration_since(sent);
         match error {
             Error::ConnectFailed
--- a/crates/kumquatnotch-query/tests/common/holder.rs
+++ b/crates/kumquatnotch-query/tests/common/holder.rs
@@ -10,7 +10,7 @@
 use futures_util::future::join_all;
 use kumquatnotch_core::{
     Clock, Error, LocalFuture, Result,
-    answer::{GroupAnswer, ShardFault, ShardVersions},
+    answer::{GroupAnswer, ShardError, ShardVersions},
     clock::{PausedClock, sleep, timeout_at},
     ids::{IndexVersion, NodeName, ShardName},
     peer::{PeerHandler, PeerMessage, PeerReply, RelayCall},
@@ -136,7 +136,7 @@
                     answer.hits.extend(hits);
                     answer.covered.push(shard);
                 }
-                Err(error) => answer.missing.push(ShardFault { shard, error }),
+                Err(error) => answer.missing.push(ShardError { shard, error }),
             }
         }
         answer
