--- a/crates/kumquatnotch-config/src/document_store.rs
+++ b/crates/kumquatnotch-config/src/document_store.rs
@@ -137,7 +137,7 @@
         result
     }
 
-    /// Deletes stored values that no kept version refers to, and returns their number.
+    /// Deletes stored values that no retained version refers to, and returns their number.
     ///
     /// A writer stores its values before the head that refers to them. The
     /// collector therefore waits for `grace` after listing the values and only
--- a/crates/kumquatnotch-core/src/answer.rs
+++ b/crates/kumquatnotch-core/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers and their coverage.
 //!
-//! Every shard that a query asked for is either covered or listed as missing with
-//! its reason. The two add up to the number of shards asked for, so that a lost
+//! Every shard that a query requested is either covered or listed as missing with
+//! its reason. The two add up to the number of requested shards, so that a lost
 //! part cannot be mistaken for an empty result.
 
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
 pub struct Coverage {
     /// The snapshot that all hits were taken from.
     pub version: IndexVersion,
-    /// Number of shards asked for.
+    /// Number of requested shards.
     pub asked: u32,
     /// Number of shards that answered.
     pub covered: u32,
@@ -47,7 +47,7 @@
         self.covered == self.asked
     }
 
-    /// Returns the fraction of shards that answered; zero if none were asked for.
+    /// Returns the fraction of shards that answered; zero if none were requested.
     pub fn share(&self) -> f64 {
         if self.asked == 0 {
             return 0.0;
--- a/crates/kumquatnotch-core/src/document.rs
+++ b/crates/kumquatnotch-core/src/document.rs
@@ -174,7 +174,7 @@
 pub trait Documents {
     /// Returns the document in force, or `None` until one is confirmed.
     ///
-    /// A query takes it once and keeps it until it ends, so that a concurrent
+    /// A query obtains it once and uses it until it ends, so that a concurrent
     /// change does not mix two versions in one answer.
     fn current(&self) -> Option<Rc<Document>>;
 }
--- a/crates/kumquatnotch-core/src/query.rs
+++ b/crates/kumquatnotch-core/src/query.rs
@@ -48,7 +48,7 @@
     pub selector: SelectorName,
     /// The snapshot that it must be answered from.
     pub version: IndexVersion,
-    /// The shards asked for.
+    /// The requested shards.
     pub shards: Vec<ShardName>,
     /// The query as JSON text.
     pub body: String,
--- a/crates/kumquatnotch-core/src/target.rs
+++ b/crates/kumquatnotch-core/src/target.rs
@@ -46,7 +46,7 @@
 pub struct TargetCall {
     /// The id by which the call can be cancelled.
     pub id: u64,
-    /// The shard asked for.
+    /// The requested shard.
     pub shard: ShardName,
     /// The snapshot that it must be answered from; `None` for an exclusive request.
     pub version: Option<IndexVersion>,
--- a/crates/kumquatnotch-core/src/vms.rs
+++ b/crates/kumquatnotch-core/src/vms.rs
@@ -21,7 +21,7 @@
     pub leaving: bool,
 }
 
-/// Reads the list, which may be out of date; empty if the platform keeps none.
+/// Reads the list, which may be out of date; empty if the platform has none.
 pub async fn read_vms(store: &dyn Store) -> Result<Vec<Vm>> {
     match store.read(VMS_KEY).await? {
         Some(item) => codec::decode(&item.value),
--- a/crates/kumquatnotch-net/src/caller_client.rs
+++ b/crates/kumquatnotch-net/src/caller_client.rs
@@ -40,7 +40,7 @@
 
     /// Sends `request` and waits for its reply, for at most `time`.
     ///
-    /// Dropping the future closes the connection, which tells the node that its caller has
+    /// Dropping the future closes the connection, by which the node detects that its caller has
     /// disconnected.
     pub async fn call(&self, request: Request, time: Duration) -> Result<Reply> {
         let deadline = self.pool.clock.now() + time;
--- a/crates/kumquatnotch-net/src/client_connection.rs
+++ b/crates/kumquatnotch-net/src/client_connection.rs
@@ -1,8 +1,8 @@
 //! The task of one client connection, and the jobs that it runs.
 //!
 //! The task owns the connection. While idle, it offers the connection to its pool and watches
-//! for its end. If the caller of a job goes away, the job is cancelled at the other side, and
-//! its reply is awaited for a limited time. If the reply arrives, the connection is in sync
+//! for its end. If the caller drops a job, the job is cancelled at the other side, and its
+//! reply is awaited for a limited time. If the reply arrives, the connection is in sync
 //! and is reused; otherwise it is closed, so that no connection with an outstanding reply
 //! returns to the pool.
 
@@ -195,7 +195,7 @@
     }
 }
 
-/// Checks whether the other side responds on this connection.
+/// Returns whether the other side responds on this connection.
 async fn answers(
     stream: &mut ClientStream,
     check: Request,
@@ -224,7 +224,7 @@
 ) -> Disposition {
     match result {
         Ok(exchanged) => {
-            // Fails if the caller has gone away, which needs no handling.
+            // Fails if the caller no longer waits, which needs no handling.
             let _ = reply.send(Ok(exchanged.reply));
             if exchanged.keep_alive { Disposition::Keep } else { Disposition::Close }
         }
--- a/crates/kumquatnotch-net/src/entry.rs
+++ b/crates/kumquatnotch-net/src/entry.rs
@@ -20,7 +20,7 @@
 
 /// The state of a node that is exposed to operators.
 pub trait Operator {
-    /// Whether the node serves callers.
+    /// Returns whether the node serves callers.
     fn is_ready(&self) -> bool;
 
     /// Returns the state of the node as text.
--- a/crates/kumquatnotch-net/src/exchange.rs
+++ b/crates/kumquatnotch-net/src/exchange.rs
@@ -40,7 +40,7 @@
     /// Completes when an idle connection must no longer be used.
     ///
     /// That is when the other side closes it, or sends unsolicited bytes: a late or duplicate
-    /// reply would be taken for the reply to the next request.
+    /// reply would be mistaken for the reply to the next request.
     pub(crate) async fn wait_closed(&mut self) -> Peek {
         self.reader.peek().await
     }
--- a/crates/kumquatnotch-net/src/opaque_link.rs
+++ b/crates/kumquatnotch-net/src/opaque_link.rs
@@ -74,16 +74,16 @@
         Ok(OpaqueLink { reader, encoder: GenericEncoder::new(write) })
     }
 
-    /// Whether an idle connection can be reused.
+    /// Returns whether an idle connection can be reused.
     ///
     /// It can't be if the other side has closed it, or has sent unsolicited bytes, which would
-    /// be taken for the reply to the next request.
+    /// be mistaken for the reply to the next request.
     pub fn is_reusable(&mut self) -> bool {
         self.reader.peek().now_or_never().is_none()
     }
 
-    /// Whether no byte of the reply has arrived, so that [`receive`](OpaqueLink::receive) can
-    /// be dropped and called again for the same request.
+    /// Returns whether no byte of the reply has arrived, so that
+    /// [`receive`](OpaqueLink::receive) can be dropped and called again for the same request.
     pub fn awaits_first_byte(&self) -> bool {
         self.reader.awaits_first_byte()
     }
--- a/crates/kumquatnotch-net/src/peer_links.rs
+++ b/crates/kumquatnotch-net/src/peer_links.rs
@@ -119,7 +119,7 @@
             };
             match reply.status.as_u16() {
                 200 => codec::decode(&reply.body),
-                status => Err(Error::protocol(format!("status {status}"))),
+                status => Err(Error::protocol(format!("unexpected status {status}"))),
             }
         })
     }
--- a/crates/kumquatnotch-net/src/pool.rs
+++ b/crates/kumquatnotch-net/src/pool.rs
@@ -110,7 +110,7 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        // The caller went away before it passed a job; the next waiter gets the connection.
+        // The caller was cancelled before it passed a job; the next waiter gets the connection.
         if let Some(slot) = self.slot.take() {
             self.pool.assign(self.lane, slot, self.since);
         }
@@ -229,7 +229,7 @@
         self.open_more();
     }
 
-    /// Whether a caller waits for a connection.
+    /// Returns whether a caller waits for a connection.
     pub(crate) fn has_waiters(&self, lane: Lane) -> bool {
         self.lane(lane).borrow().waiters.iter().any(|waiter| !waiter.is_canceled())
     }
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Whether the backoff is in effect, so that no connection may be opened.
+    /// Returns whether the backoff is in effect, so that no connection may be opened.
     fn is_backing_off(&self) -> bool {
         self.clock.now() < self.backoff_end.get()
     }
--- a/crates/kumquatnotch-net/src/reader.rs
+++ b/crates/kumquatnotch-net/src/reader.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether no byte of the current message has arrived.
+    /// Returns whether no byte of the current message has arrived.
     ///
     /// If so, the future that reads its head can be dropped and the read started again.
     pub(crate) fn awaits_first_byte(&self) -> bool {
@@ -203,8 +203,8 @@
 /// Rejects heads with ambiguous framing, which allow request smuggling.
 ///
 /// With two lengths, or a length and chunks, this process and an intermediary could disagree
-/// about where the message ends. The rest of one caller's message would then be taken for the
-/// request of another caller.
+/// about where the message ends. The rest of one caller's message would then be mistaken for
+/// the request of another caller.
 fn check_framing(headers: &HeaderMap) -> Result<(), ReadError> {
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
--- a/crates/kumquatnotch-net/src/server.rs
+++ b/crates/kumquatnotch-net/src/server.rs
@@ -234,7 +234,7 @@
 
 async fn accept(listener: TcpListener, shared: Rc<Context>) {
     // New connections are accepted until the linger time has elapsed: their requests get a
-    // refusal that says "not run", which a connection reset would not tell.
+    // refusal that says "not run", which a connection reset would not convey.
     let end = shared.linger_elapsed();
     let mut end = std::pin::pin!(end);
     loop {
--- a/crates/kumquatnotch-net/src/server_connection.rs
+++ b/crates/kumquatnotch-net/src/server_connection.rs
@@ -134,7 +134,7 @@
     let Some(reply) = run(work, reader, encoder, context).await else {
         return Next::End;
     };
-    // A client that was told to close the connection but sends another request is served:
+    // A client that was asked to close the connection but sends another request is served:
     // if the connection were closed at once, the request would look lost in transit.
     let keep_open = keep_alive && !context.draining.get();
     match send(encoder, reply, request_id, keep_open, context).await {
@@ -227,7 +227,7 @@
                 return Some(reply.await);
             }
             () = tick => {
-                // Without interim responses the client takes the connection for lost.
+                // Without interim responses the client treats the connection as lost.
                 if !send_interim(encoder).await && !detached {
                     return None;
                 }
--- a/crates/kumquatnotch-net/src/target_links.rs
+++ b/crates/kumquatnotch-net/src/target_links.rs
@@ -290,7 +290,7 @@
             link.pool.call_with_retry(self.options.control_lane(), &request, deadline).await?;
         match reply.status.as_u16() {
             200 => reply.read_json(),
-            status => Err(Error::protocol(format!("status {status}"))),
+            status => Err(Error::protocol(format!("unexpected status {status}"))),
         }
     }
 }
--- a/crates/kumquatnotch-net/src/target_reply.rs
+++ b/crates/kumquatnotch-net/src/target_reply.rs
@@ -55,7 +55,7 @@
             let detail = failure.map(|failure| failure.detail).unwrap_or_default();
             Err(Error::TargetFailed { detail })
         }
-        status => Err(Error::protocol(format!("status {status}"))),
+        status => Err(Error::protocol(format!("unexpected status {status}"))),
     }
 }
 
--- a/crates/kumquatnotch-net/tests/server.rs
+++ b/crates/kumquatnotch-net/tests/server.rs
@@ -158,7 +158,7 @@
 }
 
 /// A caller disconnects while its request runs. A search is dropped immediately, to take load
-/// off the targets. A booking continues, since the caller will ask for the outcome with its
+/// off the targets. A booking continues, since the caller will query the outcome with its
 /// ticket.
 #[parameterized(search = { false }, booking = { true })]
 fn a_disconnect_ends_searches_only(detached: bool) {
--- a/crates/kumquatnotch-net/tests/target_links.rs
+++ b/crates/kumquatnotch-net/tests/target_links.rs
@@ -35,7 +35,7 @@
     expired = { 504, "{\"ran\":false}", Error::ExpiredInQueue },
     expired_in_run = { 504, "{\"ran\":true}", Error::TimedOut },
     failed = { 500, "{\"detail\":\"x\"}", Error::TargetFailed { detail: "x".to_owned() } },
-    other = { 418, "", Error::protocol("status 418") },
+    other = { 418, "", Error::protocol("unexpected status 418") },
     other_snapshot = {
         200, "{\"version\":2}", Error::protocol("requested version 1, reply is from version 2")
     },
@@ -117,7 +117,7 @@
     });
 }
 
-/// A target sends a reply twice. The duplicate must not be taken for the reply to the next
+/// A target sends a reply twice. The duplicate must not be mistaken for the reply to the next
 /// request on that connection.
 #[test]
 fn a_duplicate_reply_reaches_no_other_request() {
@@ -155,7 +155,7 @@
     });
 }
 
-/// The slower call is dropped because a hedge has won. The target is told to cancel it, and its
+/// The slower call is dropped because a hedge has won. The target is asked to cancel it, and its
 /// reply is read, so that the connection stays in sync and is reused by the next call.
 #[test]
 fn a_dropped_call_is_cancelled_and_its_connection_kept() {
--- a/crates/kumquatnotch/src/node.rs
+++ b/crates/kumquatnotch/src/node.rs
@@ -42,7 +42,7 @@
 /// which is up to 20 ms after the node has sent it.
 const MAX_REPLY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time for the news that a node has gone to spread to the other nodes.
+/// Time for the shutdown announcement of a node to spread to the other nodes.
 const DEPARTURE_SPREAD_TIME: Duration = Duration::from_secs(1);
 
 /// Interval of the check for another process with the name or address of this node.
@@ -171,12 +171,12 @@
     /// Waits until `stop` completes or another process has superseded this node.
     ///
     /// Other nodes know only the latest incarnation of a name or address. A
-    /// superseded node therefore receives neither updates nor work, has no share
-    /// in reading the platform's store, and is invisible to operators, while
-    /// callers that still have its address would be served from a configuration
-    /// that nobody checks. It cannot take a new incarnation, because tickets
-    /// carry the present one. It therefore ends, and the process that is started
-    /// in its place draws an incarnation above both.
+    /// superseded node therefore receives neither updates nor work, does not read
+    /// the platform's store, and is invisible to operators, while callers that
+    /// still have its address would be served from a configuration that nobody can
+    /// monitor. It cannot take a new incarnation, because tickets carry the present
+    /// one. It therefore ends, and the process that is started in its place draws
+    /// an incarnation above both.
     pub async fn wait(&self, stop: LocalFuture<'_, ()>) {
         let superseded = std::pin::pin!(self.wait_until_superseded());
         if let Either::Right(_) = select(stop, superseded).await {
@@ -195,8 +195,8 @@
     /// A superseded node may continue to serve while it leaves. A ticket names the
     /// incarnation that issued it, so the later process never runs a request that
     /// this one may have run, and a node that forwards such a ticket to the later
-    /// process is told that the outcome is unknown. Searches have no side effects,
-    /// and this node continues to ask for the newest document.
+    /// process gets the error "outcome unknown". Searches have no side effects, and
+    /// this node continues to fetch the newest document.
     pub async fn leave(&self) -> Shutdown {
         // A process that supersedes this node after it began to leave is no reason
         // for a restart.
--- a/crates/kumquatnotch/src/operator.rs
+++ b/crates/kumquatnotch/src/operator.rs
@@ -78,7 +78,9 @@
         match self.peers.send(record.peer, &PeerMessage::ConfigState, deadline).await? {
             PeerReply::ConfigState(confirmation) => Ok(confirmation),
             PeerReply::Failed(error) => Err(error),
-            reply => Err(Error::protocol(format!("unexpected {reply:?}"))),
+            reply => Err(Error::protocol(format!(
+                "unexpected peer reply to a configuration query: {reply:?}"
+            ))),
         }
     }
 
