--- a/crates/kumquatnotch-config/src/document_store.rs
+++ b/crates/kumquatnotch-config/src/document_store.rs
@@ -239,13 +239,13 @@
         }
     }
 
-    async fn resolve_head_write(&self, base: &Current, ours: &Head) -> Result<ConfigVersion> {
+    async fn resolve_head_write(&self, base: &Current, written: &Head) -> Result<ConfigVersion> {
         let now = self.current().await?;
         let Some(head) = &now.head else {
             return Err(Error::CompareFailed);
         };
-        if contains_write(head, ours) {
-            return Ok(ours.version);
+        if contains_write(head, written) {
+            return Ok(written.version);
         }
         let detail = format!(
             "by {} ({}):\n{}",
@@ -306,9 +306,9 @@
     Ok(stored.values.iter().filter(|value| !is_used(value.digest)).collect())
 }
 
-/// Returns whether the write of `ours` took effect: `now` or its history contains it.
-fn contains_write(now: &Head, ours: &Head) -> bool {
-    now.write == ours.write || now.history.iter().any(|past| past.write == ours.write)
+/// Returns whether the write of `written` took effect: `now` or its history contains it.
+fn contains_write(now: &Head, written: &Head) -> bool {
+    now.write == written.write || now.history.iter().any(|past| past.write == written.write)
 }
 
 /// Starts or ends the drain of a target; a draining target takes no new work.
@@ -327,7 +327,7 @@
 }
 
 /// Copies the drains set by command from `current` to a document read from files.
-pub fn keep_drains(document: &mut Document, current: &Document) {
+pub fn copy_drains(document: &mut Document, current: &Document) {
     for name in &current.rules.drained {
         if let Some(target) = document.targets.get_mut(name) {
             target.drain = true;
--- a/crates/kumquatnotch-config/tests/document_store.rs
+++ b/crates/kumquatnotch-config/tests/document_store.rs
@@ -8,7 +8,7 @@
 };
 
 use kumquatnotch_config::document_store::{
-    Authorship, Current, DocumentStore, keep_drains, set_drain,
+    Authorship, Current, DocumentStore, copy_drains, set_drain,
 };
 use kumquatnotch_core::{
     Clock, Error, LocalFuture, Result, Store,
@@ -277,7 +277,7 @@
 
     let base = fixture.current();
     let mut files = document(3);
-    keep_drains(&mut files, &base.document);
+    copy_drains(&mut files, &base.document);
     fixture.publish(&base, &files).unwrap();
 
     let now = fixture.current().document;
--- a/crates/kumquatnotch-core/tests/core.rs
+++ b/crates/kumquatnotch-core/tests/core.rs
@@ -69,8 +69,8 @@
         let before = rendezvous(&key.to_be_bytes(), &all);
         let after = rendezvous(&key.to_be_bytes(), &rest);
 
-        let kept: Vec<&str> = before.into_iter().filter(|name| *name != "c").collect();
-        assert_eq!(kept, after);
+        let remaining: Vec<&str> = before.into_iter().filter(|name| *name != "c").collect();
+        assert_eq!(remaining, after);
     }
 }
 
--- a/crates/kumquatnotch-ctl/src/config_commands.rs
+++ b/crates/kumquatnotch-ctl/src/config_commands.rs
@@ -5,7 +5,7 @@
 use kumquatnotch::{
     config::{
         diff::{self, to_text},
-        document_store::{Current, DocumentStore, keep_drains, set_drain},
+        document_store::{Current, DocumentStore, copy_drains, set_drain},
         files,
     },
     core::{
@@ -140,7 +140,7 @@
 
 fn load_with_drains(path: &std::path::Path, base: &Current) -> Result<Document> {
     let mut document = files::load(path)?;
-    keep_drains(&mut document, &base.document);
+    copy_drains(&mut document, &base.document);
     Ok(document)
 }
 
--- a/crates/kumquatnotch-ctl/tests/ctl.rs
+++ b/crates/kumquatnotch-ctl/tests/ctl.rs
@@ -90,12 +90,12 @@
 
     let first = fixture.run(&["apply", &one, "--base", "0"]);
     let second = fixture.run(&["apply", &two, "--base", "1"]);
-    let back = fixture.run(&["rollback", "1"]);
+    let rolled_back = fixture.run(&["rollback", "1"]);
     let shown = fixture.run(&["show"]);
 
     assert!(text(&first).contains("accepted as version 1"), "{}", text(&first));
     assert!(text(&second).contains("+ targets.t1"), "{}", text(&second));
-    assert!(text(&back).contains("accepted as version 3"), "{}", text(&back));
+    assert!(text(&rolled_back).contains("accepted as version 3"), "{}", text(&rolled_back));
     assert!(text(&shown).contains("[targets.t0]"), "{}", text(&shown));
     assert!(!text(&shown).contains("[targets.t1]"), "{}", text(&shown));
 }
--- a/crates/kumquatnotch/tests/node.rs
+++ b/crates/kumquatnotch/tests/node.rs
@@ -199,12 +199,12 @@
         let leaving = third.clone();
         let left = monoio::spawn(async move { leaving.leave().await });
         let start = Instant::now();
-        let gone = third.servers().0.address();
+        let leaving_address = third.servers().0.address();
         let mut advised_until = Duration::ZERO;
         while start.elapsed() < Duration::from_millis(3_000) {
             let found = coverage(&caller).await;
             assert_eq!(found["covered"], 4, "after {:?}: {found}", start.elapsed());
-            if advised_addresses(&second).await.contains(&gone) {
+            if advised_addresses(&second).await.contains(&leaving_address) {
                 advised_until = start.elapsed();
             }
             pause(5).await;
@@ -253,9 +253,9 @@
         wait_until("full coverage", async || coverage(&caller).await["covered"] == 4).await;
 
         let later = node("n1", platform.address, &[second.servers().1.address()]);
-        let gone = earlier.servers().0.address();
+        let earlier_address = earlier.servers().0.address();
         wait_until("advice without it", async || {
-            !advised_addresses(&earlier).await.contains(&gone)
+            !advised_addresses(&earlier).await.contains(&earlier_address)
         })
         .await;
         let found = coverage(&caller).await;
--- a/crates/kumquatnotchd/tests/daemon.rs
+++ b/crates/kumquatnotchd/tests/daemon.rs
@@ -18,13 +18,13 @@
     let bad = good.replace("n1", "n 1");
     let (good, bad) = (settings_file(good), settings_file(&bad));
 
-    let fine = command(&good).arg("--check").output().unwrap();
-    let fault = command(&bad).arg("--check").output().unwrap();
+    let valid = command(&good).arg("--check").output().unwrap();
+    let invalid = command(&bad).arg("--check").output().unwrap();
     let help = command(&good).arg("--help").output().unwrap();
 
-    assert!(fine.status.success());
-    assert_eq!(fault.status.code(), Some(1));
-    let errors = String::from_utf8_lossy(&fault.stderr).into_owned();
+    assert!(valid.status.success());
+    assert_eq!(invalid.status.code(), Some(1));
+    let errors = String::from_utf8_lossy(&invalid.stderr).into_owned();
     assert!(errors.contains("6001") && errors.contains("node.name"), "{errors}");
     let help = String::from_utf8_lossy(&help.stdout).into_owned();
     assert!(help.contains("SIGTERM") && help.contains("[platform]"), "{help}");
