--- a/crates/kumquatnotch-config/tests/document_store.rs
+++ b/crates/kumquatnotch-config/tests/document_store.rs
@@ -148,11 +148,11 @@
     assert_eq!(now.document, Document { version, ..document(300) });
 }
 
+/// Two operators read version 1, and each publishes a change of it. The second
+/// publication must not silently undo the first: it fails with a conflict that
+/// lists the intervening change.
 #[test]
 fn racing_publish_reports_a_conflict() {
-    // Two operators read version 1, and each publishes a change of it. The second
-    // publication must not silently undo the first: it fails with a conflict that
-    // lists the intervening change.
     let fixture = Fixture::new();
     fixture.publish(&fixture.current(), &document(1)).unwrap();
     let base = fixture.current();
@@ -169,11 +169,11 @@
     assert_eq!(fixture.current().document.targets.len(), 2);
 }
 
+/// The head is written and the reply lost, so that the repeated write finds
+/// another revision. If this were treated as a conflict, the operator would see
+/// a change by another operator that does not exist, and apply the change twice.
 #[test]
 fn lost_reply_of_a_head_write_is_resolved() {
-    // The head is written and the reply lost, so that the repeated write finds
-    // another revision. If this were taken for a conflict, an operator would see
-    // a rival that does not exist and apply the change twice.
     let fixture = Fixture::new();
     let base = fixture.current();
     fixture.platform.lost_replies.set(1);
@@ -184,11 +184,11 @@
     assert_eq!(fixture.current().head.unwrap().version, ConfigVersion(1));
 }
 
+/// The head is written and the reply lost, and another operator publishes on top
+/// of it before the next attempt. The first write took effect. If it were reported
+/// as a conflict, the operator would apply the change again.
 #[test]
 fn lost_reply_is_resolved_after_a_concurrent_publish() {
-    // Our head is written and the reply lost, and a rival publishes on top of it
-    // before our next attempt. Our write took effect. If it were reported as a
-    // conflict, the operator would apply the change again.
     let fixture = Fixture::new();
     fixture.publish(&fixture.current(), &document(1)).unwrap();
     let base = fixture.current();
@@ -265,11 +265,11 @@
     assert_eq!(result, Err(Error::VersionUnknown { version: 9 }));
 }
 
+/// An operator drains a target by command, and another then applies files that
+/// do not mention the drain. If it were not carried over, the target would
+/// take new work again while it is being decommissioned.
 #[test]
 fn drain_by_command_survives_the_next_apply() {
-    // An operator drains a target by command, and another then applies files that
-    // do not mention the drain. If it were not carried over, the target would
-    // take new work again while it is being decommissioned.
     let fixture = Fixture::new();
     fixture.publish(&fixture.current(), &document(2)).unwrap();
     let drained = TargetName::from("t1");
--- a/crates/kumquatnotch-config/tests/settings.rs
+++ b/crates/kumquatnotch-config/tests/settings.rs
@@ -54,10 +54,10 @@
     assert_eq!(settings.groups.holders, 1);
 }
 
+/// The file has five faults of four kinds. If only the first were reported,
+/// an operator would need five starts of the node to find them all.
 #[test]
 fn every_fault_is_reported_with_path_line_and_reason() {
-    // The file has five faults of four kinds. If only the first were reported,
-    // an operator would need five starts of the node to find them all.
     let text = r#"
 [node]
 name = "n 1"
@@ -142,10 +142,10 @@
     assert!(text.contains(expected), "{text}");
 }
 
+/// With a key listed under two tenants, callers of one would be authorised as
+/// the other and see the private rates of a competitor.
 #[test]
 fn key_shared_by_two_tenants_is_refused() {
-    // With a key listed under two tenants, callers of one would be authorised as
-    // the other and see the private rates of a competitor.
     let rival = "\n[tenants.rum]\nkeys = [\"KEY\"]\n";
     let key = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
     let text = GOOD_DOCUMENT.to_owned() + &rival.replace("KEY", key);
--- a/crates/kumquatnotch-core/src/member.rs
+++ b/crates/kumquatnotch-core/src/member.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeState {
-    /// Answers; [`NodeRecord::serving`] tells whether it has a document to serve.
+    /// Answers; [`NodeRecord::serving`] states whether it has started to serve.
     Up,
     /// Does not answer, and is considered gone unless it refutes the suspicion soon.
     Suspect,
--- a/crates/kumquatnotch-ctl/src/config_commands.rs
+++ b/crates/kumquatnotch-ctl/src/config_commands.rs
@@ -129,7 +129,7 @@
 
 /// Prints the accepted version, and waits for up to `wait` seconds until it is in force.
 ///
-/// Without a node to ask, or if `wait` is zero, this does not wait.
+/// Does not wait if no node was given or `wait` is zero.
 async fn report_accepted(context: &Context, version: ConfigVersion, wait: u64) -> Result<u8> {
     println!("accepted as version {version}");
     if wait == 0 || !context.has_node() {
--- a/crates/kumquatnotch-ctl/src/explain_command.rs
+++ b/crates/kumquatnotch-ctl/src/explain_command.rs
@@ -2,7 +2,7 @@
 //!
 //! A complete answer in time scores 1. An answer with missing shards scores the square of
 //! its coverage, and a late, refused or failed request scores 0. The difference to 1 is
-//! the loss of the request. Requests with status 408 (the caller went away) or 404 lose
+//! the loss of the request. Requests with status 408 (the caller disconnected) or 404 lose
 //! nothing. Losses are summed by route and cause, and by time window.
 
 use std::{
@@ -223,7 +223,7 @@
 fn losses(line: &Line, events: &RequestEvents<'_>) -> Vec<(String, f64)> {
     let (status, reason) = (line.number("status"), line.text("reason"));
     match status {
-        // The caller had gone away and waited for no answer.
+        // The caller had disconnected and no longer waited for the answer.
         408 => Vec::new(),
         404 => Vec::new(),
         503 => vec![(format!("refused: {reason}"), 1.0)],
--- a/crates/kumquatnotch-ctl/src/log_lines.rs
+++ b/crates/kumquatnotch-ctl/src/log_lines.rs
@@ -11,7 +11,7 @@
 use kumquatnotch::core::{Error, Result};
 use serde_json::{Map, Value};
 
-/// Standard fields, which are parsed separately or dropped, and not kept in [`Line::fields`].
+/// Standard fields, which are parsed separately or dropped, and not included in [`Line::fields`].
 const HEADER_FIELDS: [&str; 4] = ["timestamp", "level", "message", "request"];
 
 /// A log line.
--- a/crates/kumquatnotch-ctl/src/options.rs
+++ b/crates/kumquatnotch-ctl/src/options.rs
@@ -211,7 +211,7 @@
     pub wait: u64,
 }
 
-/// Delete stored values that no kept version refers to.
+/// Delete stored values that no retained version refers to.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "collect")]
 pub struct CollectArgs {
--- a/crates/kumquatnotch-ctl/tests/ctl.rs
+++ b/crates/kumquatnotch-ctl/tests/ctl.rs
@@ -85,7 +85,7 @@
 
 #[test]
 fn document_is_applied_shown_and_rolled_back() {
-    let fixture = Fixture::start("return", StoreFaultChange::default());
+    let fixture = Fixture::start("rollback", StoreFaultChange::default());
     let (one, two) = (fixture.document(1), fixture.document(2));
 
     let first = fixture.run(&["apply", &one, "--base", "0"]);
@@ -100,11 +100,11 @@
     assert!(!text(&shown).contains("[targets.t1]"), "{}", text(&shown));
 }
 
+/// Two operators start from version 1. One applies files with a new target, and
+/// the other then applies files without it. If these were accepted, the second
+/// operator would unintentionally remove the target of the first.
 #[test]
 fn files_based_on_an_older_version_are_refused() {
-    // Two operators start from version 1. One applies files with a new target, and
-    // the other then applies files without it. If these were accepted, the second
-    // operator would unintentionally remove the target of the first.
     let fixture = Fixture::start("older", StoreFaultChange::default());
     let (one, two, three) = (fixture.document(1), fixture.document(2), fixture.document(3));
     fixture.run(&["apply", &one, "--base", "0"]);
@@ -117,11 +117,11 @@
     assert!(text(&second).contains("+ targets.t2"), "{}", text(&second));
 }
 
+/// The platform stores all five values, the head last, but every reply is lost.
+/// The operator must see "accepted", and the history must contain the change
+/// only once.
 #[test]
 fn a_lost_reply_is_resolved() {
-    // The platform stores all five values, the head last, but every reply is lost.
-    // The operator must see "accepted", and the history must contain the change
-    // only once.
     let change = StoreFaultChange { lose_replies: Some(5), ..StoreFaultChange::default() };
     let fixture = Fixture::start("lost", change);
     let one = fixture.document(1);
--- a/crates/kumquatnotchd/tests/daemon.rs
+++ b/crates/kumquatnotchd/tests/daemon.rs
@@ -132,8 +132,8 @@
 
 /// One of three daemons leaves gracefully and one is killed. An operator who checks
 /// whether a change is in force everywhere must see the killed one, as the others
-/// cannot tell whether it is dead, or partitioned and still serving. The daemon
-/// that left is of no interest and not listed.
+/// cannot tell whether it is dead, or partitioned and still serving. A daemon
+/// that left gracefully is not listed.
 #[test]
 fn config_report_lists_a_killed_daemon_but_not_one_that_left() {
     run(async {
@@ -168,7 +168,7 @@
 /// A VM is replaced by one of the same name while the earlier process is still
 /// running and callers still have its address. The others know only the later
 /// incarnation and send the earlier one no updates, so without a check it would
-/// run forever, unseen. It must serve until the advice of its callers has expired,
+/// run forever unnoticed. It must serve until the advice of its callers has expired,
 /// and then exit with the code that requests a restart.
 #[test]
 fn superseded_daemon_exits_with_its_own_code() {
