--- a/crates/kumquatnotch-holder/src/probes.rs
+++ b/crates/kumquatnotch-holder/src/probes.rs
@@ -193,16 +193,16 @@
         let status = match status {
             Ok(status) => status,
             Err(error) => {
-                let took = now.saturating_duration_since(started);
+                let elapsed = now.saturating_duration_since(started);
                 // A connect error counts as a refusal only if it came before the timeout, and not
                 // mainly because this node was late.
-                let before_timeout = took < self.options.probe_timeout && stalled <= took / 2;
+                let before_timeout = elapsed < self.options.probe_timeout && stalled <= elapsed / 2;
                 let connect_failed = matches!(error, Error::ConnectFailed | Error::ConnectRefused);
                 let refused = connect_failed && before_timeout;
                 // A target that answered a call in the meantime is alive, and a probe that used the
                 // maximum extension because this node was late is inconclusive.
                 let answered = entry.replica.last_answer().is_some_and(|at| at > started);
-                let inconclusive = took >= self.options.probe_timeout * MAX_TIMEOUT_FACTOR;
+                let inconclusive = elapsed >= self.options.probe_timeout * MAX_TIMEOUT_FACTOR;
                 if !refused && (answered || inconclusive) {
                     table.schedule_probe(target, next);
                     return;
--- a/crates/kumquatnotch-holder/tests/crashes.rs
+++ b/crates/kumquatnotch-holder/tests/crashes.rs
@@ -47,7 +47,7 @@
 fn suspect_without_an_idle_replica_fails_before_the_deadline() {
     let fixture = Fixture::new(&[("a", "s0"), ("b", "s0")]);
 
-    let (answer, took) = fixture.run(async {
+    let (answer, elapsed) = fixture.run(async {
         fixture.warm_up(1).await;
         let start = fixture.clock.now();
         let (busy, second) = (request(&["s0"], "busy"), request(&["s0"], "again"));
@@ -60,13 +60,13 @@
         };
         let others = join(fixture.group(busy), fixture.group(second));
         match select(Box::pin(poison), Box::pin(others)).await {
-            Either::Left((told, _)) => told,
+            Either::Left((result, _)) => result,
             Either::Right(_) => panic!("the hanging calls ended before the suspect"),
         }
     });
 
     assert_eq!(answer.missing[0].error, Error::ConnectionLost);
-    assert!(took < Duration::from_millis(250), "{took:?}");
+    assert!(elapsed < Duration::from_millis(250), "{elapsed:?}");
 }
 
 /// A request crashes the only target of its shard, so the retry fails for lack of a target. The
--- a/crates/kumquatnotch-member/tests/config.rs
+++ b/crates/kumquatnotch-member/tests/config.rs
@@ -32,16 +32,16 @@
 
 #[test]
 fn a_change_reaches_a_hundred_nodes() {
-    let (took, part_calls) = run(1, async |cluster| {
+    let (elapsed, part_calls) = run(1, async |cluster| {
         let nodes = start_converged(&cluster, 100).await;
         let before = cluster.platform.calls.get();
         cluster.platform.publish(2, 200);
-        let took = cluster.wait_until(30 * SECOND, || cluster.all_have(2)).await;
+        let elapsed = cluster.wait_until(30 * SECOND, || cluster.all_have(2)).await;
         assert_eq!(nodes[50].served(), Some(2));
-        (took, cluster.platform.calls.get() - before)
+        (elapsed, cluster.platform.calls.get() - before)
     });
 
-    assert!(took.unwrap() < 4 * SECOND, "took {took:?}");
+    assert!(elapsed.unwrap() < 4 * SECOND, "took {elapsed:?}");
     // Five reads each of head, manifest and one part, and the periodic reads in the meantime.
     assert!(part_calls < 40, "{part_calls} calls");
 }
@@ -140,7 +140,7 @@
 /// first, and then serve the new version.
 #[test]
 fn unfrozen_node_rechecks_before_serving() {
-    let (at_once, first, took) = run(7, async |cluster| {
+    let (at_once, first, elapsed) = run(7, async |cluster| {
         let nodes = start_converged(&cluster, 20).await;
         nodes[4].process.set(State::Frozen);
         cluster.sleep(20 * SECOND).await;
@@ -149,13 +149,13 @@
         nodes[4].process.set(State::Running);
         // A caller's request may be handled before any task of the node runs.
         let at_once = nodes[4].served();
-        let took = cluster.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
-        (at_once, nodes[4].served(), took)
+        let elapsed = cluster.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
+        (at_once, nodes[4].served(), elapsed)
     });
 
     assert_eq!(at_once, None);
     assert_eq!(first, Some(2));
-    assert!(took.unwrap() < SECOND, "took {took:?}");
+    assert!(elapsed.unwrap() < SECOND, "took {elapsed:?}");
 }
 
 /// A node resumes from a freeze and reaches neither peers nor the platform, so it can't
@@ -163,18 +163,18 @@
 /// timeout, and report the age of its confirmation.
 #[test]
 fn isolated_unfrozen_node_serves_after_timeout() {
-    let (took, served, age) = run(8, async |cluster| {
+    let (elapsed, served, age) = run(8, async |cluster| {
         let nodes = start_converged(&cluster, 9).await;
         nodes[4].process.set(State::Frozen);
         cluster.sleep(20 * SECOND).await;
         cluster.platform.down.set(true);
         cluster.network.cut(|from, to| from == address(4) || to == address(4));
         nodes[4].process.set(State::Running);
-        let took = cluster.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
-        (took, nodes[4].served(), nodes[4].members.confirmed().age_ms.unwrap())
+        let elapsed = cluster.wait_until(10 * SECOND, || nodes[4].served().is_some()).await;
+        (elapsed, nodes[4].served(), nodes[4].members.confirmed().age_ms.unwrap())
     });
 
-    assert!(took.unwrap() < 3 * SECOND, "took {took:?}");
+    assert!(elapsed.unwrap() < 3 * SECOND, "took {elapsed:?}");
     assert_eq!(served, Some(1));
     assert!(age >= 20_000, "age {age} ms");
 }
@@ -184,14 +184,14 @@
 /// of five seconds.
 #[test]
 fn change_arrives_in_time_with_most_peers_unreachable() {
-    let took = run(15, async |cluster| {
+    let elapsed = run(15, async |cluster| {
         let nodes = start_converged(&cluster, 12).await;
         cluster.network.cut(|from, to| from == address(4) && to != address(11));
         cluster.platform.publish(2, 200);
         cluster.wait_until(60 * SECOND, || nodes[4].version() == 2).await
     });
 
-    assert!(took.is_some_and(|took| took <= IN_FORCE_LIMIT), "took {took:?}");
+    assert!(elapsed.is_some_and(|elapsed| elapsed <= IN_FORCE_LIMIT), "took {elapsed:?}");
 }
 
 /// A node starts while neither peers nor the platform answer. It has no document that
