--- a/crates/kumquatnotch-member/tests/membership.rs
+++ b/crates/kumquatnotch-member/tests/membership.rs
@@ -246,8 +246,8 @@
 
 /// One node is partitioned, and a minute later another one leaves. Both are gone for the
 /// others, but the partitioned one may still serve an earlier document to callers that
-/// reach it. It must be listed as lost when an operator asks what is in force, but only for
-/// a limited time; the node that announced its departure must not be listed.
+/// reach it. It must be listed as lost when an operator queries what is in force, but only
+/// for a limited time; the node that announced its departure must not be listed.
 #[test]
 fn partitioned_node_is_listed_as_lost_for_ten_minutes() {
     let (early, late, rejoined) = run(15, async |cluster| {
--- a/crates/kumquatnotch-query/tests/search.rs
+++ b/crates/kumquatnotch-query/tests/search.rs
@@ -272,8 +272,8 @@
 
 /// A node joins and is up, but a hanging platform leaves it without a document for a
 /// long time. It answers its peers before it can serve. If only being up counted,
-/// callers would be sent to it and refused with 2004, and searches would lose a round
-/// trip to it.
+/// callers would be sent to it and refused with 2004, and searches would waste a round
+/// trip on it.
 #[test]
 fn node_that_does_not_serve_yet_gets_no_callers_and_no_groups() {
     let cluster = cluster_with(3, 40, without_canary());
