--- a/crates/kumquatnotch-core/src/answer.rs
+++ b/crates/kumquatnotch-core/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers and their coverage.
 //!
-//! Every shard that a query asked for is either covered or listed as missing with
-//! its reason. The two add up to the number of shards asked for, so that a lost
+//! Every shard that a query requested is either covered or listed as missing with
+//! its reason. The two add up to the number of requested shards, so that a lost
 //! part cannot be mistaken for an empty result.
 
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
 pub struct Coverage {
     /// The snapshot that all hits were taken from.
     pub version: IndexVersion,
-    /// Number of shards asked for.
+    /// Number of requested shards.
     pub asked: u32,
     /// Number of shards that answered.
     pub covered: u32,
@@ -42,12 +42,12 @@
 }
 
 impl Coverage {
-    /// Returns true if every shard answered.
+    /// Returns whether every shard answered.
     pub fn is_full(&self) -> bool {
         self.covered == self.asked
     }
 
-    /// Returns the fraction of shards that answered; zero if none were asked for.
+    /// Returns the fraction of shards that answered; zero if none were requested.
     pub fn share(&self) -> f64 {
         if self.asked == 0 {
             return 0.0;
@@ -82,7 +82,7 @@
     /// The shards that answered.
     pub covered: Vec<ShardName>,
     /// The shards that did not answer, with their errors.
-    pub missing: Vec<ShardFault>,
+    pub missing: Vec<ShardError>,
     /// The versions of its shards that the holder knows of.
     pub held: Vec<ShardVersions>,
     /// Time that requests of this class wait for a slot at the holder, in microseconds.
@@ -91,7 +91,7 @@
 
 /// A shard that a holder could not answer for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShardFault {
+pub struct ShardError {
     /// The shard.
     pub shard: ShardName,
     /// The error.
--- a/crates/kumquatnotch-holder/src/group.rs
+++ b/crates/kumquatnotch-holder/src/group.rs
@@ -14,7 +14,7 @@
 };
 use kumquatnotch_core::{
     Error, Result,
-    answer::{GroupAnswer, ShardFault, ShardVersions},
+    answer::{GroupAnswer, ShardError, ShardVersions},
     document::Class,
     ids::{IndexVersion, ShardName, TenantName},
     query::GroupRequest,
@@ -34,7 +34,7 @@
 ///
 /// If each shard refused on its own, almost every query would miss shards and the work of the
 /// others would be wasted. The group is therefore refused as a whole well before single shards
-/// refuse. The average keeps one overloaded shard from refusing the whole group.
+/// refuse. Due to the averaging, a single overloaded shard does not refuse the whole group.
 const MAX_GROUP_WAIT_SHARE: f64 = 0.2;
 /// Minimum retry-after time of a refused group.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
@@ -45,7 +45,7 @@
         self.refresh_document()?;
         let start = self.now();
         let deadline = start + Duration::from_millis(request.deadline_ms);
-        let patience = start + Duration::from_millis(request.patience_ms);
+        let partial_deadline = start + Duration::from_millis(request.patience_ms);
         let eligible = self.table.borrow_mut().eligible(&request.selector)?;
         if let Verdict::Refused(left) = self.verdict(request.fingerprint) {
             return Err(contained(left));
@@ -56,7 +56,7 @@
             .iter()
             .map(|shard| Rc::new(self.shard_work(request, shard, &eligible, deadline)))
             .collect();
-        let results = self.gather(&works, patience.min(deadline), deadline).await;
+        let results = self.gather(&works, partial_deadline.min(deadline), deadline).await;
         Ok(self.merge(request, &works, results))
     }
 
@@ -78,7 +78,7 @@
             fingerprint: request.fingerprint,
             eligible: eligible.clone(),
             deadline,
-            // If this is already a hedged copy of the whole group, its calls are not hedged again.
+            // The calls of a hedged group request are not hedged again.
             hedgeable: !request.hedge,
             sent: Cell::new(false),
         }
@@ -103,11 +103,12 @@
         Err(Error::overloaded((wait - bound).max(MIN_RETRY_AFTER)))
     }
 
-    /// Runs all calls until `patience`, or until `deadline` while no shard has been answered.
+    /// Runs all calls until `partial_deadline`, or until `deadline` if no shard has been answered
+    /// by then.
     async fn gather(
         self: &Rc<Self>,
         works: &[Rc<Work>],
-        patience: Instant,
+        partial_deadline: Instant,
         deadline: Instant,
     ) -> Vec<Option<Result<kumquatnotch_core::target::TargetReply>>> {
         let mut results: Vec<_> = works.iter().map(|_| None).collect();
@@ -117,7 +118,7 @@
             .map(|(index, work)| async move { (index, self.run(work).await) })
             .collect();
         let mut covered = 0;
-        let mut timer = self.clock.sleep_until(patience);
+        let mut timer = self.clock.sleep_until(partial_deadline);
         loop {
             match select(running.next(), timer).await {
                 Either::Left((None, _)) => return results,
@@ -148,11 +149,11 @@
                     hits.extend(reply.hits);
                     covered.push(shard);
                 }
-                Some(Err(error)) => missing.push(ShardFault { shard, error }),
+                Some(Err(error)) => missing.push(ShardError { shard, error }),
                 None if work.sent.get() => {
-                    missing.push(ShardFault { shard, error: Error::TimedOut });
+                    missing.push(ShardError { shard, error: Error::TimedOut });
                 }
-                None => missing.push(ShardFault { shard, error: Error::ExpiredInQueue }),
+                None => missing.push(ShardError { shard, error: Error::ExpiredInQueue }),
             }
         }
         let mut hits = merge_hits(hits, request.limit as usize);
--- a/crates/kumquatnotch-holder/src/probes.rs
+++ b/crates/kumquatnotch-holder/src/probes.rs
@@ -21,14 +21,14 @@
     target::{Phase, TargetStatus},
 };
 
-use crate::{calls::DRAINING_SPAN, core::Core, slots::expire_waiters, table::Table};
+use crate::{calls::DRAINING_TTL, core::Core, slots::expire_waiters, table::Table};
 
 /// Interval between two rounds of the background work.
 const TICK: Duration = Duration::from_millis(25);
 /// Maximum number of concurrent probes.
 ///
-/// After a mass restart all targets are due at once, and each new connection costs a target
-/// milliseconds.
+/// After a mass restart all targets are due at once, and each new connection takes a target
+/// milliseconds of work.
 const MAX_CONCURRENT_PROBES: usize = 16;
 /// Maximum delay of a timer that is due to the resolution of the runtime.
 const TIMER_GRANULARITY: Duration = Duration::from_millis(2);
@@ -141,7 +141,7 @@
 
     /// Requests the status of a target; the timeout is extended by the delays of this node.
     ///
-    /// A busy holder reads answers late. If it took its own delay for missing answers, it would
+    /// A busy holder reads answers late. If it mistook its own delay for missing answers, it would
     /// refuse requests for all of its targets. The time by which its ticks were late therefore does
     /// not count towards the timeout.
     pub async fn query_status(
@@ -193,16 +193,16 @@
         let status = match status {
             Ok(status) => status,
             Err(error) => {
-                let took = now.saturating_duration_since(started);
+                let elapsed = now.saturating_duration_since(started);
                 // A connect error counts as a refusal only if it came before the timeout, and not
                 // mainly because this node was late.
-                let before_timeout = took < self.options.probe_timeout && stalled <= took / 2;
+                let before_timeout = elapsed < self.options.probe_timeout && stalled <= elapsed / 2;
                 let connect_failed = matches!(error, Error::ConnectFailed | Error::ConnectRefused);
                 let refused = connect_failed && before_timeout;
                 // A target that answered a call in the meantime is alive, and a probe that used the
-                // maximum extension because this node was late proves nothing.
+                // maximum extension because this node was late is inconclusive.
                 let answered = entry.replica.last_answer().is_some_and(|at| at > started);
-                let inconclusive = took >= self.options.probe_timeout * MAX_TIMEOUT_FACTOR;
+                let inconclusive = elapsed >= self.options.probe_timeout * MAX_TIMEOUT_FACTOR;
                 if !refused && (answered || inconclusive) {
                     table.schedule_probe(target, next);
                     return;
@@ -234,7 +234,7 @@
         }
         drop(table);
         if status.phase == Phase::Draining {
-            self.set_mark(MarkKind::Draining(target.clone()), DRAINING_SPAN);
+            self.set_mark(MarkKind::Draining(target.clone()), DRAINING_TTL);
             if !was_draining {
                 tracing::info!(%target, "holder: target is draining");
             }
@@ -271,10 +271,10 @@
     /// Returns the next target that is due for a probe.
     fn next_due(&self) -> Option<TargetName> {
         let now = self.now();
-        let pause = || self.random.jitter(self.options.probe_interval);
+        let interval = || self.random.jitter(self.options.probe_interval);
         let mut table = self.table.borrow_mut();
         table.schedule_new_shards(&self.options, now);
-        table.take_due(&self.options, &pause, now)
+        table.take_due(&self.options, &interval, now)
     }
 
     /// Dispatches every queue, as a replica can become usable by the passage of time alone.
--- a/crates/kumquatnotch-holder/src/schedule.rs
+++ b/crates/kumquatnotch-holder/src/schedule.rs
@@ -1,7 +1,7 @@
 //! The schedule of probes.
 //!
 //! Searching all targets for the next one after each probe would take time quadratic in their
-//! number. Probe times are kept in a heap instead, and outdated entries are skipped when they
+//! number. Probe times are stored in a heap instead, and outdated entries are skipped when they
 //! are due.
 
 use std::{
@@ -109,7 +109,7 @@
     pub fn take_due(
         &mut self,
         options: &HolderOptions,
-        pause: &dyn Fn() -> Duration,
+        interval: &dyn Fn() -> Duration,
         now: Instant,
     ) -> Option<TargetName> {
         while self.schedule.heap.peek().is_some_and(|Reverse((at, _))| *at <= now) {
@@ -125,7 +125,7 @@
                 continue;
             }
             if !self.schedule.is_full_rate(now) && can_defer_probe(entry, options, now) {
-                self.schedule_probe(&name, now + pause() / CHECKS_PER_INTERVAL);
+                self.schedule_probe(&name, now + interval() / CHECKS_PER_INTERVAL);
                 continue;
             }
             self.entries.get_mut(&name)?.probing = true;
@@ -144,7 +144,7 @@
     }
 }
 
-/// Whether the probe of a target can be deferred because it answers calls.
+/// Returns whether the probe of a target can be deferred because it answers calls.
 fn can_defer_probe(entry: &Entry, options: &HolderOptions, now: Instant) -> bool {
     let (Some(last_status), Some(last_answer)) = (entry.last_status, entry.replica.last_answer())
     else {
--- a/crates/kumquatnotch-holder/src/selection.rs
+++ b/crates/kumquatnotch-holder/src/selection.rs
@@ -49,7 +49,8 @@
 }
 
 impl Core {
-    /// Whether the remaining free slots are reserved for the desk and closed to this audit call.
+    /// Returns whether the remaining free slots are reserved for the desk class, so that this audit
+    /// call must wait.
     ///
     /// A running call cannot be preempted, so without a reserve a desk call that finds all slots
     /// occupied would wait for an audit call to end.
@@ -191,11 +192,11 @@
         return Selection::Wait;
     }
     // Without a reservation a busy replica would never become idle.
-    let least = usable
+    let least_busy = usable
         .iter()
         .filter(|name| open(&entries[*name]))
         .min_by_key(|name| entries[*name].replica.in_flight());
-    if let Some(entry) = least.and_then(|name| entries.get_mut(name)) {
+    if let Some(entry) = least_busy.and_then(|name| entries.get_mut(name)) {
         entry.reserved_for = Some(id);
     }
     Selection::Wait
--- a/crates/kumquatnotch-member/src/exchange.rs
+++ b/crates/kumquatnotch-member/src/exchange.rs
@@ -62,7 +62,7 @@
         self.join_round(&addresses).await;
     }
 
-    /// Returns true if peers have a document that this node can wait for.
+    /// Returns whether peers have a document that this node can wait for.
     ///
     /// If no peer has one, as when all nodes start at once, this node must announce itself: the
     /// nodes divide the reads of the platform by the number of known nodes.
@@ -89,7 +89,7 @@
             };
             interval = match self.exchange_with(peer.peer).await {
                 Ok(Difference::Found) => self.options.exchange_min,
-                // The next exchange makes up for a failed one.
+                // The next exchange compensates for a failed one.
                 Ok(Difference::None) | Err(_) => (interval * 2).min(self.options.exchange_period),
             };
         }
@@ -160,11 +160,11 @@
         let deadline = self.clock.now() + self.options.probe_timeout;
         match self.send(address, &PeerMessage::Exchange(exchange), deadline).await? {
             PeerReply::Exchange(exchange) => Ok(exchange),
-            _ => Err(kumquatnotch_core::Error::protocol("unexpected reply to an exchange")),
+            _ => Err(kumquatnotch_core::Error::protocol("unexpected peer reply to an exchange")),
         }
     }
 
-    /// Returns true if a peer answered.
+    /// Returns whether a peer answered.
     async fn join_round(&self, addresses: &[SocketAddr]) -> bool {
         let mut others: Vec<SocketAddr> =
             addresses.iter().copied().filter(|address| *address != self.options.peer).collect();
@@ -211,14 +211,14 @@
     /// Adds the records of other nodes in the buckets that differ, including gone nodes.
     ///
     /// The record of a gone node lets the peer verify it, and lets the node itself refute it.
-    fn add_differing(&self, gossip: &mut Gossip, ours: &[u32], theirs: &[u32]) {
+    fn add_differing(&self, gossip: &mut Gossip, local_buckets: &[u32], remote_buckets: &[u32]) {
         let table = self.table.borrow();
         let mut records: Vec<NodeRecord> = table
             .others()
             .map(|entry| &entry.record)
             .filter(|record| {
                 let bucket = bucket_of(&record.name);
-                ours.get(bucket) != theirs.get(bucket)
+                local_buckets.get(bucket) != remote_buckets.get(bucket)
             })
             .cloned()
             .collect();
--- a/crates/kumquatnotch-member/src/fetch.rs
+++ b/crates/kumquatnotch-member/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches the parts of a version: from the peers that announced it, from others, or from
+//! Fetches the values of a version: from the peers that announced it, from others, or from
 //! the platform.
 //!
 //! Only the digests that this node lacks are requested, and every value is verified against
@@ -29,7 +29,7 @@
 /// Maximum number of sources remembered per version.
 const SOURCE_LIMIT: usize = 8;
 
-/// Number of random peers asked if no source has a value.
+/// Number of random peers queried if no source has a value.
 const RANDOM_PEERS: usize = 3;
 
 /// Number of attempts before the version has to be announced again.
@@ -38,7 +38,7 @@
 /// Timeout of a fetch from a peer; its reply is larger than other control messages.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Delay after which the next peer is asked as well if the earlier ones have not finished.
+/// Delay after which the next peer is queried as well if the earlier ones have not finished.
 const HEDGE_DELAY: Duration = Duration::from_millis(500);
 
 /// Time between two attempts.
@@ -99,7 +99,7 @@
 impl ConfigService {
     /// Starts to fetch the wanted version in its own task, unless a fetch is running.
     pub(crate) fn start_fetch(&self) {
-        let Some(me) = self.me.upgrade() else {
+        let Some(this) = self.this.upgrade() else {
             return;
         };
         let mut wanted = self.wanted.borrow_mut();
@@ -107,7 +107,7 @@
             return;
         }
         wanted.fetching = true;
-        monoio::spawn(me.run_fetch());
+        monoio::spawn(this.run_fetch());
     }
 
     async fn run_fetch(self: Rc<Self>) {
@@ -118,7 +118,7 @@
             };
             match self.fetch_version(head).await {
                 Ok(()) => continue,
-                Err(error) => warn!("config: version {} not fetched: {error}", head.version),
+                Err(error) => warn!("config: failed to fetch version {}: {error}", head.version),
             }
             if attempt + 1 < MAX_ATTEMPTS {
                 clock::sleep(&*self.clock, self.random.jitter(RETRY_DELAY)).await;
@@ -130,7 +130,7 @@
     /// Fetches every value of a version and puts it in force.
     async fn fetch_version(&self, head: InForce) -> Result<()> {
         // The reply of the source also carries the age of its confirmation.
-        let (fetched, ()) = join(self.fetch_missing(&[head.manifest]), self.ask_source()).await;
+        let (fetched, ()) = join(self.fetch_missing(&[head.manifest]), self.query_source()).await;
         fetched?;
         let manifest: Manifest = codec::decode(&self.value(head.manifest)?.value)?;
         let digests: Vec<Digest> = manifest.digests().collect();
@@ -147,7 +147,7 @@
     }
 
     /// Queries the version of the most recent source.
-    async fn ask_source(&self) {
+    async fn query_source(&self) {
         let source = self.wanted.borrow().sources.front().copied();
         if let Some(source) = source {
             self.members.query_head(source, None).await;
@@ -178,7 +178,7 @@
             self.fetch_from_platform(digests).await?;
         }
         match self.missing(digests).first() {
-            Some(digest) => Err(Error::internal(format!("part {digest} is missing"))),
+            Some(digest) => Err(Error::internal(format!("value {digest} is missing"))),
             None => Ok(()),
         }
     }
@@ -187,7 +187,7 @@
     ///
     /// A request to a peer that hangs or is partitioned fails only after the full timeout.
     /// Several of these in sequence would delay a change beyond the time within which it must be
-    /// in force, so the next peer is asked as well after [`HEDGE_DELAY`].
+    /// in force, so the next peer is queried as well after [`HEDGE_DELAY`].
     async fn fetch_from_peers(&self, sources: Vec<SocketAddr>, digests: &[Digest]) {
         let mut sources = sources.into_iter();
         let mut running = FuturesUnordered::new();
@@ -235,16 +235,16 @@
 
     /// Stores the values that match their digests; returns true if one of them is new.
     fn store_values(&self, values: Vec<StoredValue>) -> bool {
-        let mut useful = false;
+        let mut has_new = false;
         for value in values {
             if let Err(error) = stored::check_value(&value) {
-                warn!("config: rejected part {}: {error}", value.digest);
+                warn!("config: rejected value {}: {error}", value.digest);
                 continue;
             }
             let earlier = self.values.borrow_mut().insert(value.digest, Rc::new(value));
-            useful |= earlier.is_none();
+            has_new |= earlier.is_none();
         }
-        useful
+        has_new
     }
 
     fn missing(&self, digests: &[Digest]) -> Vec<Digest> {
@@ -258,7 +258,7 @@
 
     fn value(&self, digest: Digest) -> Result<Rc<StoredValue>> {
         let value = self.values.borrow().get(&digest).cloned();
-        value.ok_or_else(|| Error::internal(format!("part {digest} is missing")))
+        value.ok_or_else(|| Error::internal(format!("value {digest} is missing")))
     }
 
     fn random_peers(&self) -> Vec<SocketAddr> {
--- a/crates/kumquatnotch-member/src/membership_service.rs
+++ b/crates/kumquatnotch-member/src/membership_service.rs
@@ -43,11 +43,11 @@
 
 /// Time for which a node that disappeared without notice is listed as lost.
 ///
-/// The node may only be partitioned and still serve an earlier document, and without the
-/// list an operator who waits for a change would be told that it is in force everywhere.
-/// Partitions between regions last for minutes. A node that is away for longer has most
-/// likely failed, and a longer list would hide the partitioned nodes among all failures of
-/// the day.
+/// The node may only be partitioned and still serve an earlier document. Without the list,
+/// the change that an operator waits for would be reported as in force everywhere.
+/// Partitions between regions last for minutes. A node that is unreachable for longer has
+/// most likely failed, and a longer list would hide the partitioned nodes among all
+/// failures of the day.
 const LOST_RETENTION: Duration = Duration::from_secs(600);
 
 /// Maintains the list of nodes and spreads the state that all nodes share.
@@ -69,7 +69,7 @@
     pub(crate) announced: Cell<bool>,
     superseded: Cell<bool>,
     lifecycle: Option<Lifecycle>,
-    me: Weak<MembershipService>,
+    this: Weak<MembershipService>,
 }
 
 impl MembershipService {
@@ -88,7 +88,7 @@
         let now = clock.now();
         let lifecycle: Option<Lifecycle> = registry.find(services::LIFECYCLE).ok();
         let local = local_record(&options, &random, lifecycle.is_none());
-        let service = Rc::new_cyclic(|me| MembershipService {
+        let service = Rc::new_cyclic(|this| MembershipService {
             head_state: HeadState::new(clock.clone()),
             table: RefCell::new(Table::new(local, options.check_gone)),
             deltas: RefCell::default(),
@@ -109,7 +109,7 @@
             random,
             peers,
             options,
-            me: me.clone(),
+            this: this.clone(),
         });
         registry.register(MEMBERSHIP, service.clone());
         registry.register::<Rc<dyn Members>>(services::MEMBERS, service.clone());
@@ -120,24 +120,24 @@
 
     /// Spawns the tasks of the service.
     pub fn start(&self) {
-        let Some(me) = self.me.upgrade() else {
+        let Some(this) = self.this.upgrade() else {
             return;
         };
         self.freeze_detector.tick(self.clock.now());
-        monoio::spawn(me.clone().run_ticks());
-        monoio::spawn(me.clone().run_join());
-        monoio::spawn(me.clone().run_probes());
-        monoio::spawn(me.clone().run_checks());
-        monoio::spawn(me.clone().run_pushes());
-        monoio::spawn(me.clone().run_exchanges());
-        monoio::spawn(me.run_reconnects());
+        monoio::spawn(this.clone().run_ticks());
+        monoio::spawn(this.clone().run_join());
+        monoio::spawn(this.clone().run_probes());
+        monoio::spawn(this.clone().run_checks());
+        monoio::spawn(this.clone().run_pushes());
+        monoio::spawn(this.clone().run_exchanges());
+        monoio::spawn(this.run_reconnects());
     }
 
     /// Announces, once, that this node has started to serve.
     ///
-    /// Before that it is up, as it answers peers and takes its turn in reading the platform, but
-    /// it would refuse callers and groups that are sent to it.
-    pub(crate) fn note_serving(&self) {
+    /// Before that it is up, as it answers peers and may read the platform, but it would refuse
+    /// callers and groups that are sent to it.
+    pub(crate) fn announce_serving(&self) {
         if !self.table.borrow_mut().begin_serving() {
             return;
         }
@@ -163,7 +163,7 @@
         self.push_to(self.options.push_fanout * 2).await;
     }
 
-    /// Returns true if a later process has this node's name or address.
+    /// Returns whether a later process has this node's name or address.
     ///
     /// The program should then finish its work and be restarted.
     pub fn is_superseded(&self) -> bool {
@@ -175,7 +175,7 @@
         self.freeze_detector.freezes()
     }
 
-    /// Detects a freeze of this process; called before any state is judged.
+    /// Detects a freeze of this process; called before any decision that depends on timeouts.
     ///
     /// Peers that did not answer during a freeze may be healthy. All suspicions are therefore
     /// extended by the time lost, and this node refutes in advance suspicions that others may
@@ -197,7 +197,7 @@
     pub(crate) fn apply_effect(&self, effect: Effect, report: &NodeRecord) {
         match effect {
             Effect::Stale => {}
-            Effect::Fresh => self.deltas.borrow_mut().add_node(report),
+            Effect::New => self.deltas.borrow_mut().add_node(report),
             Effect::NeedsCheck => self.queue_check(Check::of_report(report.clone())),
             Effect::Refuted { gone } => {
                 metrics::counter!("kumquatnotch_refutations_total").increment(1);
@@ -261,17 +261,18 @@
             let stage = self.lifecycle.as_ref().map(Lifecycle::stage);
             match stage {
                 None | Some(Stage::Starting) => {}
-                Some(Stage::Serving) => self.note_serving(),
+                Some(Stage::Serving) => self.announce_serving(),
                 Some(Stage::Leaving | Stage::Closing) => self.leave(),
             }
         }
     }
 
-    /// Declares suspects gone that did not refute in time, and forgets nodes gone for long.
+    /// Declares suspects gone that did not refute in time, and removes nodes that have been gone
+    /// for [`MembershipOptions::forget_after`].
     ///
-    /// The expiry of a suspicion is not announced: each node that received the suspicion lets it
-    /// expire itself. Shortly before, each node pings the suspect once. It may have missed the
-    /// refutation, which the reply then contains.
+    /// The expiry of a suspicion is not announced: each node that received the suspicion has its
+    /// own timer for it. Shortly before the expiry, each node pings the suspect once: it may have
+    /// missed the refutation, which the reply then contains.
     fn expire_suspicions(&self, now: Instant) {
         let mut table = self.table.borrow_mut();
         for name in table.take_expiring(now + self.options.suspicion_min / 4) {
@@ -303,8 +304,8 @@
     }
 
     fn lost(&self) -> Vec<NodeRecord> {
-        let rest = self.options.forget_after.saturating_sub(LOST_RETENTION);
-        self.table.borrow().lost(self.clock.now() + rest).cloned().collect()
+        let remaining = self.options.forget_after.saturating_sub(LOST_RETENTION);
+        self.table.borrow().lost(self.clock.now() + remaining).cloned().collect()
     }
 
     fn generation(&self) -> u64 {
@@ -360,7 +361,11 @@
                 PeerMessage::Exchange(exchange) => {
                     PeerReply::Exchange(self.answer_exchange(exchange))
                 }
-                _ => return Err(kumquatnotch_core::Error::protocol("not a membership message")),
+                _ => {
+                    return Err(kumquatnotch_core::Error::protocol(
+                        "unexpected message for the membership service",
+                    ));
+                }
             };
             traffic::count_reply(&reply);
             Ok(reply)
--- a/crates/kumquatnotch-member/src/probe.rs
+++ b/crates/kumquatnotch-member/src/probe.rs
@@ -27,13 +27,13 @@
 /// Number of checks per probe period.
 const CHECKS_PER_PROBE: u32 = 4;
 
-/// A node to probe out of turn.
+/// A node to probe ahead of the regular order.
 #[derive(Clone, Debug)]
 pub(crate) struct Check {
     name: NodeName,
     /// A report that it is gone, which the probe carries.
     report: Option<NodeRecord>,
-    /// Whether only a refutation is wanted, so that helpers are not asked.
+    /// Whether the probe only gives the suspect a chance to refute, so that no helpers are used.
     final_ping: bool,
 }
 
@@ -65,8 +65,8 @@
             let Some(subject) = self.next_subject(&mut local_names, &mut remote_names) else {
                 continue;
             };
-            let me = self.clone();
-            monoio::spawn(async move { me.probe(subject, None).await });
+            let this = self.clone();
+            monoio::spawn(async move { this.probe(subject, None).await });
         }
     }
 
@@ -78,11 +78,11 @@
             let Some((subject, check)) = self.next_check() else {
                 continue;
             };
-            let me = self.clone();
+            let this = self.clone();
             monoio::spawn(async move {
                 match check.final_ping {
-                    true => drop(me.ping(&subject, None).await),
-                    false => me.probe(subject, check.report).await,
+                    true => drop(this.ping(&subject, None).await),
+                    false => this.probe(subject, check.report).await,
                 }
             });
         }
@@ -111,10 +111,10 @@
         let result = match self.ping(&subject, report.as_ref()).await {
             PingResult::Ack => ProbeResult::Alive,
             PingResult::Refused => ProbeResult::Unreachable,
-            PingResult::NoAck => self.ask_helpers(&subject).await,
+            PingResult::NoAck => self.probe_via_helpers(&subject).await,
         };
         self.detect_freeze();
-        // A freeze of this process looks like silence of its peers.
+        // During a freeze of this process, its peers appear to be silent.
         if self.freeze_detector.freezes() != freezes {
             return;
         }
@@ -147,7 +147,7 @@
         }
     }
 
-    async fn ask_helpers(&self, subject: &NodeRecord) -> ProbeResult {
+    async fn probe_via_helpers(&self, subject: &NodeRecord) -> ProbeResult {
         let helpers = self.pick_helpers(subject);
         if helpers.is_empty() {
             // With two nodes there are no helpers.
@@ -157,12 +157,12 @@
         // The helper waits for the subject, and its own reply takes time too.
         let wait = self.options.probe_timeout * (1 + self.health_score.get()) * 2;
         let deadline = self.clock.now() + wait;
-        let asks = helpers.iter().map(|helper| self.ask_helper(helper, subject, deadline));
-        let answers = futures_util::future::join_all(asks).await;
+        let probes = helpers.iter().map(|helper| self.probe_via_helper(helper, subject, deadline));
+        let answers = futures_util::future::join_all(probes).await;
         answers.into_iter().max().unwrap_or(ProbeResult::Inconclusive)
     }
 
-    async fn ask_helper(
+    async fn probe_via_helper(
         &self,
         helper: &NodeRecord,
         subject: &NodeRecord,
@@ -190,9 +190,9 @@
         helpers.extend(self.pick_peers(self.options.helpers, other));
         let mut seen = Vec::new();
         helpers.retain(|helper| {
-            let fresh = !seen.contains(&helper.name);
+            let is_first = !seen.contains(&helper.name);
             seen.push(helper.name.clone());
-            fresh
+            is_first
         });
         helpers.truncate(self.options.helpers);
         helpers
@@ -224,10 +224,10 @@
         table = self.table.borrow_mut();
         table.put(record.clone(), until);
         drop(table);
-        self.apply_effect(Effect::Fresh, &record);
+        self.apply_effect(Effect::New, &record);
     }
 
-    /// Returns the next node to probe; a list that is used up is refilled and shuffled.
+    /// Returns the next node to probe; an empty list is refilled and shuffled.
     fn next_subject(
         &self,
         local_names: &mut Vec<NodeName>,
@@ -243,8 +243,8 @@
         let table = self.table.borrow();
         if names.is_empty() {
             let centre = &self.options.centre;
-            let fit = table.live().filter(|record| (record.centre == *centre) == local);
-            names.extend(fit.map(|record| record.name.clone()));
+            let candidates = table.live().filter(|record| (record.centre == *centre) == local);
+            names.extend(candidates.map(|record| record.name.clone()));
             self.random.shuffle(names);
         }
         while let Some(name) = names.pop() {
@@ -256,7 +256,7 @@
         None
     }
 
-    /// Returns the next node to check; skips checks that are settled by now.
+    /// Returns the next node to check; skips checks that are no longer needed.
     fn next_check(&self) -> Option<(NodeRecord, Check)> {
         let table = self.table.borrow();
         let mut checks = self.checks.borrow_mut();
--- a/crates/kumquatnotch-member/src/recheck.rs
+++ b/crates/kumquatnotch-member/src/recheck.rs
@@ -5,7 +5,7 @@
 //! in an outage of the platform, it queries further peers and then takes the highest
 //! version: no change can be accepted during an outage, so the version that they have is
 //! still the newest. It reads the platform only if no peer has a document, and then as any
-//! node does, by rank or by chance, so that 1,900 nodes that start at once do not all call
+//! node does, as a reader or at random, so that 1,900 nodes that start at once do not all call
 //! the platform.
 //!
 //! One case can't be detected: a version may have been accepted just before the outage and
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerPoll {
     answers: usize,
-    asked: usize,
+    queried: usize,
     version: ConfigVersion,
     /// Age of the most recent confirmation of that version.
     age: Duration,
@@ -109,9 +109,9 @@
         self.start_fetch();
     }
 
-    /// Returns true if no peer has a document, but the platform does.
+    /// Returns whether no peer has a document, but the platform does.
     async fn can_use_platform(&self, poll: &PeerPoll, start: Instant) -> bool {
-        // By then the peers are known, and therefore the readers too.
+        // After this delay the peers are known, and therefore the readers too.
         let has_waited = self.clock.now().saturating_duration_since(start) >= PLATFORM_READ_DELAY;
         if poll.version > ConfigVersion(0) || !has_waited || !self.may_read() {
             return false;
@@ -136,7 +136,7 @@
         self.gate.open();
     }
 
-    /// Returns true if enough peers, or the platform, answered.
+    /// Returns whether enough peers, or the platform, answered.
     async fn recheck_once(&self) -> bool {
         let poll = self.poll_peers().await;
         self.is_conclusive(&poll, true) || self.read_head().await.is_ok()
@@ -145,9 +145,9 @@
     /// Queries the versions of several peers; their gossip is merged.
     async fn poll_peers(&self) -> PeerPoll {
         let peers = self.members.pick_peers(self.options.queried_peers, |_| true);
-        let asks = peers.iter().map(|peer| self.members.query_head(peer.peer, Some(&peer.name)));
-        let mut poll = PeerPoll { asked: peers.len(), ..PeerPoll::default() };
-        for head in join_all(asks).await.into_iter().flatten() {
+        let queries = peers.iter().map(|peer| self.members.query_head(peer.peer, Some(&peer.name)));
+        let mut poll = PeerPoll { queried: peers.len(), ..PeerPoll::default() };
+        for head in join_all(queries).await.into_iter().flatten() {
             poll.answers += 1;
             let age = Duration::from_millis(head.age_ms);
             if head.version > poll.version {
@@ -160,13 +160,13 @@
         poll
     }
 
-    /// Returns true if more than half of the peers answered and one has a document.
+    /// Returns whether more than half of the peers answered and one has a document.
     ///
-    /// With `require_fresh`, its confirmation also has to be recent.
-    fn is_conclusive(&self, poll: &PeerPoll, require_fresh: bool) -> bool {
-        let majority = poll.answers * 2 > poll.asked;
-        let fresh = !require_fresh || poll.age <= self.options.fresh_age;
-        majority && poll.version > ConfigVersion(0) && fresh
+    /// With `require_recent`, its confirmation also has to be recent.
+    fn is_conclusive(&self, poll: &PeerPoll, require_recent: bool) -> bool {
+        let majority = poll.answers * 2 > poll.queried;
+        let is_recent = !require_recent || poll.age <= self.options.max_confirmation_age;
+        majority && poll.version > ConfigVersion(0) && is_recent
     }
 }
 
--- a/crates/kumquatnotch-net/src/opaque_link.rs
+++ b/crates/kumquatnotch-net/src/opaque_link.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     message::{Reply, Request},
-    reader::{ReadFault, ResponseReader},
+    reader::{ReadError, ResponseReader},
     socket,
 };
 
@@ -74,16 +74,16 @@
         Ok(OpaqueLink { reader, encoder: GenericEncoder::new(write) })
     }
 
-    /// Whether an idle connection can be reused.
+    /// Returns whether an idle connection can be reused.
     ///
     /// It can't be if the other side has closed it, or has sent unsolicited bytes, which would
-    /// be taken for the reply to the next request.
+    /// be mistaken for the reply to the next request.
     pub fn is_reusable(&mut self) -> bool {
         self.reader.peek().now_or_never().is_none()
     }
 
-    /// Whether no byte of the reply has arrived, so that [`receive`](OpaqueLink::receive) can
-    /// be dropped and called again for the same request.
+    /// Returns whether no byte of the reply has arrived, so that
+    /// [`receive`](OpaqueLink::receive) can be dropped and called again for the same request.
     pub fn awaits_first_byte(&self) -> bool {
         self.reader.awaits_first_byte()
     }
@@ -188,10 +188,10 @@
     Some(idle.saturating_sub(IDLE_MARGIN))
 }
 
-fn to_error(fault: ReadFault) -> Error {
-    match fault {
-        ReadFault::Closed => Error::ConnectionLost,
-        ReadFault::Malformed(detail) => Error::protocol(detail),
-        ReadFault::TooLong => Error::protocol("reply exceeds the size limit"),
+fn to_error(error: ReadError) -> Error {
+    match error {
+        ReadError::Closed => Error::ConnectionLost,
+        ReadError::Malformed(detail) => Error::protocol(detail),
+        ReadError::TooLong => Error::protocol("reply exceeds the size limit"),
     }
 }
--- a/crates/kumquatnotch-net/src/server.rs
+++ b/crates/kumquatnotch-net/src/server.rs
@@ -36,7 +36,7 @@
 const CLOSE_POLL_PERIOD: Duration = Duration::from_millis(5);
 
 /// Pause of the accept loop when no more connections can be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Handles requests.
 pub trait Handler {
@@ -234,14 +234,14 @@
 
 async fn accept(listener: TcpListener, shared: Rc<Context>) {
     // New connections are accepted until the linger time has elapsed: their requests get a
-    // refusal that says "not run", which a connection reset would not tell.
+    // refusal that says "not run", which a connection reset would not convey.
     let end = shared.linger_elapsed();
     let mut end = std::pin::pin!(end);
     loop {
         if shared.open.get() >= shared.options.max_connections {
             // Further connections wait in the backlog of the kernel.
             shared.close_longest_idle();
-            let pause = clock::sleep(&*shared.clock, ACCEPT_PAUSE);
+            let pause = clock::sleep(&*shared.clock, ACCEPT_RETRY_DELAY);
             if let Either::Left(_) = select(end.as_mut(), pause).await {
                 return;
             }
@@ -258,7 +258,7 @@
                     "net: {} failed to accept a connection: {error}",
                     shared.options.name
                 );
-                clock::sleep(&*shared.clock, ACCEPT_PAUSE).await;
+                clock::sleep(&*shared.clock, ACCEPT_RETRY_DELAY).await;
             }
             Either::Right(_) => return,
         }
--- a/crates/kumquatnotch-net/tests/target_links.rs
+++ b/crates/kumquatnotch-net/tests/target_links.rs
@@ -35,9 +35,9 @@
     expired = { 504, "{\"ran\":false}", Error::ExpiredInQueue },
     expired_in_run = { 504, "{\"ran\":true}", Error::TimedOut },
     failed = { 500, "{\"detail\":\"x\"}", Error::TargetFailed { detail: "x".to_owned() } },
-    other = { 418, "", Error::protocol("status 418") },
+    other = { 418, "", Error::protocol("unexpected status 418") },
     other_snapshot = {
-        200, "{\"version\":2}", Error::protocol("asked for version 1, answered from 2")
+        200, "{\"version\":2}", Error::protocol("requested version 1, reply is from version 2")
     },
 )]
 fn statuses_map_to_errors(status: u16, body: &'static str, error: Error) {
@@ -117,7 +117,7 @@
     });
 }
 
-/// A target sends a reply twice. The duplicate must not be taken for the reply to the next
+/// A target sends a reply twice. The duplicate must not be mistaken for the reply to the next
 /// request on that connection.
 #[test]
 fn a_duplicate_reply_reaches_no_other_request() {
@@ -155,7 +155,7 @@
     });
 }
 
-/// The slower call is dropped because a hedge has won. The target is told to cancel it, and its
+/// The slower call is dropped because a hedge has won. The target is asked to cancel it, and its
 /// reply is read, so that the connection stays in sync and is reused by the next call.
 #[test]
 fn a_dropped_call_is_cancelled_and_its_connection_kept() {
@@ -235,10 +235,10 @@
 #[test]
 fn failures_to_connect_back_off() {
     run(async {
-        let tries = Rc::new(Cell::new(0));
-        let counted = tries.clone();
+        let accepted = Rc::new(Cell::new(0));
+        let counter = accepted.clone();
         let address = accept(move |_, stream| {
-            counted.set(counted.get() + 1);
+            counter.set(counter.get() + 1);
             async move { drop(stream) }
         });
         let (links, spec) = (links(), spec(address));
@@ -252,7 +252,7 @@
         }
 
         assert!(calls > 50, "{calls} calls");
-        assert!(tries.get() < 20, "{} tries in {calls} calls", tries.get());
+        assert!(accepted.get() < 20, "{} connections in {calls} calls", accepted.get());
     });
 }
 
--- a/crates/kumquatnotch-query/src/router.rs
+++ b/crates/kumquatnotch-query/src/router.rs
@@ -107,10 +107,10 @@
         self.prune();
         let length = self.options.holders + SPARE_HOLDERS;
         let mut holders = self.ranks.rank(group, length, &*self.members).to_vec();
-        let spread = self.options.holders.clamp(1, holders.len().max(1));
-        if spread > 1 {
-            let first = self.random.below(spread);
-            holders[..spread].rotate_left(first);
+        let holder_count = self.options.holders.clamp(1, holders.len().max(1));
+        if holder_count > 1 {
+            let first = self.random.below(holder_count);
+            holders[..holder_count].rotate_left(first);
         }
         // Silent holders come last. Otherwise each query would wait for a hedge delay
         // until the membership has detected the failure.
@@ -138,10 +138,10 @@
         self.health.wait(name)
     }
 
-    /// Returns how long to wait for a canary; `start` until enough answers have been
+    /// Returns how long to wait for a canary; `initial` until enough answers have been
     /// observed.
-    pub(crate) fn canary_delay(&self, class: Class, start: Duration) -> Duration {
-        self.latencies[class as usize].quantile(CANARY_QUANTILE).unwrap_or(start)
+    pub(crate) fn canary_delay(&self, class: Class, initial: Duration) -> Duration {
+        self.latencies[class as usize].quantile(CANARY_QUANTILE).unwrap_or(initial)
     }
 
     fn hedge_delay(&self, class: Class) -> Duration {
@@ -174,7 +174,7 @@
         message: &PeerMessage,
         deadline: Instant,
     ) -> Result<PeerReply> {
-        let _open = InFlight::new(self, &node.name);
+        let _in_flight = InFlight::new(self, &node.name);
         let sent = self.clock.now();
         let sending = self.peers.send(node.peer, message, deadline);
         // The transport should enforce the deadline. If it does not, the query must
@@ -182,14 +182,14 @@
         let reply = timeout_at(&*self.clock, deadline, sending).await.and_then(|reply| reply);
         match &reply {
             Ok(_) => self.health.reply_received(&node.name),
-            Err(error) => self.note_failure(&node.name, error, sent),
+            Err(error) => self.report_failure(&node.name, error, sent),
         }
         reply
     }
 
     /// Reports a peer that did not answer to the membership; other failures are not
     /// reported.
-    fn note_failure(&self, name: &NodeName, error: &Error, sent: Instant) {
+    fn report_failure(&self, name: &NodeName, error: &Error, sent: Instant) {
         let waited = self.clock.now().saturating_duration_since(sent);
         match error {
             Error::ConnectFailed
@@ -218,26 +218,26 @@
         hedged: bool,
     ) -> Result<GroupAnswer> {
         let holders = self.holders(group);
-        let mut waiting = holders.iter().take(self.options.max_attempts);
-        let Some(first) = waiting.next() else {
+        let mut remaining = holders.iter().take(self.options.max_attempts);
+        let Some(first) = remaining.next() else {
             return Err(Error::NoTarget);
         };
         self.earn_token();
-        let mut open = FuturesUnordered::new();
-        open.push(self.attempt(first, request, deadlines, false));
+        let mut attempts = FuturesUnordered::new();
+        attempts.push(self.attempt(first, request, deadlines, false));
         let silent_at = self.clock.now() + self.options.silence;
         let mut hedge_at = self.clock.now() + self.hedge_delay(request.class);
         loop {
             let timer = self.clock.sleep_until(hedge_at.min(deadlines.root));
-            match select(open.next(), timer).await {
+            match select(attempts.next(), timer).await {
                 Either::Left((Some(Ok(answer)), _)) => return Ok(answer),
                 Either::Left((Some(Err(error)), _)) => {
                     // The holder is dead or cannot serve the request: try the next one
                     // at once.
-                    let next = if may_try_next_holder(&error) { waiting.next() } else { None };
+                    let next = if may_try_next_holder(&error) { remaining.next() } else { None };
                     match next {
-                        Some(next) => open.push(self.attempt(next, request, deadlines, false)),
-                        None if open.is_empty() => return Err(error),
+                        Some(next) => attempts.push(self.attempt(next, request, deadlines, false)),
+                        None if attempts.is_empty() => return Err(error),
                         None => {}
                     }
                 }
@@ -248,8 +248,9 @@
                 Either::Right(_) => {
                     let is_silent = self.has_gone_silent(&first.name);
                     if is_silent || (hedged && self.spend_token()) {
-                        let next = waiting.next();
-                        open.extend(next.map(|next| self.attempt(next, request, deadlines, true)));
+                        let next = remaining.next();
+                        attempts
+                            .extend(next.map(|next| self.attempt(next, request, deadlines, true)));
                         hedge_at = deadlines.root;
                     } else {
                         hedge_at = silent_at.max(self.clock.now() + self.options.hedge_min);
@@ -300,12 +301,12 @@
         let message = PeerMessage::Group(Box::new(request));
         let reply = self.send(node, &message, deadlines.root).await?;
         let PeerReply::Group(answer) = reply else {
-            return Err(Error::protocol("not an answer for a group"));
+            return Err(Error::protocol("unexpected peer reply to a group request"));
         };
         // An answer for shards that were not requested belongs to another request. It
         // must not reach this caller, so the attempt counts as failed.
         if !answer.covered.iter().all(|shard| shards.contains(shard)) {
-            return Err(Error::protocol("an answer for other shards"));
+            return Err(Error::protocol("peer reply is for other shards"));
         }
         let now = self.clock.now();
         self.latencies[class as usize].record(now, now.saturating_duration_since(sent));
--- a/crates/kumquatnotch-query/tests/common/holder.rs
+++ b/crates/kumquatnotch-query/tests/common/holder.rs
@@ -10,7 +10,7 @@
 use futures_util::future::join_all;
 use kumquatnotch_core::{
     Clock, Error, LocalFuture, Result,
-    answer::{GroupAnswer, ShardFault, ShardVersions},
+    answer::{GroupAnswer, ShardError, ShardVersions},
     clock::{PausedClock, sleep, timeout_at},
     ids::{IndexVersion, NodeName, ShardName},
     peer::{PeerHandler, PeerMessage, PeerReply, RelayCall},
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ShardState {
     pub delay: Duration,
-    pub fault: Option<Error>,
+    pub error: Option<Error>,
     pub versions: Vec<HeldVersion>,
 }
 
@@ -30,8 +30,8 @@
 pub struct Shards {
     clock: PausedClock,
     states: RefCell<BTreeMap<ShardName, ShardState>>,
-    /// Requests to shards: the node that made it, the shard and the version.
-    pub asked: RefCell<Vec<(NodeName, ShardName, IndexVersion)>>,
+    /// Requests to shards: the node of the holder, the shard and the version.
+    pub requests: RefCell<Vec<(NodeName, ShardName, IndexVersion)>>,
     /// Exclusive requests that ran: the shard and the body.
     pub runs: RefCell<Vec<(ShardName, String)>>,
     /// Errors returned in order by exclusive calls instead of running them.
@@ -51,7 +51,7 @@
         Shards {
             clock,
             states: RefCell::default(),
-            asked: RefCell::default(),
+            requests: RefCell::default(),
             runs: RefCell::default(),
             refusals: RefCell::default(),
             run_delay: RefCell::new(Duration::from_millis(2)),
@@ -100,10 +100,10 @@
         let Some(state) = self.find(shard, request.version) else {
             return Err(Error::VersionGone { version: request.version.0 });
         };
-        let patience = Duration::from_millis(request.patience_ms.min(request.deadline_ms));
+        let partial_deadline = Duration::from_millis(request.patience_ms.min(request.deadline_ms));
         let work = sleep(&self.clock, state.delay);
-        timeout_at(&self.clock, start + patience, work).await?;
-        if let Some(error) = state.fault {
+        timeout_at(&self.clock, start + partial_deadline, work).await?;
+        if let Some(error) = state.error {
             return Err(error);
         }
         Ok(vec![hit(shard, request.version)])
@@ -111,7 +111,7 @@
 
     async fn group(&self, name: &NodeName, request: &GroupRequest) -> GroupAnswer {
         for shard in &request.shards {
-            self.asked.borrow_mut().push((name.clone(), shard.clone(), request.version));
+            self.requests.borrow_mut().push((name.clone(), shard.clone(), request.version));
         }
         let calls = request.shards.iter().map(|shard| self.call(request, shard));
         let mut answer = GroupAnswer {
@@ -136,7 +136,7 @@
                     answer.hits.extend(hits);
                     answer.covered.push(shard);
                 }
-                Err(error) => answer.missing.push(ShardFault { shard, error }),
+                Err(error) => answer.missing.push(ShardError { shard, error }),
             }
         }
         answer
@@ -188,7 +188,7 @@
                     Ok(PeerReply::Versions(self.shards.versions(&shards)))
                 }
                 PeerMessage::Relay(relay) => self.shards.relay(*relay).await,
-                _ => Err(Error::protocol("unexpected message for a holder")),
+                _ => Err(Error::protocol("unexpected message for the holder service")),
             }
         })
     }
--- a/crates/kumquatnotch-query/tests/search.rs
+++ b/crates/kumquatnotch-query/tests/search.rs
@@ -41,7 +41,7 @@
     let result = run(&cluster, cluster.nodes[0].front.search(KEY, request));
 
     assert_eq!(code(result), expected);
-    assert!(cluster.shards.asked.borrow().is_empty());
+    assert!(cluster.shards.requests.borrow().is_empty());
 }
 
 #[test]
@@ -101,7 +101,7 @@
 fn search_without_coverage_fails() {
     let cluster = cluster_with(2, 4, without_canary());
     for number in 0..4 {
-        cluster.shards.change(&shard(number), |state| state.fault = Some(Error::ConnectionLost));
+        cluster.shards.change(&shard(number), |state| state.error = Some(Error::ConnectionLost));
     }
 
     let result = run(&cluster, cluster.search(0));
@@ -117,7 +117,7 @@
     let cluster = cluster_with(2, 4, without_canary());
     for number in 0..4 {
         let error = Error::Overloaded { retry_ms: 100 + number as u64 };
-        cluster.shards.change(&shard(number), |state| state.fault = Some(error));
+        cluster.shards.change(&shard(number), |state| state.error = Some(error));
     }
 
     let result = run(&cluster, cluster.search(0));
@@ -125,10 +125,11 @@
     assert_eq!(result.unwrap_err(), Error::Overloaded { retry_ms: 103 });
 }
 
-/// One shard of twenty takes 700 of 1,000 ms, and holders return partial answers at the
-/// tenant's patience. Siam gets its answer at half of the deadline with the missing
-/// shard listed, so that the slowest shard does not determine its latency. Barid waits
-/// and gets every shard, since an incomplete answer would strand its load.
+/// One shard of twenty takes 700 of 1,000 ms, and holders return partial answers when
+/// the tenant's patience ends. Siam gets its answer at half of the deadline with the
+/// missing shard listed, so that the slowest shard does not determine its latency.
+/// Barid requires full coverage, since an incomplete answer could leave its load without
+/// transport, so it waits and gets every shard.
 #[parameterized(
     siam = { KEY, 19, true, 500..=520 },
     barid = { RIVAL_KEY, 20, false, 700..=720 },
@@ -183,8 +184,8 @@
 fn shards_expired_in_the_queue_are_reported_as_such() {
     let cluster = cluster_with(3, 20, without_canary());
     for number in 0..2 {
-        let fault = Some(Error::ExpiredInQueue);
-        cluster.shards.change(&shard(number), |state| state.fault = fault);
+        let error = Some(Error::ExpiredInQueue);
+        cluster.shards.change(&shard(number), |state| state.error = error);
     }
 
     let answer = run(&cluster, cluster.search(0)).unwrap();
@@ -271,8 +272,8 @@
 
 /// A node joins and is up, but a hanging platform leaves it without a document for a
 /// long time. It answers its peers before it can serve. If only being up counted,
-/// callers would be sent to it and refused with 2004, and searches would lose a round
-/// trip to it.
+/// callers would be sent to it and refused with 2004, and searches would waste a round
+/// trip on it.
 #[test]
 fn node_that_does_not_serve_yet_gets_no_callers_and_no_groups() {
     let cluster = cluster_with(3, 40, without_canary());
@@ -285,7 +286,7 @@
     assert_eq!(advised.len(), 2);
     assert!(!advised.contains(&cluster.nodes[2].record.entry));
     let name = &cluster.nodes[2].record.name;
-    assert!(cluster.shards.asked.borrow().iter().all(|(asked, _, _)| asked != name));
+    assert!(cluster.shards.requests.borrow().iter().all(|(node, _, _)| node != name));
 }
 
 /// While a node withholds its document after a freeze, it advises the other nodes and
