--- a/crates/kumquatnotch-member/src/fetch.rs
+++ b/crates/kumquatnotch-member/src/fetch.rs
@@ -118,7 +118,7 @@
             };
             match self.fetch_version(head).await {
                 Ok(()) => continue,
-                Err(error) => warn!("config: failed to fetch version {}: {error}", head.version),
+                Err(error) => warn!("config: version {} not fetched: {error}", head.version),
             }
             if attempt + 1 < MAX_ATTEMPTS {
                 clock::sleep(&*self.clock, self.random.jitter(RETRY_DELAY)).await;
